--- a/unittests/EndingRequest/MortalServers.h
+++ b/unittests/EndingRequest/MortalServers.h
@@ -181,17 +181,18 @@
 
   /// Returns whether a server at Place had ended and was taken away.
   bool bury(size_t Place) {
-    std::unique_ptr<MortalServer> Dead;
+    MortalServer *Dead = nullptr;
     {
+      // A server stays in one of the lists at all times, so that listArrivals()
+      // counts the requests of one that is still ending.
       std::lock_guard<std::mutex> Lock(this->Mutex);
       if (!this->Living[Place] || !this->Living[Place]->HasEnded)
         return false;
-      Dead = std::move(this->Living[Place]);
+      this->Ever.push_back(std::move(this->Living[Place]));
+      Dead = this->Ever.back().get();
     }
     Dead->end();
     this->Store.remove("servers/" + Dead->Id);
-    std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->Ever.push_back(std::move(Dead));
     return true;
   }
 
