--- a/include/canvaswick/Health/AnswerTimes.h
+++ b/include/canvaswick/Health/LatencyDistribution.h
@@ -1,4 +1,4 @@
-//===- AnswerTimes.h - How long good answers take ---------------*- C++ -*-===//
+//===- LatencyDistribution.h - How long good answers take -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_HEALTH_ANSWERTIMES_H
-#define CANVASWICK_HEALTH_ANSWERTIMES_H
+#ifndef CANVASWICK_HEALTH_LATENCYDISTRIBUTION_H
+#define CANVASWICK_HEALTH_LATENCYDISTRIBUTION_H
 
 #include <array>
 #include <cstddef>
@@ -23,20 +23,20 @@
 
 /// The spread of the answer times of one service. A pace is a time divided by
 /// the usual time of its route at the server's load. Not thread-safe.
-class AnswerTimes {
+class LatencyDistribution {
 public:
   /// Begins with what is usual for services at large.
-  AnswerTimes();
+  LatencyDistribution();
 
   /// Adds the pace of one good answer, above 0.
   void add(double Pace);
 
   /// Returns the part of good answers that take longer than Pace: from 1 for
-  /// none at all down to LeastSurvival.
+  /// none at all down to MinSurvival.
   double getSurvival(double Pace) const;
 
   /// Some good answers take longer than any that were seen.
-  static constexpr double LeastSurvival = 0.004;
+  static constexpr double MinSurvival = 0.004;
 
 private:
   static constexpr size_t BinCount = 32;
@@ -50,4 +50,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_HEALTH_ANSWERTIMES_H
+#endif // CANVASWICK_HEALTH_LATENCYDISTRIBUTION_H
--- a/lib/Health/OutcomeLikelihood.h
+++ b/lib/Health/OutcomeLikelihood.h
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The figures by which SpellPolicy takes an outcome as evidence. Private to
+/// The figures by which MarkovPolicy takes an outcome as evidence. Private to
 /// this library.
 ///
 //===----------------------------------------------------------------------===//
@@ -16,7 +16,7 @@
 #define CANVASWICK_LIB_HEALTH_OUTCOMELIKELIHOOD_H
 
 #include "canvaswick/Health/Outcome.h"
-#include "canvaswick/Health/SpellRates.h"
+#include "canvaswick/Health/TransitionRates.h"
 
 namespace canvaswick {
 
