--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -61,9 +61,10 @@
 static constexpr Duration AllLevelInterval = fromMillis(1000);
 
 PeerExchange::PeerExchange(const DaemonRecord &Self,
-                           const FleetRuntimeSlot &Fleet, RequestGuard &Guard,
-                           OrganisationGate &Organisations,
-                           ServerNoticeBoard &Notices, CounterTable &Counters,
+                           const FleetRuntimeSlot &Fleet,
+                           RequestQuarantine &Guard,
+                           OrganisationQuotas &Organisations,
+                           ServerNoticeTable &Notices, CounterTable &Counters,
                            PeerLink::Handler Heard,
                            const PolicySwitches &Switches)
     : Name(Self.Name), Hall(Self.Hall), Fleet(Fleet), Guard(Guard),
@@ -122,10 +123,10 @@
   std::vector<Observation> Seen;
   std::vector<InFlightReport> InFlight;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
-    const std::vector<Observation> More = Service->takeObservations();
+    const std::vector<Observation> More = Service->drainLocalObservations();
     Seen.insert(Seen.end(), More.begin(), More.end());
     if (this->Switches.isOn(Mechanism::SharedInFlight))
-      Service->addInFlight(InFlight, Now);
+      Service->appendInFlight(InFlight, Now);
   }
   this->HasNews = false;
   this->HadInFlight = !InFlight.empty();
@@ -251,14 +252,14 @@
   std::vector<HealthEstimate> Estimates;
   std::vector<HallFailureRate> Rates;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
-    const std::vector<HealthEstimate> More = Service->getNearEstimates(Now);
+    const std::vector<HealthEstimate> More = Service->getSameHallEstimates(Now);
     Estimates.insert(Estimates.end(), More.begin(), More.end());
     Rates.push_back(Service->getFailureRate(Now));
   }
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](const ServerNotices &All) {
-      return All.listLimits(PeerLink::MostLimitsBesides, Now);
+      return All.listLimitReports(PeerLink::MostLimitsBesides, Now);
     });
   this->Link.sendEstimates(std::move(Estimates), std::move(Rates),
                            std::move(Limits));
@@ -276,7 +277,7 @@
   this->Link.sendNearEstimates(std::move(Estimates));
 }
 
-bool PeerExchange::borrowRepeat(ServiceRuntime &Service, TimePoint Now) {
+bool PeerExchange::borrowRetry(ServiceRuntime &Service, TimePoint Now) {
   return this->Switches.isOn(Mechanism::RepeatLoans) &&
          this->Loans.borrow(Service, Now);
 }
@@ -286,7 +287,7 @@
                              const PeerMessage &Message, TimePoint Now) {
   for (const RepeatLoan &Loan : Message.Asked)
     for (const ServiceRuntimeRef &Service : Current.getServices())
-      if (Service->getId() == Loan.Service && Service->tryLendRepeat(Now)) {
+      if (Service->getId() == Loan.Service && Service->tryLendRetry(Now)) {
         this->Counters.add(Counter::RepeatsLent);
         this->Link.lendRepeat(Message.Source, Loan);
       }
@@ -300,8 +301,8 @@
   for (const Observation &Each : Message.Seen)
     Service.applyObservation(Each, Now);
   if (Message.InFlight && Message.Hall == this->Hall)
-    Service.takeInFlight(Message.Source, Message.Sequence, *Message.InFlight,
-                         Now);
+    Service.applyPeerInFlight(Message.Source, Message.Sequence,
+                              *Message.InFlight, Now);
   for (const HealthEstimate &Each : Message.Estimates)
     if (Message.Hall == this->Hall)
       Service.applySameHallEstimate(Each, Now);
@@ -310,8 +311,8 @@
   for (const HallFailureRate &Each : Message.Rates)
     Service.applyFailureRate(Message.Hall, Each, Now);
   for (const LimitReport &Each : Message.Limits)
-    for (const NoticeChange &Change : Service.takeLimit(Each, Now))
-      logNotice(Change, "");
+    for (const NoticeChange &Change : Service.applyPeerLimit(Each, Now))
+      logNoticeChange(Change, "");
 }
 
 /// Takes what a peer says of organisations. Any message of this hall shows that
--- a/lib/Daemon/SuspectAgent.cpp
+++ b/lib/Daemon/SuspectAgent.cpp
@@ -33,17 +33,16 @@
 static constexpr Duration ReadInterval = fromSeconds(5);
 
 SuspectAgent::SuspectAgent(const ControlContext &Context,
-                           MembershipAgent &Members, RequestGuard &Guard)
+                           MembershipAgent &Members, RequestQuarantine &Guard)
     : Context(Context), Members(Members), Guard(Guard),
       Book(
           Guard, [this] { return this->readPage(); },
           [this](const std::string &Text, const StorePosition &Expected) {
             return this->writePage(Text, Expected);
           }) {
-  Guard.setNewsListener([this](const PoisonRequestUpdate &News, TimePoint Now) {
-    this->spread(News, Now);
-  });
-  Guard.setTryClaim([this](const PoisonRequestRecord &Record) {
+  Guard.setUpdateListener([this](const PoisonRequestUpdate &News,
+                                 TimePoint Now) { this->spread(News, Now); });
+  Guard.setProbeClaim([this](const PoisonRequestRecord &Record) {
     return this->Book.claimTry(Record, readInstant());
   });
 }
@@ -103,7 +102,7 @@
   if (!Report)
     return makeCallError(Report.error());
   const PoisonRequestUpdate Taken =
-      this->Guard.takeNews(readReport(Report.value(), Now), Now);
+      this->Guard.mergeUpdate(readReport(Report.value(), Now), Now);
   if (!Taken.isEmpty())
     this->spread(Taken, Now);
   return Json::Value(Json::objectValue);
@@ -117,7 +116,7 @@
 void SuspectAgent::readNews(const Json::Value &Message, TimePoint Now) {
   const Result<SuspectReport> Report = decodeSuspects(Message);
   if (Report)
-    (void)this->Guard.takeNews(readReport(Report.value(), Now), Now);
+    (void)this->Guard.mergeUpdate(readReport(Report.value(), Now), Now);
   else
     logWarning("peer-message-refused", "what={:?}", Report.error().Message);
 }
--- a/lib/Proxy/RequestGuard.cpp
+++ b/lib/Proxy/RequestQuarantine.cpp
@@ -1,4 +1,4 @@
-//===- RequestGuard.cpp - Keeps fatal requests away from servers ----------===//
+//===- RequestQuarantine.cpp - Keeps fatal requests away from servers -----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
 #include "canvaswick/Support/Log.h"
 
 #include <fmt/format.h>
@@ -32,8 +32,8 @@
 
 /// Logs that a request is held back from now on, or has come free. The caller
 /// holds the mutex.
-void RequestGuard::logChange(RequestFingerprint Request, bool WasHeld,
-                             TimePoint Now) const {
+void RequestQuarantine::logChange(RequestFingerprint Request, bool WasHeld,
+                                  TimePoint Now) const {
   const bool IsHeld =
       this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
   if (IsHeld == WasHeld)
@@ -47,9 +47,9 @@
     logInfo("request-freed", "asks={:016x}", Request);
 }
 
-QuarantineVerdict RequestGuard::beginAsking(RequestFingerprint Request,
-                                            TimePoint Now,
-                                            PoisonRequestRecord &Record) {
+QuarantineVerdict RequestQuarantine::beginAsking(RequestFingerprint Request,
+                                                 TimePoint Now,
+                                                 PoisonRequestRecord &Record) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const QuarantineVerdict Verdict = this->Table.classify(Request, Now);
   if (Verdict != QuarantineVerdict::ProbeDue)
@@ -61,7 +61,8 @@
 }
 
 /// Asks for the try that is due, where records are kept.
-bool RequestGuard::claimTry(const PoisonRequestRecord &Record, TimePoint Now) {
+bool RequestQuarantine::claimTry(const PoisonRequestRecord &Record,
+                                 TimePoint Now) {
   const bool IsGranted = this->Claim(Record);
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Asking.erase(Record.Request);
@@ -75,7 +76,8 @@
   return true;
 }
 
-GuardAnswer RequestGuard::admit(RequestFingerprint Request, TimePoint Now) {
+QuarantineDecision RequestQuarantine::admit(RequestFingerprint Request,
+                                            TimePoint Now) {
   PoisonRequestRecord Record;
   const QuarantineVerdict Verdict = this->beginAsking(Request, Now, Record);
   if (Verdict == QuarantineVerdict::Allowed)
@@ -88,29 +90,30 @@
   return {false, false, std::max(LeastWait, this->Table.getWait(Request, Now))};
 }
 
-Duration RequestGuard::getWait(RequestFingerprint Request,
-                               TimePoint Now) const {
+Duration RequestQuarantine::getWait(RequestFingerprint Request,
+                                    TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return std::max(LeastWait, this->Table.getWait(Request, Now));
 }
 
-bool RequestGuard::isHeldBack(RequestFingerprint Request, TimePoint Now) const {
+bool RequestQuarantine::isQuarantined(RequestFingerprint Request,
+                                      TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
 }
 
-bool RequestGuard::isSuspect(RequestFingerprint Request,
-                             EndedServerId Server) const {
+bool RequestQuarantine::isSuspect(RequestFingerprint Request,
+                                  EndedServerId Server) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.isSuspect(Request, Server);
 }
 
-void RequestGuard::returnProbe(RequestFingerprint Request) {
+void RequestQuarantine::returnProbe(RequestFingerprint Request) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Table.returnProbe(Request);
 }
 
-void RequestGuard::recordEnd(RequestEnd End, TimePoint Now) {
+void RequestQuarantine::recordEnd(RequestEnd End, TimePoint Now) {
   this->Counters.add(Counter::UpstreamCutOffs);
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -125,7 +128,8 @@
     this->Listener({{End}, {}}, Now);
 }
 
-void RequestGuard::noteAnswer(RequestFingerprint Request, TimePoint Now) {
+void RequestQuarantine::recordAnswer(RequestFingerprint Request,
+                                     TimePoint Now) {
   const RequestAnswer Answer{Request, Now};
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -141,8 +145,8 @@
     this->Listener({{}, {Answer}}, Now);
 }
 
-PoisonRequestUpdate RequestGuard::takeNews(const PoisonRequestUpdate &News,
-                                           TimePoint Now) {
+PoisonRequestUpdate
+RequestQuarantine::mergeUpdate(const PoisonRequestUpdate &News, TimePoint Now) {
   PoisonRequestUpdate Taken;
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const RequestEnd &End : News.Ends) {
@@ -164,14 +168,14 @@
   return Taken;
 }
 
-PoisonRequestUpdate RequestGuard::buildUpdate(size_t MaxRows,
-                                              TimePoint Now) const {
+PoisonRequestUpdate RequestQuarantine::buildUpdate(size_t MaxRows,
+                                                   TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.buildUpdate(MaxRows, Now);
 }
 
-void RequestGuard::applyRecords(const std::vector<PoisonRequestRecord> &Records,
-                                TimePoint Now) {
+void RequestQuarantine::applyRecords(
+    const std::vector<PoisonRequestRecord> &Records, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const size_t Before = this->Table.countQuarantined();
   this->Table.applyRecords(Records, Now);
@@ -181,27 +185,27 @@
             After, Before);
 }
 
-void RequestGuard::invalidateRecords() {
+void RequestQuarantine::invalidateRecords() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Table.invalidateRecords();
 }
 
-std::vector<PoisonRequestRecord> RequestGuard::listUnrecorded() const {
+std::vector<PoisonRequestRecord> RequestQuarantine::listUnrecorded() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.listUnrecorded();
 }
 
-std::vector<RequestFingerprint> RequestGuard::listCleared() const {
+std::vector<RequestFingerprint> RequestQuarantine::listCleared() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.listCleared();
 }
 
-std::vector<PoisonRequestStatus> RequestGuard::describe() const {
+std::vector<PoisonRequestStatus> RequestQuarantine::describe() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.describe();
 }
 
-void RequestGuard::forgetOld(TimePoint Now) {
+void RequestQuarantine::forgetOld(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Table.forgetOld(Now);
 }
--- a/lib/Proxy/ServiceRepeats.cpp
+++ b/lib/Proxy/ServiceRetries.cpp
@@ -1,4 +1,4 @@
-//===- ServiceRepeats.cpp - What a service may send again, and when -------===//
+//===- ServiceRetries.cpp - What a service may send again, and when -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -33,49 +33,49 @@
     return nullptr;
   FleetRetryBudgetRef Budget;
   if (Previous)
-    Budget = Previous->FleetRepeats;
+    Budget = Previous->FleetRetries;
   if (!Budget)
     Budget.reset(new FleetRetryBudget(Identity.Repeats, Identity.Started));
   return Budget;
 }
 
-bool ServiceRuntime::tryRepeat(TimePoint Now) {
+bool ServiceRuntime::tryTakeRetry(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->FleetRepeats)
-    return this->FleetRepeats->tryTake(Now);
+  if (this->FleetRetries)
+    return this->FleetRetries->tryTake(Now);
   return this->Retries.tryTake(Now);
 }
 
-bool ServiceRuntime::tryRepeatUnrun(TimePoint Now) {
+bool ServiceRuntime::tryTakeNotRunRetry(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return !this->FleetRepeats || this->FleetRepeats->tryTake(Now);
+  return !this->FleetRetries || this->FleetRetries->tryTake(Now);
 }
 
-bool ServiceRuntime::tryLendRepeat(TimePoint Now) {
+bool ServiceRuntime::tryLendRetry(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->FleetRepeats && this->FleetRepeats->tryLend(Now);
+  return this->FleetRetries && this->FleetRetries->tryLend(Now);
 }
 
-void ServiceRuntime::borrowRepeat(TimePoint Until) {
+void ServiceRuntime::borrowRetry(TimePoint Until) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->FleetRepeats)
-    this->FleetRepeats->borrow(Until);
+  if (this->FleetRetries)
+    this->FleetRetries->borrow(Until);
 }
 
-bool ServiceRuntime::hasRepeat(TimePoint Now) const {
+bool ServiceRuntime::hasRetry(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->FleetRepeats && this->FleetRepeats->hasRoom(Now);
+  return this->FleetRetries && this->FleetRetries->hasRoom(Now);
 }
 
-void ServiceRuntime::setRepeats(const RepeatAllowance &Allowance,
-                                size_t Daemons, size_t Rank) {
+void ServiceRuntime::setRetryLimit(const RepeatAllowance &Allowance,
+                                   size_t Daemons, size_t Rank) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->FleetRepeats)
-    this->FleetRepeats->configure(Allowance, Daemons, Rank);
+  if (this->FleetRetries)
+    this->FleetRetries->configure(Allowance, Daemons, Rank);
 }
 
-Duration ServiceRuntime::getPatience(const std::string &Route,
-                                     Duration Objective) const {
+Duration ServiceRuntime::getRetryCheckDelay(const std::string &Route,
+                                            Duration Objective) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Latency.getTypicalTime(Route, Objective);
 }
@@ -91,7 +91,7 @@
     const double Factor = getQueueFactor(Loads[I], this->getServer(I).Slots);
     const Duration TypicalTime = fromSeconds(toSeconds(Alone) * Factor);
     Worths.push_back(weigh(Spells.getNewRequestProbabilities(
-        I, TypicalTime, Needs.Aim, Needs.Deadline, Now)));
+        I, TypicalTime, Needs.ObjectiveDeadline, Needs.Deadline, Now)));
   }
   return Worths;
 }
@@ -108,7 +108,7 @@
     const bool WasTried = std::find(Needs.Tried.begin(), Needs.Tried.end(),
                                     I) != Needs.Tried.end();
     // Few go far away: what is there is no reason to leave.
-    if (I == Each.Server || WasTried || !this->Selector.isNear(I) ||
+    if (I == Each.Server || WasTried || !this->Selector.isSameHall(I) ||
         this->isHeld(I, Now))
       continue;
     if (Best < 0 || Worths[I] > Worths[static_cast<size_t>(Best)])
@@ -117,9 +117,9 @@
   return Best;
 }
 
-bool ServiceRuntime::isBetterElsewhere(const Attempt &Each,
-                                       const AttemptNeeds &Needs,
-                                       TimePoint Now) const {
+bool ServiceRuntime::shouldAbandonAttempt(const Attempt &Each,
+                                          const AttemptNeeds &Needs,
+                                          TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (!Spells || !this->isOn(Mechanism::WeighedRepeats))
@@ -140,10 +140,10 @@
       toSeconds(this->Latency.getTypicalTime(Needs.Route, Needs.Objective)) *
       getQueueFactor(Spells->getInFlight().getLoad(Elsewhere, Now),
                      this->getServer(Elsewhere).Slots));
-  Silent.TimeToObjective = Needs.Aim - Now;
+  Silent.TimeToObjective = Needs.ObjectiveDeadline - Now;
   Silent.TimeToDeadline = Needs.Deadline - Now;
   Silent.RetryCost = computeRetryCost(
-      this->FleetRepeats ? this->FleetRepeats->getUsedPart(Now) : 0);
+      this->FleetRetries ? this->FleetRetries->getUsedPart(Now) : 0);
   return shouldRetryElsewhere(Silent, Spells->getLatencyDistribution());
 }
 
--- a/lib/Routing/ServerSelector.cpp
+++ b/lib/Routing/ServerSelector.cpp
@@ -78,8 +78,8 @@
   double Weight = Shares[Server] * this->getReadiness(Server, Now);
   if (!Rules.IsLoadInShares)
     Weight *= State.Config.Slots;
-  if (!State.Config.IsNear)
-    Weight *= Rules.FarShare;
+  if (!State.Config.IsSameHall)
+    Weight *= Rules.RemoteWeight;
   return Weight;
 }
 
@@ -88,7 +88,7 @@
   double Load = State.InFlight + 1;
   if (Now - State.ReportedAt <= ReportLife)
     Load += State.ReportedLoad * ReportWeight;
-  return Load / State.Config.Slots * (State.Config.IsNear ? 1 : FarFactor);
+  return Load / State.Config.Slots * (State.Config.IsSameHall ? 1 : FarFactor);
 }
 
 static bool contains(const std::vector<size_t> &List, size_t Value) {
