--- a/include/canvaswick/Daemon/EvidenceAgent.h
+++ b/include/canvaswick/Daemon/EvidenceAgent.h
@@ -64,8 +64,8 @@
 bool decodeReport(const Json::Value &Value, EvidenceReport &Report);
 
 /// Writes a digest into a message, and reads it.
-Json::Value encodeDigest(const EvidenceSummary &Digest);
-bool decodeDigest(const Json::Value &Value, EvidenceSummary &Digest);
+Json::Value encodeSummary(const EvidenceSummary &Digest);
+bool decodeSummary(const Json::Value &Value, EvidenceSummary &Digest);
 
 } // namespace canvaswick
 
--- a/lib/Daemon/EvidenceAgent.cpp
+++ b/lib/Daemon/EvidenceAgent.cpp
@@ -69,7 +69,7 @@
   return true;
 }
 
-Json::Value encodeDigest(const EvidenceSummary &Digest) {
+Json::Value encodeSummary(const EvidenceSummary &Digest) {
   Json::Value Value;
   Value["s"] = Digest.Service;
   Value["o"] = Digest.Owner;
@@ -88,7 +88,7 @@
   return Value;
 }
 
-bool decodeDigest(const Json::Value &Value, EvidenceSummary &Digest) {
+bool decodeSummary(const Json::Value &Value, EvidenceSummary &Digest) {
   if (!Value.isObject() || !Value["s"].isString() || !Value["o"].isString() ||
       !Value["r"].isUInt() || !Value["n"].isUInt64() || !Value["e"].isArray())
     return false;
@@ -271,7 +271,7 @@
     this->Context.Calls.trySubmit([this, Peer = *Peer, Made = Made] {
       Json::Value Params;
       for (const EvidenceSummary &Digest : Made)
-        Params["digests"].append(encodeDigest(Digest));
+        Params["digests"].append(encodeSummary(Digest));
       (void)this->Context.Caller.call(Peer.Control, "evidence.digest", Params,
                                       ReportTimeout);
     });
@@ -288,7 +288,7 @@
   Json::Value Answer(Json::objectValue);
   for (const EvidenceSummary &Digest :
        this->takeReports(Reports, readSteadyClock()))
-    Answer["digests"].append(encodeDigest(Digest));
+    Answer["digests"].append(encodeSummary(Digest));
   return Answer;
 }
 
@@ -296,7 +296,7 @@
   Digests Taken;
   for (const Json::Value &Value : Params["digests"]) {
     EvidenceSummary Digest;
-    if (decodeDigest(Value, Digest))
+    if (decodeSummary(Value, Digest))
       Taken.push_back(std::move(Digest));
   }
   this->takeDigests(Taken, readSteadyClock());
--- a/lib/Daemon/OperatorApi.cpp
+++ b/lib/Daemon/OperatorApi.cpp
@@ -12,7 +12,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Daemon/OperatorApi.h"
-#include "CheckAnswers.h"
+#include "HealthEndpoints.h"
 #include "canvaswick/Metrics/BurnReport.h"
 
 #include <fmt/format.h>
@@ -157,8 +157,9 @@
 
 std::vector<QuotaStatus> OperatorApi::listOrganisations() const {
   const TimePoint Now = readSteadyClock();
-  return this->Organisations.with(
-      [Now](FleetQuota &All) { return All.describe(MostOrganisations, Now); });
+  return this->Organisations.with([Now](FleetQuota &All) {
+    return All.describe(MaxListedOrganisations, Now);
+  });
 }
 
 Json::Value OperatorApi::answerOrganisations() const {
@@ -187,7 +188,7 @@
                       this->Config.getConfirmedAgeMillis());
   Text +=
       fmt::format("canvaswick_members {}\n", this->Members.getWorking().size());
-  Text += formatSuspects(this->Guard.describe());
+  Text += formatPoisonRequests(this->Guard.describe());
   Text += formatOrganisations(this->listOrganisations());
   Text += formatNotices(this->Context.Notices.with(
       [](const ServerNotices &All) { return All.count(readSteadyClock()); }));
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -71,8 +71,8 @@
       Organisations(Organisations), Notices(Notices), Counters(Counters),
       Heard(std::move(Heard)), Switches(Switches), Rights(MostRights),
       Loans(std::random_device()(), Counters,
-            [this](const RepeatLoan &Loan, bool AsksFar) {
-              this->Link.askForRepeat(Loan, AsksFar);
+            [this](const RetryLoan &Loan, bool AsksRemoteHall) {
+              this->Link.sendLoanRequest(Loan, AsksRemoteHall);
             }),
       Link(Self, static_cast<uint64_t>(readCalendarMillis()), Counters,
            [this](const PeerMessage &Message) { this->takeMessage(Message); }) {
@@ -101,13 +101,13 @@
   this->IsWatching = State.IsWatching;
   this->Link.setStoreState(State);
   if (IsNews)
-    this->Link.sendWatcherNews(Now);
+    this->Link.sendStoreState(Now);
 }
 
 /// Takes the right to one message now. The caller holds NewsMutex.
 bool PeerExchange::takeRight(TimePoint Now) {
-  const double Each =
-      toSeconds(TimeOfMessage) * static_cast<double>(this->Link.countNear());
+  const double Each = toSeconds(TimeOfMessage) *
+                      static_cast<double>(this->Link.countHallDaemons());
   const double Grown = toSeconds(Now - this->RightsAt) / Each;
   this->Rights = std::min(MostRights, this->Rights + std::max(0.0, Grown));
   this->RightsAt = std::max(this->RightsAt, Now);
@@ -120,32 +120,32 @@
 /// Sends what was seen since the last message and all that is in flight. The
 /// caller holds NewsMutex, so that messages leave in the order of their counts.
 void PeerExchange::sendNews(const FleetRuntime &Current, TimePoint Now) {
-  std::vector<Observation> Seen;
+  std::vector<Observation> Observations;
   std::vector<InFlightReport> InFlight;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
     const std::vector<Observation> More = Service->drainLocalObservations();
-    Seen.insert(Seen.end(), More.begin(), More.end());
+    Observations.insert(Observations.end(), More.begin(), More.end());
     if (this->Switches.isOn(Mechanism::SharedInFlight))
       Service->appendInFlight(InFlight, Now);
   }
   this->HasNews = false;
   this->HadInFlight = !InFlight.empty();
   this->NewsAt = Now;
-  std::vector<QuotaUsage> Levels =
+  std::vector<QuotaUsage> Usages =
       this->Organisations.with([Now](FleetQuota &All) {
-        return All.takeNews(PeerLink::MostLevelsBesides, Now);
+        return All.takeNews(PeerLink::MaxPiggybackedUsages, Now);
       });
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](ServerNotices &All) {
-      return All.takeNews(PeerLink::MostLimitsBesides, Now);
+      return All.takeNews(PeerLink::MaxPiggybackedLimits, Now);
     });
   if (this->Switches.isOn(Mechanism::PooledObservations))
-    this->Link.sendObservations(std::move(Seen), InFlight, std::move(Levels),
-                                std::move(Limits));
+    this->Link.sendObservations(std::move(Observations), InFlight,
+                                std::move(Usages), std::move(Limits));
 }
 
-void PeerExchange::tellChange(TimePoint Now) {
+void PeerExchange::notifyRequestChange(TimePoint Now) {
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
@@ -202,7 +202,7 @@
       this->sendNews(Current, Now);
   }
   if (const auto News = this->takeHallNews(Now))
-    this->Link.sendHallLevels(*News);
+    this->Link.sendHallUsages(*News);
 }
 
 void PeerExchange::runRound(const FleetRuntime &Current, Duration Interval,
@@ -211,7 +211,7 @@
   this->tellOrganisations(Current, Now);
   if (this->IsWatching && Now - this->WatcherNewsAt >= WatcherInterval) {
     this->WatcherNewsAt = Now;
-    this->Link.sendWatcherNews(Now);
+    this->Link.sendStoreState(Now);
   }
   if (this->isMyTurn(SuspectInterval, Interval))
     this->retellSuspects(Now);
@@ -223,9 +223,9 @@
     this->sendUsedEstimates(Current, Now);
 }
 
-void PeerExchange::tellSuspects(const PoisonRequestUpdate &News,
-                                TimePoint Now) {
-  this->Link.sendSuspects(makeReport(News, Now));
+void PeerExchange::reportPoisonRequests(const PoisonRequestUpdate &News,
+                                        TimePoint Now) {
+  this->Link.sendPoisonReport(makePoisonReport(News, Now));
 }
 
 /// Says again what the hall knows of requests under which servers ended, for
@@ -234,14 +234,14 @@
   const PoisonRequestUpdate News =
       this->Guard.buildUpdate(MostSuspectRows, Now);
   if (!News.isEmpty())
-    this->tellSuspects(News, Now);
+    this->reportPoisonRequests(News, Now);
 }
 
 /// Draws whether this daemon is the one of its hall to speak in this round, so
 /// that together they do once in Wanted. All think nearly the same.
 bool PeerExchange::isMyTurn(Duration Wanted, Duration Interval) {
   const double Rounds = toSeconds(Wanted) / toSeconds(Interval);
-  const double Daemons = static_cast<double>(this->Link.countNear());
+  const double Daemons = static_cast<double>(this->Link.countHallDaemons());
   std::bernoulli_distribution IsDue(std::min(1.0, 1 / (Rounds * Daemons)));
   return IsDue(this->Random);
 }
@@ -259,7 +259,7 @@
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](const ServerNotices &All) {
-      return All.listLimitReports(PeerLink::MostLimitsBesides, Now);
+      return All.listLimitReports(PeerLink::MaxPiggybackedLimits, Now);
     });
   this->Link.sendEstimates(std::move(Estimates), std::move(Rates),
                            std::move(Limits));
@@ -274,7 +274,7 @@
     const std::vector<HealthEstimate> More = Service->getUsedEstimates(Now);
     Estimates.insert(Estimates.end(), More.begin(), More.end());
   }
-  this->Link.sendNearEstimates(std::move(Estimates));
+  this->Link.sendLocalEstimates(std::move(Estimates));
 }
 
 bool PeerExchange::borrowRetry(ServiceRuntime &Service, TimePoint Now) {
@@ -285,20 +285,20 @@
 /// Lends to a peer that asks, and takes what one lends.
 void PeerExchange::takeLoans(const FleetRuntime &Current,
                              const PeerMessage &Message, TimePoint Now) {
-  for (const RepeatLoan &Loan : Message.Asked)
+  for (const RetryLoan &Loan : Message.LoanRequests)
     for (const ServiceRuntimeRef &Service : Current.getServices())
       if (Service->getId() == Loan.Service && Service->tryLendRetry(Now)) {
         this->Counters.add(Counter::RepeatsLent);
-        this->Link.lendRepeat(Message.Source, Loan);
+        this->Link.sendLoanGrant(Message.Source, Loan);
       }
-  for (const RepeatLoan &Loan : Message.Lent)
-    this->Loans.takeLent(Loan);
+  for (const RetryLoan &Loan : Message.LoanGrants)
+    this->Loans.handleGrant(Loan);
 }
 
 /// Takes what a peer saw and thinks, for one service.
 void PeerExchange::takeEvidence(ServiceRuntime &Service,
                                 const PeerMessage &Message, TimePoint Now) {
-  for (const Observation &Each : Message.Seen)
+  for (const Observation &Each : Message.Observations)
     Service.applyObservation(Each, Now);
   if (Message.InFlight && Message.Hall == this->Hall)
     Service.applyPeerInFlight(Message.Source, Message.Sequence,
@@ -320,9 +320,9 @@
 void PeerExchange::takeLevels(const PeerMessage &Message, TimePoint Now) {
   this->Organisations.with([&](FleetQuota &All) {
     if (Message.Hall == this->Hall)
-      All.applyPeerUsage(Message.Source, Message.Levels, Now);
-    else if (Message.HallLevels)
-      All.applyHallUsage(Message.Hall, Message.Source, *Message.HallLevels,
+      All.applyPeerUsage(Message.Source, Message.Usages, Now);
+    else if (Message.HallUsages)
+      All.applyHallUsage(Message.Hall, Message.Source, *Message.HallUsages,
                          Now);
   });
 }
@@ -333,8 +333,8 @@
     this->Heard(Message);
   const TimePoint Now = readSteadyClock();
   this->takeLevels(Message, Now);
-  if (!Message.Suspects.isEmpty())
-    this->Guard.takeNews(readReport(Message.Suspects, Now), Now);
+  if (!Message.PoisonRequests.isEmpty())
+    this->Guard.takeNews(readPoisonReport(Message.PoisonRequests, Now), Now);
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
--- a/lib/Daemon/AllowanceWire.cpp
+++ b/lib/Daemon/QuotaEncoding.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceWire.cpp - Levels of organisations in messages ------------===//
+//===- QuotaEncoding.cpp - Levels of organisations in messages ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/AllowanceWire.h"
+#include "canvaswick/Daemon/QuotaEncoding.h"
 #include "HexNumber.h"
 
 #include <fmt/format.h>
@@ -25,9 +25,9 @@
 static constexpr double AskedParts = 100;
 static constexpr double MostAsked = 1e9;
 
-Json::Value encodeLevels(const std::vector<QuotaUsage> &Levels) {
+Json::Value encodeUsages(const std::vector<QuotaUsage> &Usages) {
   Json::Value Rows(Json::arrayValue);
-  for (const QuotaUsage &Each : Levels) {
+  for (const QuotaUsage &Each : Usages) {
     Json::Value Row(Json::arrayValue);
     Row.append(fmt::format("{:x}", Each.Organisation));
     Row.append(
@@ -38,7 +38,7 @@
   return Rows;
 }
 
-bool decodeLevel(const Json::Value &Row, QuotaUsage &Level) {
+bool decodeUsage(const Json::Value &Row, QuotaUsage &Level) {
   if (!Row.isArray() || Row.size() != 3 || !Row[1].isInt64() ||
       !Row[2].isInt64())
     return false;
@@ -48,14 +48,14 @@
          decodeHex(Row[0], Level.Organisation);
 }
 
-bool decodeLevels(const Json::Value &Rows, std::vector<QuotaUsage> &Levels) {
+bool decodeUsages(const Json::Value &Rows, std::vector<QuotaUsage> &Usages) {
   if (!Rows.isArray())
     return false;
   for (const Json::Value &Row : Rows) {
     QuotaUsage Level;
-    if (!decodeLevel(Row, Level))
+    if (!decodeUsage(Row, Level))
       return false;
-    Levels.push_back(Level);
+    Usages.push_back(Level);
   }
   return true;
 }
--- a/unittests/Daemon/SuspectNewsTest.cpp
+++ b/unittests/Daemon/PoisonRequestSpreadTest.cpp
@@ -1,4 +1,4 @@
-//===- SuspectNewsTest.cpp - How news of fatal requests travel ------------===//
+//===- PoisonRequestSpreadTest.cpp - How news of fatal requests travel ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/SuspectReport.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -89,7 +89,7 @@
     const QuarantineVerdict Verdict = Table.classify(Fatal, this->Now);
     if (Verdict == QuarantineVerdict::Quarantined)
       return;
-    if (Verdict == QuarantineVerdict::ProbeDue && !this->claimTry(Table))
+    if (Verdict == QuarantineVerdict::ProbeDue && !this->claimProbe(Table))
       return;
     ++this->Ends;
     if (this->Ends == 3)
@@ -103,7 +103,7 @@
     this->tell(Daemon, {{End}, {}});
   }
 
-  bool claimTry(PoisonRequestTable &Table) {
+  bool claimProbe(PoisonRequestTable &Table) {
     const PoisonRequestRecord Record = Table.getRecord(Fatal);
     if (!this->Setup.HasStore || this->StoreTries > Record.Probes) {
       Table.postponeProbe(Fatal, this->Now);
@@ -116,7 +116,7 @@
 
   /// Tells the hall of a daemon, and one daemon of each other, which passes on.
   void tell(size_t Daemon, const PoisonRequestUpdate &News) {
-    const SuspectReport Report = makeReport(News, this->Now);
+    const PoisonRequestReport Report = makePoisonReport(News, this->Now);
     for (size_t Hall = 0; Hall < this->Setup.Halls; ++Hall) {
       const bool IsOwn = Hall == this->hallOf(Daemon);
       if (!IsOwn && (this->Setup.AreCutOff || this->isLost()))
@@ -127,8 +127,8 @@
     }
   }
 
-  void hear(size_t Daemon, const SuspectReport &Report) {
-    const PoisonRequestUpdate News = readReport(Report, this->Now);
+  void hear(size_t Daemon, const PoisonRequestReport &Report) {
+    const PoisonRequestUpdate News = readPoisonReport(Report, this->Now);
     for (const RequestEnd &End : News.Ends)
       this->Tables[Daemon].recordEnd(End, false, this->Now);
     for (const RequestAnswer &Answer : News.Answers)
