--- a/include/canvaswick/Routing/ServerNotices.h
+++ b/include/canvaswick/Routing/ServerNotices.h
@@ -36,7 +36,7 @@
   std::optional<double> RequestsPerSecond;
   bool IsLeaving = false;
   /// How long it wants nothing from this daemon.
-  std::optional<Duration> Rest;
+  std::optional<Duration> Backoff;
   /// Whether a limit that it no longer names is taken back. A failure need not
   /// name it.
   bool MayEndLimit = false;
@@ -44,7 +44,7 @@
   bool IsMalformed = false;
 
   bool isEmpty() const {
-    return !this->RequestsPerSecond && !this->IsLeaving && !this->Rest &&
+    return !this->RequestsPerSecond && !this->IsLeaving && !this->Backoff &&
            !this->IsMalformed;
   }
 };
@@ -59,7 +59,7 @@
 };
 
 /// What a server can say of itself.
-enum class NoticeKind : uint8_t { Limit, Leaving, Rest, Malformed };
+enum class NoticeKind : uint8_t { Limit, Leaving, Backoff, Malformed };
 
 /// Returns the name of a kind as logs print it.
 const char *getName(NoticeKind Kind);
--- a/include/canvaswick/Routing/ServerSelector.h
+++ b/include/canvaswick/Routing/ServerSelector.h
@@ -34,10 +34,10 @@
 struct SelectableServer {
   int Slots = 1;
   /// Requests that this daemon may have at the server at once.
-  int Limit = 1;
+  int ConcurrencyLimit = 1;
   bool IsSameHall = true;
   /// When the server was first seen; it gets its full share after ColdStart.
-  TimePoint Since{};
+  TimePoint FirstSeen{};
 };
 
 /// How a choice weighs distance and load.
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -133,12 +133,12 @@
   this->NewsAt = Now;
   std::vector<QuotaUsage> Usages =
       this->Organisations.with([Now](FleetQuota &All) {
-        return All.takeNews(PeerLink::MaxPiggybackedUsages, Now);
+        return All.drainUsageChanges(PeerLink::MaxPiggybackedUsages, Now);
       });
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](ServerNotices &All) {
-      return All.takeNews(PeerLink::MaxPiggybackedLimits, Now);
+      return All.drainLimitReports(PeerLink::MaxPiggybackedLimits, Now);
     });
   if (this->Switches.isOn(Mechanism::PooledObservations))
     this->Link.sendObservations(std::move(Observations), InFlight,
@@ -334,7 +334,7 @@
   const TimePoint Now = readSteadyClock();
   this->takeLevels(Message, Now);
   if (!Message.PoisonRequests.isEmpty())
-    this->Guard.takeNews(readPoisonReport(Message.PoisonRequests, Now), Now);
+    this->Guard.mergeUpdate(readPoisonReport(Message.PoisonRequests, Now), Now);
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -233,7 +233,7 @@
     return Counter::LimitsHeard;
   case NoticeKind::Leaving:
     return Counter::LeavingsHeard;
-  case NoticeKind::Rest:
+  case NoticeKind::Backoff:
     return Counter::RestsHeard;
   case NoticeKind::Malformed:
     return Counter::NoticesMisread;
--- a/lib/Proxy/ServerNoticeParser.cpp
+++ b/lib/Proxy/ServerNoticeParser.cpp
@@ -105,7 +105,7 @@
       !Names.ServerLeaving.empty() &&
       Response.get_header_value(Names.ServerLeaving) == LeavingValue;
   if (Response.status == UnavailableStatus)
-    Notice.Rest = readRest(Response, CalendarMillis, Notice.IsMalformed);
+    Notice.Backoff = readRest(Response, CalendarMillis, Notice.IsMalformed);
   // A limit that was named and could not be read is not taken back, nor by an
   // answer that may not be the server's own.
   const bool IsProved =
--- a/lib/Proxy/ServiceNotices.cpp
+++ b/lib/Proxy/ServiceNotices.cpp
@@ -37,7 +37,7 @@
 std::vector<NoticeChange>
 ServiceRuntime::handleNotice(Attempt &From, const ServerNotice &Notice,
                              TimePoint Now) {
-  From.HasBackoffRequest = Notice.Rest.has_value();
+  From.HasBackoffRequest = Notice.Backoff.has_value();
   if (Notice.isEmpty() && this->Notices->isEmpty())
     return {};
   std::vector<NoticeChange> Changes =
@@ -126,7 +126,7 @@
     return ShareReason::Limited;
   case NoticeKind::Leaving:
     return ShareReason::Leaving;
-  case NoticeKind::Rest:
+  case NoticeKind::Backoff:
     return ShareReason::Resting;
   case NoticeKind::Malformed:
     break;
--- a/lib/Proxy/ServiceRuntime.cpp
+++ b/lib/Proxy/ServiceRuntime.cpp
@@ -159,13 +159,14 @@
     const ServerConfig &Server = this->getServer(I);
     SelectableServer Entry;
     Entry.Slots = Server.Slots;
-    Entry.Limit = std::min(Server.Slots, this->Subset.Connections[I]);
+    Entry.ConcurrencyLimit =
+        std::min(Server.Slots, this->Subset.Connections[I]);
     Entry.IsSameHall = Server.Hall == Identity.Hall;
     // Only a server that was added to a running service is a cold one.
     const bool IsNew = Previous && Known.count(Server.Name) == 0;
-    Entry.Since = IsNew ? Now : Now - fromMillis(this->Config.ColdStartMs);
+    Entry.FirstSeen = IsNew ? Now : Now - fromMillis(this->Config.ColdStartMs);
     if (Server.WarmAt != TimePoint{})
-      Entry.Since = Server.WarmAt - fromMillis(this->Config.ColdStartMs);
+      Entry.FirstSeen = Server.WarmAt - fromMillis(this->Config.ColdStartMs);
     Servers.push_back(Entry);
   }
   return Servers;
--- a/lib/Routing/ServerNotices.cpp
+++ b/lib/Routing/ServerNotices.cpp
@@ -51,7 +51,7 @@
 static constexpr EnumNames<NoticeKind, 4> NoticeKindNames = {{
     {NoticeKind::Limit, "limit"},
     {NoticeKind::Leaving, "leaving"},
-    {NoticeKind::Rest, "rest"},
+    {NoticeKind::Backoff, "rest"},
     {NoticeKind::Malformed, "misread"},
 }};
 
@@ -137,8 +137,8 @@
                              Changes &All) {
   const TimePoint Until = Now + std::clamp(Rest, Duration::zero(), MostRest);
   if (!isAhead(Of.RestUntil, Now))
-    All.push_back(
-        {Of.Key, NoticeKind::Rest, NoticeStep::Begun, toSeconds(Until - Now)});
+    All.push_back({Of.Key, NoticeKind::Backoff, NoticeStep::Begun,
+                   toSeconds(Until - Now)});
   // Each wish holds to its end, whatever a later one says.
   Of.RestUntil = Of.RestUntil ? std::max(*Of.RestUntil, Until) : Until;
 }
@@ -160,8 +160,8 @@
   this->noteLimit(Of, Notice, AskedAt, Now, All);
   if (Notice.IsLeaving)
     noteLeaving(Of, Now, All);
-  if (Notice.Rest)
-    noteRest(Of, *Notice.Rest, Now, All);
+  if (Notice.Backoff)
+    noteRest(Of, *Notice.Backoff, Now, All);
   if (Notice.IsMalformed)
     noteMisread(Of, Now, All);
   return All;
@@ -261,7 +261,7 @@
   if (isAhead(Of.LeavingUntil, Now))
     return NoticeKind::Leaving;
   if (isAhead(Of.RestUntil, Now))
-    return NoticeKind::Rest;
+    return NoticeKind::Backoff;
   if (Of.Limit)
     return NoticeKind::Limit;
   return std::nullopt;
@@ -278,7 +278,7 @@
     Of.LeavingUntil.reset();
   }
   if (Of.RestUntil && !isAhead(Of.RestUntil, Now)) {
-    All.push_back({Of.Key, NoticeKind::Rest, NoticeStep::Ended, 0});
+    All.push_back({Of.Key, NoticeKind::Backoff, NoticeStep::Ended, 0});
     Of.RestUntil.reset();
   }
   if (!isAhead(Of.MisreadUntil, Now))
--- a/lib/Routing/ServerSelector.cpp
+++ b/lib/Routing/ServerSelector.cpp
@@ -62,7 +62,7 @@
   const double Ease = this->getEase(State, Now);
   if (this->ColdStart <= Duration::zero())
     return Ease;
-  const double Age = toSeconds(Now - State.Config.Since);
+  const double Age = toSeconds(Now - State.Config.FirstSeen);
   const double Warmth =
       std::clamp(Age / toSeconds(this->ColdStart), LeastColdShare, 1.0);
   return Ease * Warmth;
@@ -73,7 +73,7 @@
                                  TimePoint Now,
                                  const SelectionRules &Rules) const {
   const ServerState &State = this->Servers[Server];
-  if (State.InFlight >= State.Config.Limit)
+  if (State.InFlight >= State.Config.ConcurrencyLimit)
     return 0;
   double Weight = Shares[Server] * this->getReadiness(Server, Now);
   if (!Rules.IsLoadInShares)
@@ -167,7 +167,7 @@
 }
 
 void ServerSelector::restartColdStart(size_t Server, TimePoint Now) {
-  this->Servers[Server].Config.Since = Now;
+  this->Servers[Server].Config.FirstSeen = Now;
 }
 
 int ServerSelector::countInFlight(size_t Server) const {
--- a/unittests/Proxy/ServerNoticeParserTest.cpp
+++ b/unittests/Proxy/ServerNoticeParserTest.cpp
@@ -57,15 +57,15 @@
     CHECK_MESSAGE(!parseRetryAfter(Text, Calendar), Text);
   const ServerNotice Notice =
       read(503, {{"Retry-After", "99999999999999999999"}});
-  CHECK(!Notice.Rest);
+  CHECK(!Notice.Backoff);
   CHECK(Notice.IsMalformed);
 }
 
 TEST_CASE("only an answer that says the server is away asks for rest") {
-  CHECK(read(503, {{"Retry-After", "3"}}).Rest == fromSeconds(3));
-  CHECK(!read(503, {{"Retry-After", "0"}}).Rest);
+  CHECK(read(503, {{"Retry-After", "3"}}).Backoff == fromSeconds(3));
+  CHECK(!read(503, {{"Retry-After", "0"}}).Backoff);
   for (const int Status : {200, 429, 500, 502, 504})
-    CHECK(!read(Status, {{"Retry-After", "3"}}).Rest);
+    CHECK(!read(Status, {{"Retry-After", "3"}}).Backoff);
 }
 
 TEST_CASE("any answer names a limit and says that the server leaves") {
--- a/unittests/Routing/ServerNoticesTest.cpp
+++ b/unittests/Routing/ServerNoticesTest.cpp
@@ -29,7 +29,7 @@
 
 static ServerNotice askRest(double Seconds) {
   ServerNotice Notice;
-  Notice.Rest = fromSeconds(Seconds);
+  Notice.Backoff = fromSeconds(Seconds);
   return Notice;
 }
 
@@ -81,11 +81,11 @@
   const TimePoint Later = Begin + fromSeconds(1);
   CHECK(Notices.recordNotice(Server, askRest(0.5), Later, Later).empty());
   CHECK(Notices.getActiveKind(7, Begin + fromSeconds(2.99)) ==
-        NoticeKind::Rest);
+        NoticeKind::Backoff);
   CHECK(!Notices.getActiveKind(7, Begin + fromSeconds(3)));
   const auto Ended = Notices.forgetOld(Begin + fromSeconds(3));
   REQUIRE(Ended.size() == 1);
-  CHECK(Ended[0].Kind == NoticeKind::Rest);
+  CHECK(Ended[0].Kind == NoticeKind::Backoff);
   CHECK(Notices.isEmpty());
 }
 
--- a/unittests/ServerRest/ServerRestTest.cpp
+++ b/unittests/ServerRest/ServerRestTest.cpp
@@ -24,7 +24,7 @@
 
 static ServerNotice askRest(double Seconds) {
   ServerNotice Notice;
-  Notice.Rest = fromSeconds(Seconds);
+  Notice.Backoff = fromSeconds(Seconds);
   return Notice;
 }
 
