--- a/unittests/EndingRequest/EndingRequestTest.cpp
+++ b/unittests/EndingRequest/EndingRequestTest.cpp
@@ -31,7 +31,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "MortalServers.h"
-#include "PlatformAdapter/HallBench.h"
+#include "PlatformAdapter/HallFixture.h"
 #include "canvaswick/Daemon/SuspectReport.h"
 
 #include <doctest/doctest.h>
@@ -64,8 +64,8 @@
   /// Asks the next daemon in turn.
   ExchangeResult askNext(const std::string &Method, const std::string &Target) {
     const Member &Each = *this->Members[this->Turn++ % this->Members.size()];
-    return this->askAt(Each.Config.Callers, Method, Target,
-                       Method == "POST" ? "order" : "");
+    return this->sendRequestTo(Each.Config.Callers, Method, Target,
+                               Method == "POST" ? "order" : "");
   }
 
   /// Asks for what ends servers as long as AskingTime. Returns the last answer.
--- a/unittests/EndingRequest/MortalServers.h
+++ b/unittests/EndingRequest/MortalServers.h
@@ -16,7 +16,7 @@
 #ifndef CANVASWICK_UNITTESTS_ENDINGREQUEST_MORTALSERVERS_H
 #define CANVASWICK_UNITTESTS_ENDINGREQUEST_MORTALSERVERS_H
 
-#include "PlatformAdapter/PlatformBench.h"
+#include "PlatformAdapter/PlatformFixture.h"
 
 #include <memory>
 #include <string>
--- a/unittests/FleetStart/FleetStartTest.cpp
+++ b/unittests/FleetStart/FleetStartTest.cpp
@@ -22,8 +22,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/PlatformBench.h"
-#include "platform/CopyKeeper.h"
+#include "PlatformAdapter/PlatformFixture.h"
+#include "platform/SnapshotWriter.h"
 
 #include <doctest/doctest.h>
 
@@ -45,7 +45,7 @@
 namespace {
 
 /// A hall whose daemons come and go together.
-struct Fleet : Surroundings {
+struct Fleet : PlatformFixture {
   Fleet() {
     this->Store.setPageItems(500);
     this->Store.setFaults({.SlowMs = StoreMillis});
@@ -90,7 +90,7 @@
   }
 
   bool serves(const DaemonConfig &Config, const std::string &Target) {
-    return this->askAt(Config.Callers, "GET", Target).Status == 200;
+    return this->sendRequestTo(Config.Callers, "GET", Target).Status == 200;
   }
 
   /// Waits until the last Count daemons serve a path.
@@ -103,7 +103,7 @@
   void waitForCopy() {
     this->waitFor([this] {
       const Result<ItemChanges> Copy =
-          decodeCopy(this->Store.peek("canvaswick/copy"));
+          decodeSnapshot(this->Store.peek("canvaswick/copy"));
       return Copy &&
              Copy.value().Items.size() == SilentServers + 3 + DaemonCount;
     });
@@ -121,20 +121,20 @@
   Under.waitUntilServed(DaemonCount, "/x/1");
   // The first to know the others writes the copy some seconds later.
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  const double First = Under.Store.countPricedCalls() / DaemonCount;
+  const double First = Under.Store.sumCallCosts() / DaemonCount;
   MESSAGE("first start: ", First, " calls each");
   CHECK(First < 4.5);
   Under.waitForCopy();
   Under.losePower();
 
-  const double Before = Under.Store.countPricedCalls();
+  const double Before = Under.Store.sumCallCosts();
   const TimePoint Began = readSteadyClock();
   Under.start();
   Under.waitUntilServed(DaemonCount, "/x/1");
   MESSAGE("served by all ", toMillis(readSteadyClock() - Began),
           " ms after the first began to start again");
   std::this_thread::sleep_for(std::chrono::seconds(1));
-  const double Second = (Under.Store.countPricedCalls() - Before) / DaemonCount;
+  const double Second = (Under.Store.sumCallCosts() - Before) / DaemonCount;
   MESSAGE("second start: ", Second, " calls each");
   CHECK(Second < 1);
   // A change reaches those that have never asked the store themselves.
@@ -172,10 +172,10 @@
   Under.Store.setFaults({.IsDown = true});
   // All have noticed, and wait longest.
   std::this_thread::sleep_for(std::chrono::seconds(5));
-  const double Before = Under.Store.countPricedCalls();
+  const double Before = Under.Store.sumCallCosts();
   const TimePoint Began = readSteadyClock();
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  const double Rate = (Under.Store.countPricedCalls() - Before) /
+  const double Rate = (Under.Store.sumCallCosts() - Before) /
                       toSeconds(readSteadyClock() - Began);
   MESSAGE("calls a second of ", DaemonCount, " daemons: ", Rate);
   // 30 by the waits; 82 before, and 44 while each of them wrote the copy.
--- a/unittests/Lifetimes/LifetimesTest.cpp
+++ b/unittests/Lifetimes/LifetimesTest.cpp
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/PlatformBench.h"
+#include "PlatformAdapter/PlatformFixture.h"
 #include "platform/FleetView.h"
 
 #include <doctest/doctest.h>
@@ -130,18 +130,18 @@
 
 TEST_CASE("what was in flight at one life is not run by the next, and all else "
           "goes there") {
-  Bench Under;
+  DaemonFixture Under;
   Under.writeConfig(2);
-  const uint16_t Port = Surroundings::findFreePort();
+  const uint16_t Port = PlatformFixture::findFreePort();
   auto First = std::make_unique<Life>(1000, Port);
   Under.Store.put("servers/i-1", First->makeEntry());
-  Under.waitFor([&] { return Under.ask("GET", "/x/1").Status == 200; });
-  CHECK(Under.ask("GET", "/x/1").Body == "1000");
+  Under.waitFor([&] { return Under.sendRequest("GET", "/x/1").Status == 200; });
+  CHECK(Under.sendRequest("GET", "/x/1").Body == "1000");
   First->Runs = 0;
 
   ExchangeResult InFlight;
   std::thread Caller(
-      [&] { InFlight = Under.ask("POST", "/pay/slow", "order"); });
+      [&] { InFlight = Under.sendRequest("POST", "/pay/slow", "order"); });
   Under.waitFor([&] { return First->Runs == 1; });
   First->Server.stopGracefully(readSteadyClock() + fromSeconds(1));
   Caller.join();
@@ -149,9 +149,9 @@
   Under.Store.put("servers/i-1", Second->makeEntry());
   CHECK(InFlight.Status == 502);
 
-  Under.waitFor([&] { return Under.ask("GET", "/x/1").Status == 200; });
-  CHECK(Under.ask("GET", "/x/1").Body == "2000");
-  CHECK(Under.ask("POST", "/pay/1", "order").Body == "2000");
+  Under.waitFor([&] { return Under.sendRequest("GET", "/x/1").Status == 200; });
+  CHECK(Under.sendRequest("GET", "/x/1").Body == "2000");
+  CHECK(Under.sendRequest("POST", "/pay/1", "order").Body == "2000");
   const std::string Metrics = Under.readMetrics();
   CHECK(Metrics.find("server=\"i-1@7d0\"") != std::string::npos);
   CHECK(Metrics.find("server=\"i-1@3e8\"") == std::string::npos);
--- a/unittests/PlannedStop/PlannedStopTest.cpp
+++ b/unittests/PlannedStop/PlannedStopTest.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/PlatformBench.h"
+#include "PlatformAdapter/PlatformFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -20,13 +20,13 @@
 using namespace canvaswick::platform;
 
 TEST_CASE("what comes during a stop is answered before the daemon is killed") {
-  Bench Under(fromMillis(1200));
-  Under.settle();
-  Under.setBoth(Behaviour::Slow);
+  DaemonFixture Under(fromMillis(1200));
+  Under.startServing();
+  Under.setBehaviours(Behaviour::Slow);
   Under.Daemon->beginStop();
   const TimePoint Began = readSteadyClock();
   // The server takes longer than the daemon has left, the caller would wait.
-  const ExchangeResult Result = Under.ask("POST", "/pay/1", "x");
+  const ExchangeResult Result = Under.sendRequest("POST", "/pay/1", "x");
   CHECK(Result.End == ExchangeEnd::Complete);
   CHECK(Result.Status == 504);
   CHECK(readSteadyClock() - Began < Under.Config.Grace);
@@ -40,17 +40,17 @@
 // half of them are ready. Evidence: the request came 4.98 s after the signal,
 // on a connection of its own, and got the daemon's last answer at 5.4 s.
 TEST_CASE("what comes near the end of a stop is refused, not begun") {
-  Bench Under(fromMillis(2500));
-  Under.settle();
-  Under.setBoth(Behaviour::Slow);
+  DaemonFixture Under(fromMillis(2500));
+  Under.startServing();
+  Under.setBehaviours(Behaviour::Slow);
   Under.Daemon->beginStop();
   ExchangeResult First;
-  std::thread Caller([&] { First = Under.ask("POST", "/pay/1", "x"); });
+  std::thread Caller([&] { First = Under.sendRequest("POST", "/pay/1", "x"); });
   Under.waitFor([&] { return Under.countRuns() == 1; });
   std::thread Stopper(
       [&] { Under.Daemon->finishStop(readSteadyClock() + fromSeconds(2)); });
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  const ExchangeResult Late = Under.ask("POST", "/pay/2", "x");
+  const ExchangeResult Late = Under.sendRequest("POST", "/pay/2", "x");
   CHECK(Late.Status == 503);
   const auto Outcome = Late.Headers.find("Canvaswick-Outcome");
   CHECK((Outcome != Late.Headers.end() && Outcome->second == "not-run"));
--- a/unittests/PlatformAdapter/FleetAtSizeTest.cpp
+++ b/unittests/PlatformAdapter/FleetAtSizeTest.cpp
@@ -20,7 +20,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformBench.h"
+#include "PlatformFixture.h"
 #include "canvaswick/Daemon/Gateway.h"
 #include "platform/FleetView.h"
 #include "platform/ProxyDialect.h"
@@ -125,8 +125,8 @@
     Config.Name = "d-1";
     Config.Hall = "h1";
     Config.Source = SettingsSource::Platform;
-    Config.Callers = {"127.0.0.1", Surroundings::findFreePort()};
-    Config.Ready = {"127.0.0.1", Surroundings::findFreePort()};
+    Config.Callers = {"127.0.0.1", PlatformFixture::findFreePort()};
+    Config.Ready = {"127.0.0.1", PlatformFixture::findFreePort()};
     Config.ExpectedDaemons = 1;
     Config.Repeats = {0.2, fromSeconds(10), 630};
     return Config;
@@ -134,7 +134,7 @@
 
   /// Puts what has changed in force, as PlatformDaemon does.
   void apply() {
-    const FleetChangeCounts Counts = this->View.countChanges();
+    const FleetChangeCounts Counts = this->View.getChangeCounts();
     if (Counts.Daemons != this->InForce.Daemons)
       this->Serving.setDaemons(this->View.listDaemons());
     if (Counts.Config != this->InForce.Config)
--- a/unittests/PlatformAdapter/FleetViewTest.cpp
+++ b/unittests/PlatformAdapter/FleetViewTest.cpp
@@ -98,19 +98,19 @@
   View.applyEvents({{"servers/i-2", makeServer("ready"), {0, 11}, false},
                     {"servers/i-3", makeServer("ready"), {0, 12}, false}},
                    {0, 12}, Start);
-  View.noteTrouble(Start);
+  View.recordStoreFailure(Start);
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false}}, {0, 20},
                   Start + fromSeconds(1));
   CHECK(countServers(View) == 3);
   SUBCASE("one comes back") {
     View.applyEvents({{"servers/i-1", makeServer("ready"), {0, 22}, false}},
                      {0, 22}, Start + fromSeconds(2));
-    CHECK(View.settleLapsed(Start + fromSeconds(9)));
+    CHECK(View.resolveMissing(Start + fromSeconds(9)));
     CHECK(countServers(View) == 1);
   }
   SUBCASE("none does") {
-    CHECK_FALSE(View.settleLapsed(Start + fromSeconds(2.9)));
-    CHECK(View.settleLapsed(Start + fromSeconds(3)));
+    CHECK_FALSE(View.resolveMissing(Start + fromSeconds(2.9)));
+    CHECK(View.resolveMissing(Start + fromSeconds(3)));
     CHECK(countServers(View) == 0);
   }
 }
@@ -120,7 +120,7 @@
   fill(View);
   View.applyEvents({{"servers/i-2", makeServer("ready"), {0, 11}, false}},
                    {0, 12}, Start);
-  View.noteTrouble(Start);
+  View.recordStoreFailure(Start);
   View.applyEvents({{"servers/i-2", "", {0, 13}, true}}, {0, 13},
                    Start + fromSeconds(1));
   CHECK(countServers(View) == 1);
@@ -129,7 +129,7 @@
 TEST_CASE("without trouble an entry that vanishes is gone at once") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
-  View.noteTrouble(Start - fromSeconds(60));
+  View.recordStoreFailure(Start - fromSeconds(60));
   View.applyEvents({{"servers/i-1", "", {0, 12}, true}}, {0, 12}, Start);
   CHECK(countServers(View) == 0);
 }
@@ -163,41 +163,41 @@
                        false}},
                      {0, Revision}, Start);
   };
-  const FleetChangeCounts First = View.countChanges();
+  const FleetChangeCounts First = View.getChangeCounts();
   Take(7, "10.0.0.1", 11);
-  const FleetChangeCounts Second = View.countChanges();
+  const FleetChangeCounts Second = View.getChangeCounts();
   CHECK(Second.Daemons == First.Daemons + 1);
   SUBCASE("another lease") {
     Take(8, "10.0.0.1", 12);
-    CHECK(View.countChanges().Daemons == Second.Daemons);
+    CHECK(View.getChangeCounts().Daemons == Second.Daemons);
   }
   SUBCASE("another address") {
     Take(7, "10.0.0.2", 12);
-    CHECK(View.countChanges().Daemons == Second.Daemons + 1);
+    CHECK(View.getChangeCounts().Daemons == Second.Daemons + 1);
     REQUIRE(View.listDaemons().size() == 1);
     CHECK(View.listDaemons()[0].Control.Host == "10.0.0.2");
   }
   SUBCASE("an entry that cannot be read") {
     View.applyEvents({{"canvaswick/daemons/d1", "[]", {0, 12}, false}}, {0, 12},
                      Start);
-    CHECK(View.countChanges().Daemons == Second.Daemons + 1);
+    CHECK(View.getChangeCounts().Daemons == Second.Daemons + 1);
     CHECK(View.listDaemons().empty());
   }
   SUBCASE("it is gone") {
     View.applyEvents({{"canvaswick/daemons/d1", "", {0, 12}, true}}, {0, 12},
                      Start);
-    CHECK(View.countChanges().Daemons == Second.Daemons + 1);
+    CHECK(View.getChangeCounts().Daemons == Second.Daemons + 1);
     CHECK(View.listDaemons().empty());
   }
-  CHECK(View.countChanges().Config == First.Config);
+  CHECK(View.getChangeCounts().Config == First.Config);
 }
 
 TEST_CASE("all that changes what is run is counted") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
-  uint64_t Before = View.countChanges().Config;
+  uint64_t Before = View.getChangeCounts().Config;
   const auto HasChanged = [&] {
-    const uint64_t Now = View.countChanges().Config;
+    const uint64_t Now = View.getChangeCounts().Config;
     return std::exchange(Before, Now) != Now;
   };
   View.applyEvents({{"servers/i-2", makeServer("ready"), {0, 11}, false}},
@@ -209,13 +209,13 @@
   View.setBounds({60}, fromSeconds(2));
   CHECK(HasChanged());
   // Two of two lapse, and are dropped later.
-  View.noteTrouble(Start);
+  View.recordStoreFailure(Start);
   View.applyEvents(
       {{"servers/i-1", "", {0, 13}, true}, {"servers/i-2", "", {0, 14}, true}},
       {0, 14}, Start);
   CHECK(countServers(View) == 2);
   CHECK_FALSE(HasChanged());
-  CHECK(View.settleLapsed(Start + fromSeconds(3)));
+  CHECK(View.resolveMissing(Start + fromSeconds(3)));
   CHECK(HasChanged());
   // One that leaves is dropped at once.
   View.applyEvents({{"servers/i-3", makeServer("ready"), {0, 15}, false}},
@@ -306,8 +306,8 @@
                   {0, 10}, Start);
   View.applyEvents({{"servers/i-1", "\xff", {0, 11}, false}}, {0, 11}, Start);
   CHECK(countServers(View) == 1);
-  CHECK(View.takeRefused() == 1);
-  CHECK(View.takeRefused() == 0);
+  CHECK(View.drainRefusedCount() == 1);
+  CHECK(View.drainRefusedCount() == 0);
   View.applyEvents({{"servers/i-1", makeLife(1000, 8), {0, 12}, false}},
                    {0, 12}, Start);
   CHECK(countServers(View) == 2);
--- a/unittests/PlatformAdapter/HallBench.h
+++ b/unittests/PlatformAdapter/HallFixture.h
@@ -1,4 +1,4 @@
-//===- HallBench.h - Daemons of a hall and their surroundings ---*- C++ -*-===//
+//===- HallFixture.h - Daemons of a hall and their surroundings -*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,10 +12,10 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_PLATFORMADAPTER_HALLBENCH_H
-#define CANVASWICK_UNITTESTS_PLATFORMADAPTER_HALLBENCH_H
+#ifndef CANVASWICK_UNITTESTS_PLATFORMADAPTER_HALLFIXTURE_H
+#define CANVASWICK_UNITTESTS_PLATFORMADAPTER_HALLFIXTURE_H
 
-#include "PlatformAdapter/PlatformBench.h"
+#include "PlatformAdapter/PlatformFixture.h"
 #include "canvaswick/StandIn/RelayStandIn.h"
 
 #include <algorithm>
@@ -27,11 +27,11 @@
 /// A daemon that reaches the store through a relay of its own.
 struct Member {
   Member(const DaemonConfig &Given, const Endpoint &Store)
-      : Config(Given), WayToStore(Store) {
-    REQUIRE(this->WayToStore.start({"127.0.0.1", 0}));
-    this->Config.Control = {"127.0.0.1", Surroundings::findFreePort()};
-    this->Config.PeerPort = Surroundings::findFreePort();
-    this->Config.Platform = {"127.0.0.1", this->WayToStore.getPort()};
+      : Config(Given), StoreRelay(Store) {
+    REQUIRE(this->StoreRelay.start({"127.0.0.1", 0}));
+    this->Config.Control = {"127.0.0.1", PlatformFixture::findFreePort()};
+    this->Config.PeerPort = PlatformFixture::findFreePort();
+    this->Config.Platform = {"127.0.0.1", this->StoreRelay.getPort()};
     this->start();
   }
 
@@ -44,12 +44,12 @@
   void stop() { this->Daemon.reset(); }
 
   DaemonConfig Config;
-  RelayStandIn WayToStore;
+  RelayStandIn StoreRelay;
   std::unique_ptr<PlatformDaemon> Daemon;
 };
 
 /// Daemons in their surroundings, of one hall unless their names are told.
-struct Hall : Surroundings {
+struct Hall : PlatformFixture {
   explicit Hall(int Count) : Hall(std::vector<std::string>(Count, "h")) {}
 
   /// Starts one daemon for each name of a hall.
@@ -63,7 +63,8 @@
   }
 
   bool serves(const Member &Each, const std::string &Target) {
-    return this->askAt(Each.Config.Callers, "GET", Target).Status == 200;
+    return this->sendRequestTo(Each.Config.Callers, "GET", Target).Status ==
+           200;
   }
 
   bool isWatching(const Member &Each) {
@@ -80,7 +81,7 @@
   }
 
   /// Starts with a configuration, two servers and two that watch.
-  void settle() {
+  void startServing() {
     this->writeConfig(2);
     this->addServers();
     for (const std::unique_ptr<Member> &Each : this->Members)
@@ -94,4 +95,4 @@
 
 } // namespace canvaswick::platform
 
-#endif // CANVASWICK_UNITTESTS_PLATFORMADAPTER_HALLBENCH_H
+#endif // CANVASWICK_UNITTESTS_PLATFORMADAPTER_HALLFIXTURE_H
--- a/unittests/PlatformAdapter/PeerFollowerTest.cpp
+++ b/unittests/PlatformAdapter/PeerFollowerTest.cpp
@@ -70,8 +70,8 @@
 };
 
 /// A follower in a hall with two such peers.
-struct Bench {
-  explicit Bench(const std::string &Name)
+struct FollowerFixture {
+  explicit FollowerFixture(const std::string &Name)
       : Follower({Name, "h", {}, {}}, {}, {}, View, Counters, [] {}) {
     this->View.replaceAll({}, {0, 1}, readSteadyClock());
     this->Follower.setDaemons({this->One.getRecord(), this->Two.getRecord()},
@@ -86,7 +86,7 @@
       Message.Source = Peer->Name;
       Message.Hall = "h";
       Message.AsOf = {0, Next};
-      CHECK(this->Follower.hear(Message, Now));
+      CHECK(this->Follower.handleMessage(Message, Now));
     }
   }
 
@@ -105,7 +105,7 @@
 
 TEST_CASE("a peer that does not answer is left for another at once") {
   for (const char *Name : FollowerNames) {
-    Bench Under(Name);
+    FollowerFixture Under(Name);
     Under.One.Way->getFaults().CutBackward = true;
     const TimePoint Now = readSteadyClock();
     Under.advance(5, Now);
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("kept connections that all went silent cost one short wait") {
-  Bench Under("a");
+  FollowerFixture Under("a");
   // Both peers are asked on connections that are kept.
   uint64_t Next = 1;
   for (int I = 0; I < 12; ++I) {
@@ -131,14 +131,14 @@
 }
 
 TEST_CASE("only a watch of its own that is answered is waited for") {
-  Bench Under("a");
+  FollowerFixture Under("a");
   const TimePoint Heard = readSteadyClock();
-  Under.Follower.setOwnWatch(true);
+  Under.Follower.setLocalWatchAnswered(true);
   Under.advance(5, Heard);
   Under.Follower.runRound(Heard + fromMillis(100));
   CHECK(Under.View.getAsOf() == StorePosition(0, 1));
   SUBCASE("it is no longer answered") {
-    Under.Follower.setOwnWatch(false);
+    Under.Follower.setLocalWatchAnswered(false);
     Under.Follower.runRound(Heard + fromMillis(100));
   }
   SUBCASE("it should have told by now") {
@@ -156,7 +156,7 @@
 // four times; the answer that came at last held 34 items, 33 of them servers'
 // entries.
 TEST_CASE("small news are taken where there is no room for a large value") {
-  Bench Under("a");
+  FollowerFixture Under("a");
   for (AheadPeer *Peer : {&Under.One, &Under.Two}) {
     Peer->HasLarge = true;
     Peer->HasRoom = false;
@@ -180,7 +180,7 @@
 }
 
 TEST_CASE("a difference that cannot be used is followed by the whole") {
-  Bench Under("a");
+  FollowerFixture Under("a");
   const StoreItem Held{"large", std::string(5000, 'y'), {0, 2}, false};
   Under.View.replaceAll({Held}, {0, 2}, readSteadyClock());
   for (AheadPeer *Peer : {&Under.One, &Under.Two})
--- a/unittests/PlatformAdapter/PlatformDaemonTest.cpp
+++ b/unittests/PlatformAdapter/PlatformDaemonTest.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformBench.h"
+#include "PlatformFixture.h"
 #include "canvaswick/Daemon/PeerLink.h"
 
 #include <doctest/doctest.h>
@@ -29,20 +29,21 @@
 }
 
 TEST_CASE("nothing is served or denied before the first configuration") {
-  Bench Under;
-  CHECK(Under.askReady() == 503);
-  const ExchangeResult Early = Under.ask("GET", "/x/1");
+  DaemonFixture Under;
+  CHECK(Under.getReadyStatus() == 503);
+  const ExchangeResult Early = Under.sendRequest("GET", "/x/1");
   CHECK(Early.Status == 503);
   CHECK_FALSE(getHeader(Early, "Retry-After").empty());
-  Under.settle();
-  CHECK(Under.askReady() == 200);
-  CHECK(Under.ask("GET", "/nowhere/1").Status == 404);
+  Under.startServing();
+  CHECK(Under.getReadyStatus() == 200);
+  CHECK(Under.sendRequest("GET", "/nowhere/1").Status == 404);
 }
 
 TEST_CASE("a request reaches its server as it was sent, with what is left") {
-  Bench Under;
-  Under.settle();
-  const ExchangeResult Result = Under.ask("POST", "/pay/9?q=%41", "order");
+  DaemonFixture Under;
+  Under.startServing();
+  const ExchangeResult Result =
+      Under.sendRequest("POST", "/pay/9?q=%41", "order");
   CHECK(Result.Status == 200);
   CHECK(Result.Body == "whole answer");
   CHECK(getHeader(Result, "Request-Id") == "id-1");
@@ -52,53 +53,54 @@
   CHECK(Used.LastHeaders.find("Request-Id")->second == "id-1");
   CHECK(Used.LastHeaders.find("Expect-Instance")->second == Used.Id);
   CHECK(std::stoi(Used.LastHeaders.find("Deadline-Ms")->second) <=
-        CallerMillis);
+        CallerDeadlineMs);
 }
 
 TEST_CASE("what a server declined goes to the other one") {
-  Bench Under;
-  Under.settle();
-  Under.One.Does = Behaviour::Decline;
+  DaemonFixture Under;
+  Under.startServing();
+  Under.One.NextBehaviour = Behaviour::Decline;
   for (int I = 0; I < 6; ++I)
-    CHECK(Under.ask("POST", "/pay/1", "order").Status == 200);
+    CHECK(Under.sendRequest("POST", "/pay/1", "order").Status == 200);
   CHECK(Under.One.Runs == 0);
-  Under.setBoth(Behaviour::Decline);
-  const ExchangeResult Refused = Under.ask("POST", "/pay/1", "order");
+  Under.setBehaviours(Behaviour::Decline);
+  const ExchangeResult Refused = Under.sendRequest("POST", "/pay/1", "order");
   CHECK(Refused.Status == 503);
   CHECK_FALSE(getHeader(Refused, "Retry-After").empty());
 }
 
 TEST_CASE("what may have run is never promised not to have, nor run again") {
-  for (const Behaviour Does : {Behaviour::Fail, Behaviour::UnmarkedRefusal,
-                               Behaviour::Cut, Behaviour::Foreign}) {
-    Bench Under;
-    Under.settle();
-    Under.setBoth(Does);
-    const ExchangeResult Result = Under.ask("POST", "/pay/1", "order");
-    CHECK(Result.Status == (Does == Behaviour::Fail ? 500 : 502));
+  for (const Behaviour NextBehaviour :
+       {Behaviour::Fail, Behaviour::UnmarkedRefusal, Behaviour::Truncate,
+        Behaviour::MismatchedId}) {
+    DaemonFixture Under;
+    Under.startServing();
+    Under.setBehaviours(NextBehaviour);
+    const ExchangeResult Result = Under.sendRequest("POST", "/pay/1", "order");
+    CHECK(Result.Status == (NextBehaviour == Behaviour::Fail ? 500 : 502));
     CHECK(Under.countRuns() == 1);
   }
 }
 
 TEST_CASE("a repeatable request survives a server that cuts its answers") {
-  Bench Under;
-  Under.settle();
-  Under.One.Does = Behaviour::Cut;
+  DaemonFixture Under;
+  Under.startServing();
+  Under.One.NextBehaviour = Behaviour::Truncate;
   for (int I = 0; I < 10; ++I) {
-    const ExchangeResult Result = Under.ask("GET", "/x/1");
+    const ExchangeResult Result = Under.sendRequest("GET", "/x/1");
     CHECK(Result.Status == 200);
     CHECK(Result.Body == "whole answer");
   }
 }
 
 TEST_CASE("a request that has no try left takes no right to a repeat") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   // Enough requests for several repeats.
   for (int I = 0; I < 8; ++I)
-    CHECK(Under.ask("GET", "/x/1").Status == 200);
-  Under.setBoth(Behaviour::Decline);
-  CHECK(Under.ask("GET", "/x/1").Status == 503);
+    CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+  Under.setBehaviours(Behaviour::Decline);
+  CHECK(Under.sendRequest("GET", "/x/1").Status == 503);
   CHECK(Under.One.Arrivals + Under.Two.Arrivals == 10);
   INFO(Under.readMetrics());
   CHECK(Under.readMetrics().find("canvaswick_repeats 1\n") !=
@@ -106,15 +108,15 @@
 }
 
 TEST_CASE("a request that has no time left takes no right to a repeat") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   // Enough requests for several repeats.
   for (int I = 0; I < 8; ++I)
-    CHECK(Under.ask("GET", "/x/1").Status == 200);
-  Under.setBoth(Behaviour::Slow);
-  Under.One.SlowTime = Under.Two.SlowTime = std::chrono::seconds(3);
+    CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+  Under.setBehaviours(Behaviour::Slow);
+  Under.One.AnswerDelay = Under.Two.AnswerDelay = std::chrono::seconds(3);
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Under.ask("GET", "/x/1"); });
+  std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
   Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals == 9; });
   // A daemon that is stopping leaves it where it is, to its deadline.
   Under.Daemon->beginStop();
@@ -125,91 +127,92 @@
 }
 
 TEST_CASE("an answer that ends with its connection is passed on whole") {
-  Bench Under;
-  Under.settle();
-  Under.setBoth(Behaviour::Unframed);
-  const ExchangeResult Result = Under.ask("GET", "/x/1");
+  DaemonFixture Under;
+  Under.startServing();
+  Under.setBehaviours(Behaviour::Unframed);
+  const ExchangeResult Result = Under.sendRequest("GET", "/x/1");
   CHECK(Result.Status == 200);
   CHECK(Result.Body == "whole answer");
   CHECK(getHeader(Result, "Content-Length") == "12");
 }
 
 TEST_CASE("a server that has another's address runs nothing") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   // The entry of a third server names the first one's address.
   Under.Store.remove("servers/i-2");
   Under.Store.remove("servers/i-1");
   Under.Store.put("servers/i-3", Under.One.makeEntry("ready"));
-  Under.waitFor([&] { return Under.ask("GET", "/x/1").Status == 503; });
+  Under.waitFor([&] { return Under.sendRequest("GET", "/x/1").Status == 503; });
   Under.One.Runs = 0;
-  CHECK(Under.ask("POST", "/pay/1", "order").Status == 503);
+  CHECK(Under.sendRequest("POST", "/pay/1", "order").Status == 503);
   CHECK(Under.One.Runs == 0);
 }
 
 TEST_CASE("a draining server gets no new work") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   Under.Store.put("servers/i-1", Under.One.makeEntry("draining"));
   Under.waitFor([&] {
     Under.One.Arrivals = 0;
     for (int I = 0; I < 20; ++I)
-      Under.ask("GET", "/x/1");
+      Under.sendRequest("GET", "/x/1");
     return Under.One.Arrivals == 0;
   });
-  CHECK(Under.ask("GET", "/x/1").Status == 200);
+  CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
 }
 
 TEST_CASE("a new configuration replaces the old one") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   Under.writeConfig(5, "/y/");
-  Under.waitFor([&] { return Under.ask("GET", "/y/1").Status == 200; });
-  CHECK(Under.ask("GET", "/x/1").Status == 404);
+  Under.waitFor([&] { return Under.sendRequest("GET", "/y/1").Status == 200; });
+  CHECK(Under.sendRequest("GET", "/x/1").Status == 404);
 }
 
 TEST_CASE("the operators' bounds for callers are kept") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   Under.Limits = R"({"maxHeaderBytes": 400, "maxBodyBytes": 10,
                      "headerTimeoutS": 3, "idleTimeoutS": 0.5})";
   Under.writeConfig(5, "/y/");
-  Under.waitFor([&] { return Under.ask("GET", "/y/1").Status == 200; });
-  CHECK(Under.ask("POST", "/pay/1", "short").Status == 200);
-  CHECK(Under.ask("POST", "/pay/1", "longer than ten bytes").Status == 413);
-  CHECK(Under.ask("GET", "/y/" + std::string(500, 'a')).Status == 431);
+  Under.waitFor([&] { return Under.sendRequest("GET", "/y/1").Status == 200; });
+  CHECK(Under.sendRequest("POST", "/pay/1", "short").Status == 200);
+  CHECK(Under.sendRequest("POST", "/pay/1", "longer than ten bytes").Status ==
+        413);
+  CHECK(Under.sendRequest("GET", "/y/" + std::string(500, 'a')).Status == 431);
 }
 
 TEST_CASE("the store may be away while requests are served") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   Under.Store.setFaults({.IsDown = true});
   Under.Store.forgetHistory();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  CHECK(Under.ask("GET", "/x/1").Status == 200);
-  CHECK(Under.askReady() == 200);
+  CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+  CHECK(Under.getReadyStatus() == 200);
 }
 
 TEST_CASE("a planned stop turns readiness red and answers what comes") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   Under.Daemon->beginStop();
-  CHECK(Under.askReady() == 503);
-  const ExchangeResult Late = Under.ask("GET", "/x/1");
+  CHECK(Under.getReadyStatus() == 503);
+  const ExchangeResult Late = Under.sendRequest("GET", "/x/1");
   CHECK(Late.Status == 200);
   CHECK(getHeader(Late, "Connection") == "close");
   CHECK(Under.Daemon->finishStop(readSteadyClock() + fromSeconds(3)));
 }
 
 TEST_CASE("a slow server is left for another, but not once a stop has begun") {
-  Bench Under;
-  Under.settle();
-  Under.setBoth(Behaviour::Slow);
+  DaemonFixture Under;
+  Under.startServing();
+  Under.setBehaviours(Behaviour::Slow);
   int Arrivals = 2;
   SUBCASE("no stop") {}
   SUBCASE("a stop begins meanwhile") { Arrivals = 1; }
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Under.ask("GET", "/x/1"); });
+  std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
   Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals == 1; });
   if (Arrivals == 1)
     Under.Daemon->beginStop();
@@ -220,11 +223,11 @@
 }
 
 TEST_CASE("nothing is given up while no repeat is left to try elsewhere") {
-  Bench Under;
-  Under.settle();
-  Under.setBoth(Behaviour::Slow);
+  DaemonFixture Under;
+  Under.startServing();
+  Under.setBehaviours(Behaviour::Slow);
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Under.ask("GET", "/x/1"); });
+  std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
   Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals == 1; });
   // Others use up what is left while it waits.
   DaemonConfig Config = Under.Config;
@@ -237,37 +240,37 @@
 
 /// Sends requests one after the other, none of which may leave its server, and
 /// returns the server that the last one used.
-static Upstream &useServers(Bench &Under) {
+static Upstream &useServers(DaemonFixture &Under) {
   // With a right to repeats, a server that was not used before may be left
   // again and again before it can answer, and that speaks against it.
   DaemonConfig Config = Under.Config;
   Config.Repeats = {0, fromSeconds(10), 0};
   Under.Daemon->reload(Config);
-  Under.One.SlowTime = Under.Two.SlowTime = UsualTime;
+  Under.One.AnswerDelay = Under.Two.AnswerDelay = TypicalAnswerTime;
   int OfOne = 0;
   for (int I = 0; I < 12; ++I) {
     OfOne = Under.One.Arrivals;
-    REQUIRE(Under.ask("GET", "/x/1").Status == 200);
+    REQUIRE(Under.sendRequest("GET", "/x/1").Status == 200);
   }
   Under.Daemon->reload(Under.Config);
   return Under.One.Arrivals > OfOne ? Under.One : Under.Two;
 }
 
 TEST_CASE("a long request stays with a server that nothing speaks against") {
-  Bench Under;
+  DaemonFixture Under;
   // Both answer well for a while, in less than half of the objective.
-  Under.setBoth(Behaviour::Slow);
-  Under.One.SlowTime = Under.Two.SlowTime = UsualTime;
-  Under.settle();
+  Under.setBehaviours(Behaviour::Slow);
+  Under.One.AnswerDelay = Under.Two.AnswerDelay = TypicalAnswerTime;
+  Under.startServing();
   // That it has not been used for a while speaks against a server: about one
   // long request in ten goes to the one that was not used last, and is not the
   // case under test.
   for (int Draw = 0; Draw < 20; ++Draw) {
     Upstream &Used = useServers(Under);
     Under.One.Arrivals = Under.Two.Arrivals = 0;
-    Under.One.SlowTime = Under.Two.SlowTime = LateTime;
+    Under.One.AnswerDelay = Under.Two.AnswerDelay = LateAnswerTime;
     ExchangeResult Result;
-    std::thread Caller([&] { Result = Under.ask("GET", "/x/1"); });
+    std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
     Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals > 0; });
     const bool IsCase = Used.Arrivals == 1;
     Caller.join();
@@ -282,31 +285,31 @@
 
 TEST_CASE(
     "a request that is out for many times its usual time goes elsewhere") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   for (int I = 0; I < 20; ++I)
-    REQUIRE(Under.ask("GET", "/x/1").Status == 200);
+    REQUIRE(Under.sendRequest("GET", "/x/1").Status == 200);
   Under.One.Arrivals = Under.Two.Arrivals = 0;
-  Under.One.Does = Behaviour::Slow;
-  Under.One.SlowTime = LateTime;
+  Under.One.NextBehaviour = Behaviour::Slow;
+  Under.One.AnswerDelay = LateAnswerTime;
   // Both are chosen sooner or later.
   for (int I = 0; I < 20 && Under.One.Arrivals == 0; ++I) {
     const TimePoint Began = readSteadyClock();
-    CHECK(Under.ask("GET", "/x/1").Status == 200);
-    CHECK(readSteadyClock() - Began < LateTime);
+    CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+    CHECK(readSteadyClock() - Began < LateAnswerTime);
   }
   CHECK(Under.One.Arrivals == 1);
 }
 
 TEST_CASE("metrics have an address of their own, but no daemon depends on it") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   DaemonConfig Config = Under.Config;
   Config.Name = "d2";
-  Config.Callers.Port = Bench::findFreePort();
-  Config.Ready.Port = Bench::findFreePort();
+  Config.Callers.Port = DaemonFixture::findFreePort();
+  Config.Ready.Port = DaemonFixture::findFreePort();
   SUBCASE("it is free") {
-    Config.Metrics = {"127.0.0.1", Bench::findFreePort()};
+    Config.Metrics = {"127.0.0.1", DaemonFixture::findFreePort()};
     PlatformDaemon Daemon(Config);
     REQUIRE(Daemon.start());
     const ExchangeResult Page = Under.get(Config.Metrics, "/metrics");
@@ -324,8 +327,8 @@
 }
 
 TEST_CASE("metrics tell how far the copy of the store goes and how old it is") {
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   const auto Shows = [&](const std::string &Line) {
     return Under.readMetrics().find("canvaswick_store_" + Line) !=
            std::string::npos;
@@ -350,15 +353,16 @@
 
 TEST_CASE("a daemon that is dropped while peers speak to it ends cleanly") {
   // Found by a sanitizer, or by a crash: threads reached members already gone.
-  Bench Under;
-  Under.settle();
+  DaemonFixture Under;
+  Under.startServing();
   DaemonConfig Brief = Under.Config;
   Brief.Name = "d2";
-  Brief.Callers.Port = Bench::findFreePort();
-  Brief.Ready.Port = Bench::findFreePort();
-  Brief.Control = {"127.0.0.1", Bench::findFreePort()};
-  Brief.PeerPort = Bench::findFreePort();
-  DaemonRecord Speaker{"d3", "h", {}, {"127.0.0.1", Bench::findFreePort()}};
+  Brief.Callers.Port = DaemonFixture::findFreePort();
+  Brief.Ready.Port = DaemonFixture::findFreePort();
+  Brief.Control = {"127.0.0.1", DaemonFixture::findFreePort()};
+  Brief.PeerPort = DaemonFixture::findFreePort();
+  DaemonRecord Speaker{
+      "d3", "h", {}, {"127.0.0.1", DaemonFixture::findFreePort()}};
   const DaemonRecord Listener{
       "d2", "h", Brief.Control, {"127.0.0.1", Brief.PeerPort}};
   CounterTable Counters;
@@ -381,7 +385,7 @@
   IsOver = true;
   Speaking.join();
   CHECK(Counters.get(Counter::PeerDatagramsSent) > 0);
-  CHECK(Under.ask("GET", "/x/1").Status == 200);
+  CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
 }
 
 // The failure. After a loss of power of a whole fleet one request in six of the
@@ -391,18 +395,18 @@
 // refusals of that time say no-settings, and each daemon's settings came 0.2 s
 // after its start.
 TEST_CASE("who comes just before the settings is served by them") {
-  Surroundings Under;
+  PlatformFixture Under;
   Under.writeConfig(2);
   Under.addServers();
   Under.Store.setFaults({.SlowMs = 100});
   const DaemonConfig Config = Under.makeDaemonConfig("d1");
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
-  CHECK(Under.askAt(Config.Callers, "GET", "/x/1").Status == 200);
+  CHECK(Under.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200);
 }
 
 TEST_CASE("who is refused for want of settings and comes back is served") {
-  Surroundings Under;
+  PlatformFixture Under;
   Under.writeConfig(2);
   Under.addServers();
   Under.Store.setFaults({.IsDown = true});
@@ -410,7 +414,8 @@
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
   // Nothing says that there will be settings soon.
-  const ExchangeResult First = Under.askAt(Config.Callers, "GET", "/x/1");
+  const ExchangeResult First =
+      Under.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(First.Status == 503);
   CHECK(getHeader(First, "Canvaswick-Outcome") == "not-run");
   const double Wait = std::stod(getHeader(First, "Retry-After"));
@@ -419,20 +424,22 @@
   // A busy machine may take longer; then it says so again.
   Under.waitFor([&] {
     std::this_thread::sleep_for(std::chrono::duration<double>(Wait));
-    return Under.askAt(Config.Callers, "GET", "/x/1").Status == 200;
+    return Under.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200;
   });
 }
 
 TEST_CASE("who comes while there are no settings is refused and told when") {
-  Surroundings Under;
+  PlatformFixture Under;
   Under.Store.setFaults({.IsDown = true});
   const DaemonConfig Config = Under.makeDaemonConfig("d1");
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
-  const ExchangeResult First = Under.askAt(Config.Callers, "GET", "/x/1");
+  const ExchangeResult First =
+      Under.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(First.Status == 503);
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
-  const ExchangeResult Later = Under.askAt(Config.Callers, "GET", "/x/1");
+  const ExchangeResult Later =
+      Under.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(Later.Status == 503);
   // The longer it lasts the longer it is likely to last.
   CHECK(std::stod(getHeader(Later, "Retry-After")) >= 0.7);
--- a/unittests/PlatformAdapter/PlatformBench.h
+++ b/unittests/PlatformAdapter/PlatformFixture.h
@@ -1,4 +1,4 @@
-//===- PlatformBench.h - A whole daemon and its surroundings ----*- C++ -*-===//
+//===- PlatformFixture.h - A whole daemon and its surroundings --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_PLATFORMADAPTER_PLATFORMBENCH_H
-#define CANVASWICK_UNITTESTS_PLATFORMADAPTER_PLATFORMBENCH_H
+#ifndef CANVASWICK_UNITTESTS_PLATFORMADAPTER_PLATFORMFIXTURE_H
+#define CANVASWICK_UNITTESTS_PLATFORMADAPTER_PLATFORMFIXTURE_H
 
 #include "canvaswick/Rpc/PeerCaller.h"
 #include "platform/PlatformDaemon.h"
@@ -42,9 +42,9 @@
   /// Runs the request and answers 500.
   Fail,
   /// Runs the request and answers with less than it announced.
-  Cut,
+  Truncate,
   /// Answers another request than was asked.
-  Foreign,
+  MismatchedId,
   /// Ends an answer without a length with its connection.
   Unframed,
   /// Serves after a while.
@@ -53,17 +53,17 @@
 
 /// Past the 1.2 s after which a repeatable request goes elsewhere even if
 /// nothing else speaks against its server.
-inline constexpr std::chrono::milliseconds HangTime(1400);
+inline constexpr std::chrono::milliseconds HangingAnswerTime(1400);
 
 /// Past the 0.6 s after which it goes elsewhere if anything does.
-inline constexpr std::chrono::milliseconds LateTime(800);
+inline constexpr std::chrono::milliseconds LateAnswerTime(800);
 
-/// A usual answer's time, where answers take long: half of LateTime, so that an
-/// answer which takes that is nothing unusual.
-inline constexpr std::chrono::milliseconds UsualTime(400);
+/// A usual answer's time, where answers take long: half of LateAnswerTime, so
+/// that an answer which takes that is nothing unusual.
+inline constexpr std::chrono::milliseconds TypicalAnswerTime(400);
 
 /// How long callers wait.
-inline constexpr int CallerMillis = 1900;
+inline constexpr int CallerDeadlineMs = 1900;
 
 /// One backend server that speaks the platform's headers.
 class Upstream {
@@ -84,8 +84,8 @@
   }
 
   const std::string Id;
-  std::atomic<Behaviour> Does{Behaviour::Serve};
-  std::atomic<std::chrono::milliseconds> SlowTime{HangTime};
+  std::atomic<Behaviour> NextBehaviour{Behaviour::Serve};
+  std::atomic<std::chrono::milliseconds> AnswerDelay{HangingAnswerTime};
   std::atomic<int> Runs{0};
   std::atomic<int> Arrivals{0};
   std::mutex Mutex;
@@ -107,7 +107,7 @@
         Exchange.Request.get_header_value("Expect-Instance") == this->Id;
     Answer.set_header("Request-Id",
                       Exchange.Request.get_header_value("Request-Id"));
-    if (!IsForMe || this->Does == Behaviour::Decline) {
+    if (!IsForMe || this->NextBehaviour == Behaviour::Decline) {
       Answer.status = IsForMe ? 503 : 421;
       Answer.set_header("Not-Executed", "1");
       return;
@@ -121,25 +121,25 @@
 
   void misbehave(HttpExchange &Exchange) {
     httplib::Response &Answer = Exchange.Response;
-    switch (this->Does.load()) {
+    switch (this->NextBehaviour.load()) {
     case Behaviour::UnmarkedRefusal:
       Answer.status = 503;
       return;
     case Behaviour::Fail:
       Answer.status = 500;
       return;
-    case Behaviour::Foreign:
+    case Behaviour::MismatchedId:
       Answer.headers.erase("Request-Id");
       Answer.set_header("Request-Id", "of-another");
       return;
-    case Behaviour::Cut:
+    case Behaviour::Truncate:
       this->writeRaw(Exchange, "Content-Length: 99\r\n");
       return;
     case Behaviour::Unframed:
       this->writeRaw(Exchange, "Connection: close\r\n");
       return;
     case Behaviour::Slow:
-      std::this_thread::sleep_for(this->SlowTime.load());
+      std::this_thread::sleep_for(this->AnswerDelay.load());
       return;
     case Behaviour::Serve:
     case Behaviour::Decline:
@@ -161,9 +161,9 @@
 };
 
 /// What daemons have around them: a store, two backend servers and a caller.
-class Surroundings {
+class PlatformFixture {
 public:
-  Surroundings() { REQUIRE(this->Store.start()); }
+  PlatformFixture() { REQUIRE(this->Store.start()); }
 
   /// Returns a port that stays free for a server of this process until it ends:
   /// a socket holds it that does not listen. Without that, an outgoing
@@ -236,16 +236,17 @@
   }
 
   /// Sends a caller's request to the daemon that takes callers at Address.
-  ExchangeResult askAt(const Endpoint &Address, const std::string &Method,
-                       const std::string &Target,
-                       const std::string &Body = "") {
+  ExchangeResult sendRequestTo(const Endpoint &Address,
+                               const std::string &Method,
+                               const std::string &Target,
+                               const std::string &Body = "") {
     OutgoingRequest Request;
     Request.Method = Method;
     Request.Target = Target;
     Request.Body = Body;
     Request.Headers.emplace("Host", "a.example");
     Request.Headers.emplace("Request-Id", "id-1");
-    Request.Headers.emplace("Deadline-Ms", fmt::format("{}", CallerMillis));
+    Request.Headers.emplace("Deadline-Ms", fmt::format("{}", CallerDeadlineMs));
     return this->Client.exchange(
         Address, Request, readSteadyClock() + fromSeconds(10), -1, nullptr);
   }
@@ -265,10 +266,10 @@
 };
 
 /// One daemon in its surroundings.
-class Bench : public Surroundings {
+class DaemonFixture : public PlatformFixture {
 public:
   /// Grace: how long after a stop signal the daemon is killed.
-  explicit Bench(Duration Grace = fromSeconds(3))
+  explicit DaemonFixture(Duration Grace = fromSeconds(3))
       : Config(this->makeDaemonConfig("d1")) {
     this->Config.Grace = Grace;
     this->Daemon = std::make_unique<PlatformDaemon>(this->Config);
@@ -276,20 +277,24 @@
   }
 
   /// Starts with a configuration and two servers.
-  void settle() {
+  void startServing() {
     this->writeConfig(2);
     this->addServers();
-    this->waitFor([this] { return this->ask("GET", "/x/1").Status == 200; });
+    this->waitFor(
+        [this] { return this->sendRequest("GET", "/x/1").Status == 200; });
     this->One.Runs = this->Two.Runs = 0;
     this->One.Arrivals = this->Two.Arrivals = 0;
   }
 
-  ExchangeResult ask(const std::string &Method, const std::string &Target,
-                     const std::string &Body = "") {
-    return this->askAt(this->Config.Callers, Method, Target, Body);
+  ExchangeResult sendRequest(const std::string &Method,
+                             const std::string &Target,
+                             const std::string &Body = "") {
+    return this->sendRequestTo(this->Config.Callers, Method, Target, Body);
   }
 
-  int askReady() { return this->get(this->Config.Ready, "/ready").Status; }
+  int getReadyStatus() {
+    return this->get(this->Config.Ready, "/ready").Status;
+  }
 
   /// Returns the daemon's metrics as text.
   std::string readMetrics() {
@@ -297,7 +302,9 @@
   }
 
   int countRuns() const { return this->One.Runs + this->Two.Runs; }
-  void setBoth(Behaviour Does) { this->One.Does = this->Two.Does = Does; }
+  void setBehaviours(Behaviour NextBehaviour) {
+    this->One.NextBehaviour = this->Two.NextBehaviour = NextBehaviour;
+  }
 
   DaemonConfig Config;
   std::unique_ptr<PlatformDaemon> Daemon;
@@ -305,4 +312,4 @@
 
 } // namespace canvaswick::platform
 
-#endif // CANVASWICK_UNITTESTS_PLATFORMADAPTER_PLATFORMBENCH_H
+#endif // CANVASWICK_UNITTESTS_PLATFORMADAPTER_PLATFORMFIXTURE_H
--- a/unittests/PlatformAdapter/FeedBench.h
+++ b/unittests/PlatformAdapter/StoreWatcherFixture.h
@@ -1,4 +1,4 @@
-//===- FeedBench.h - A store, a client and a view of it ---------*- C++ -*-===//
+//===- StoreWatcherFixture.h - A store, a client and a view of --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,18 +11,18 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_PLATFORMADAPTER_FEEDBENCH_H
-#define CANVASWICK_UNITTESTS_PLATFORMADAPTER_FEEDBENCH_H
+#ifndef CANVASWICK_UNITTESTS_PLATFORMADAPTER_STOREWATCHERFIXTURE_H
+#define CANVASWICK_UNITTESTS_PLATFORMADAPTER_STOREWATCHERFIXTURE_H
 
-#include "platform/StoreFeed.h"
+#include "platform/StoreWatcher.h"
 #include "platform/standin/StoreStandIn.h"
 
 #include <doctest/doctest.h>
 
 namespace canvaswick::platform {
 
-struct FeedBench {
-  FeedBench() : Client(start(Store), Counters) {}
+struct StoreWatcherFixture {
+  StoreWatcherFixture() : Client(start(Store), Counters) {}
 
   static Endpoint start(StoreStandIn &Store) {
     REQUIRE(Store.start());
@@ -30,21 +30,21 @@
   }
 
   /// The first read may be old; the watch after it is not.
-  static void settle(StoreFeed &Feed) {
+  static void synchronize(StoreWatcher &Feed) {
     Feed.runRound();
-    CHECK_FALSE(Feed.isSound());
+    CHECK_FALSE(Feed.isSynced());
     Feed.runRound();
-    CHECK(Feed.isSound());
+    CHECK(Feed.isSynced());
   }
 
   StoreStandIn Store;
   CounterTable Counters;
   StoreClient Client;
   FleetView View{{70}, fromSeconds(2)};
-  StoreFeed Feed{Client, View, [] {}};
+  StoreWatcher Feed{Client, View, [] {}};
   DaemonRecord Self{"d1", "h", {"10.0.0.1", 80}, {"10.0.0.1", 81}};
 };
 
 } // namespace canvaswick::platform
 
-#endif // CANVASWICK_UNITTESTS_PLATFORMADAPTER_FEEDBENCH_H
+#endif // CANVASWICK_UNITTESTS_PLATFORMADAPTER_STOREWATCHERFIXTURE_H
--- a/unittests/StoreRestore/FeedRestoreTest.cpp
+++ b/unittests/StoreRestore/FeedRestoreTest.cpp
@@ -7,11 +7,11 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/FeedBench.h"
+#include "PlatformAdapter/StoreWatcherFixture.h"
 #include "canvaswick/Daemon/DirectoryCalls.h"
-#include "platform/CopyKeeper.h"
-#include "platform/DaemonRegistry.h"
+#include "platform/DaemonRegistration.h"
 #include "platform/RecordDecoder.h"
+#include "platform/SnapshotWriter.h"
 
 #include <doctest/doctest.h>
 
@@ -27,7 +27,7 @@
 }
 
 /// Runs rounds until the view is as far as the store, or says that it is not.
-static bool catchesUp(FeedBench &Under, int Rounds) {
+static bool catchesUp(StoreWatcherFixture &Under, int Rounds) {
   for (int I = 0; I < Rounds; ++I) {
     Under.Feed.runRound();
     if (Under.View.getAsOf().Revision == Under.Store.getRevision() &&
@@ -40,11 +40,11 @@
 namespace {
 
 /// A feed that is further than the copy to which its store goes back.
-struct RestoreBench : FeedBench {
+struct RestoreBench : StoreWatcherFixture {
   RestoreBench() {
     this->Store.put(DaemonKey, encodeDaemon(this->Self));
-    settle(this->Feed);
-    this->Store.keepBackup();
+    synchronize(this->Feed);
+    this->Store.takeBackup();
     change(this->Store, 20);
     CHECK(catchesUp(*this, 3));
   }
@@ -59,7 +59,7 @@
   change(Under.Store, 40);
   CHECK(catchesUp(Under, 3));
   CHECK(Under.View.listDaemons().size() == 1);
-  Under.View.settleLapsed(readSteadyClock() + fromSeconds(10));
+  Under.View.resolveMissing(readSteadyClock() + fromSeconds(10));
   CHECK(Under.View.listDaemons().empty());
 }
 
@@ -113,7 +113,7 @@
   Under.Feed.runRound();
   Under.Feed.runRound();
   CHECK(Under.View.getAsOf() == Known);
-  CHECK_FALSE(Under.Feed.isSound());
+  CHECK_FALSE(Under.Feed.isSynced());
   Under.Store.setEpochText("2");
   CHECK(catchesUp(Under, 4));
   CHECK(Under.View.listDaemons().empty());
@@ -129,7 +129,7 @@
 
 TEST_CASE("a store that forgets its history all the time is not stormed") {
   RestoreBench Under;
-  const double Before = Under.Store.countPricedCalls();
+  const double Before = Under.Store.sumCallCosts();
   const TimePoint Began = readSteadyClock();
   constexpr int Rounds = 8;
   for (int I = 0; I < Rounds; ++I) {
@@ -139,16 +139,16 @@
   }
   // Every second round pauses, longer each time.
   CHECK(readSteadyClock() - Began >= fromMillis(200));
-  CHECK(Under.Store.countPricedCalls() - Before <= 2 * Rounds);
+  CHECK(Under.Store.sumCallCosts() - Before <= 2 * Rounds);
 }
 
 TEST_CASE("a lease number of an earlier epoch is let go, and not ended") {
-  FeedBench Under;
+  StoreWatcherFixture Under;
   Under.Store.put("op/config", "{}");
-  FeedBench::settle(Under.Feed);
-  Under.Store.keepBackup();
-  DaemonRegistry Registry(Under.Client, Under.View, Under.Self,
-                          fromSeconds(60));
+  StoreWatcherFixture::synchronize(Under.Feed);
+  Under.Store.takeBackup();
+  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
+                              fromSeconds(60));
   const TimePoint Now = readSteadyClock();
   Registry.runRound(Now);
   CHECK(catchesUp(Under, 2));
@@ -179,42 +179,42 @@
 }
 
 TEST_CASE("a daemon whose entry the copy holds goes on with its lease") {
-  FeedBench Under;
+  StoreWatcherFixture Under;
   Under.Store.put("op/config", "{}");
-  FeedBench::settle(Under.Feed);
-  DaemonRegistry Registry(Under.Client, Under.View, Under.Self,
-                          fromSeconds(60));
+  StoreWatcherFixture::synchronize(Under.Feed);
+  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
+                              fromSeconds(60));
   const TimePoint Now = readSteadyClock();
   Registry.runRound(Now);
   CHECK(catchesUp(Under, 2));
-  Under.Store.keepBackup();
+  Under.Store.takeBackup();
   Under.Store.restoreBackup();
   CHECK(catchesUp(Under, 3));
-  const double Before = Under.Store.countPricedCalls();
+  const double Before = Under.Store.sumCallCosts();
   Registry.runRound(Now + fromSeconds(1));
-  CHECK(Under.Store.countPricedCalls() - Before == doctest::Approx(0.1));
+  CHECK(Under.Store.sumCallCosts() - Before == doctest::Approx(0.1));
   Registry.leave();
   CHECK(Under.Store.peek(DaemonKey).empty());
 }
 
 TEST_CASE("the copy for starts is written again soon after a restore") {
   RestoreBench Under;
-  CopyKeeper Keeper(Under.Client, Under.View);
+  SnapshotWriter Keeper(Under.Client, Under.View);
   const TimePoint Start = readSteadyClock();
   Keeper.runRound(WatchRole::Lead, 0, Start);
   Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(5));
-  REQUIRE(decodeCopy(Under.Store.peek("canvaswick/copy")));
+  REQUIRE(decodeSnapshot(Under.Store.peek("canvaswick/copy")));
   Under.Store.restoreBackup();
   CHECK(Under.Store.peek("canvaswick/copy").empty());
   // Not from what is of an earlier epoch.
-  (void)Under.Client.readItem(DaemonKey, Recency::Newest);
+  (void)Under.Client.readItem(DaemonKey, ReadConsistency::Linearizable);
   Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(20));
   CHECK(Under.Store.peek("canvaswick/copy").empty());
   CHECK(catchesUp(Under, 3));
   Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(21));
   Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(26));
   const Result<ItemChanges> Copy =
-      decodeCopy(Under.Store.peek("canvaswick/copy"));
+      decodeSnapshot(Under.Store.peek("canvaswick/copy"));
   REQUIRE(Copy);
   CHECK(Copy.value().AsOf.Epoch == 2);
 }
@@ -224,12 +224,12 @@
   RestoreBench Under;
   ItemChanges All = Under.View.getChangesAfter({});
   All.IsAll = true;
-  Under.Store.put("canvaswick/copy", encodeCopy(All));
-  Under.Store.keepBackup();
+  Under.Store.put("canvaswick/copy", encodeSnapshot(All));
+  Under.Store.takeBackup();
   Under.Store.restoreBackup();
   FleetView View{{70}, fromSeconds(2)};
   StoreClient Client(Under.Store.getAddress(), Under.Counters);
-  StoreFeed Feed(Client, View, [] {});
+  StoreWatcher Feed(Client, View, [] {});
   Feed.runRound();
   CHECK(View.getAsOf().Epoch == 1);
   const size_t Before = Under.Store.countCalls("/kv-range");
--- a/unittests/StoreRestore/FleetModelTest.cpp
+++ b/unittests/StoreRestore/FleetModelTest.cpp
@@ -56,7 +56,7 @@
           {Key, "", {this->Epoch, ++this->Now.Revision}, true});
   }
 
-  void keepBackup() { this->Copy = this->Now; }
+  void takeBackup() { this->Copy = this->Now; }
 
   void restoreBackup() {
     this->Now = this->Copy;
@@ -118,7 +118,7 @@
   }
 };
 
-/// A daemon that watches as StoreFeed does.
+/// A daemon that watches as StoreWatcher does.
 struct ModelDaemon {
   explicit ModelDaemon()
       : View(std::make_unique<FleetView>(ServiceDefaults{70}, fromSeconds(2))) {
@@ -211,7 +211,7 @@
     this->Store.put(RulesKey, makeRules(this->Version));
     for (size_t I = 0; I < ServerCount; ++I)
       this->Store.put(makeKey(I), this->Servers[I].makeEntry());
-    this->Store.keepBackup();
+    this->Store.takeBackup();
   }
 
   void run(const std::vector<Step> &Steps) {
@@ -248,7 +248,7 @@
       this->Store.remove(makeKey(Each.Who));
       return;
     case Act::KeepBackup:
-      this->Store.keepBackup();
+      this->Store.takeBackup();
       return;
     case Act::Restore:
       this->Store.restoreBackup();
@@ -310,7 +310,7 @@
     this->checkKept();
     this->Now += fromSeconds(20);
     for (ModelDaemon &Each : this->Daemons) {
-      Each.View->settleLapsed(this->Now);
+      Each.View->resolveMissing(this->Now);
       RC_ASSERT(Each.getVersion() == this->Version);
       RC_ASSERT(Each.View->getAsOf() == this->Store.getAsOf());
       for (size_t I = 0; I < ServerCount; ++I)
--- a/unittests/StoreRestore/StoreRestoreTest.cpp
+++ b/unittests/StoreRestore/StoreRestoreTest.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/HallBench.h"
+#include "PlatformAdapter/HallFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -28,10 +28,10 @@
 /// Daemons before a store that has a backup of itself.
 struct RestoreBench : Hall {
   explicit RestoreBench(int Count) : Hall(Count) {
-    this->settle();
+    this->startServing();
     for (const std::unique_ptr<Member> &Each : this->Members)
       this->waitFor([&] { return this->isListed(*Each); });
-    this->Store.keepBackup();
+    this->Store.takeBackup();
   }
 
   bool isListed(const Member &Each) const {
@@ -140,8 +140,8 @@
 
 TEST_CASE("a daemon whose entry the store has lost is listed again") {
   Hall Under(2);
-  Under.Store.keepBackup();
-  Under.settle();
+  Under.Store.takeBackup();
+  Under.startServing();
   const std::string Key = "canvaswick/daemons/d0";
   Under.waitFor([&] { return !Under.Store.peek(Key).empty(); });
   Under.Store.restoreBackup();
@@ -155,11 +155,11 @@
   Under.change(ManyChanges);
   Under.waitForAll();
   Under.restore([&] { Under.change(FewChanges); });
-  const double Before = Under.Store.countPricedCalls();
+  const double Before = Under.Store.sumCallCosts();
   std::this_thread::sleep_for(std::chrono::seconds(2));
   // As after a start, and what two daemons that watch ask in two seconds.
   constexpr double CallsADaemon = 3;
   constexpr double CallsOfWatches = 10;
-  CHECK(Under.Store.countPricedCalls() - Before <=
+  CHECK(Under.Store.sumCallCosts() - Before <=
         CallsADaemon * Daemons + CallsOfWatches);
 }
--- a/unittests/StoreRestore/ViewRestoreTest.cpp
+++ b/unittests/StoreRestore/ViewRestoreTest.cpp
@@ -98,7 +98,7 @@
                 {2, 30});
   CHECK(Under.findState() == ServerState::Draining);
   SUBCASE("for as long as that stands there") {
-    Under.View.settleLapsed(Under.Now + fromSeconds(60));
+    Under.View.resolveMissing(Under.Now + fromSeconds(60));
     CHECK(Under.findState() == ServerState::Draining);
   }
   SUBCASE("until it says something later") {
@@ -138,14 +138,14 @@
     CHECK(Under.findState() == ServerState::Active);
   }
   SUBCASE("its entry stands for longer than a silent server's") {
-    CHECK_FALSE(Under.View.settleLapsed(Under.Now + fromSeconds(9.9)));
-    CHECK(Under.View.settleLapsed(Under.Now + fromSeconds(10)));
+    CHECK_FALSE(Under.View.resolveMissing(Under.Now + fromSeconds(9.9)));
+    CHECK(Under.View.resolveMissing(Under.Now + fromSeconds(10)));
     CHECK(Under.findState() == ServerState::Active);
   }
   SUBCASE("its entry goes") {
     Under.View.applyEvents({{"servers/i-1", "", {2, 31}, true}}, {2, 31},
                            Under.Now);
-    Under.View.settleLapsed(Under.Now + fromSeconds(20));
+    Under.View.resolveMissing(Under.Now + fromSeconds(20));
     CHECK_FALSE(Under.findState());
   }
 }
@@ -160,7 +160,7 @@
   Under.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
                 {2, 30});
   for (const double Seconds : {1.0, 10.0, 20.0, 300.0}) {
-    Under.View.settleLapsed(Under.Now + fromSeconds(Seconds));
+    Under.View.resolveMissing(Under.Now + fromSeconds(Seconds));
     CHECK_FALSE(Under.findState());
   }
 }
@@ -170,15 +170,15 @@
   Under.restore({makeItem("op/config", makeRules(5), {2, 10})}, {2, 20});
   CHECK(Under.findState() == ServerState::Active);
   SUBCASE("it is gone if it has not") {
-    CHECK_FALSE(Under.View.settleLapsed(Under.Now + fromSeconds(1.9)));
-    CHECK(Under.View.settleLapsed(Under.Now + fromSeconds(2)));
+    CHECK_FALSE(Under.View.resolveMissing(Under.Now + fromSeconds(1.9)));
+    CHECK(Under.View.resolveMissing(Under.Now + fromSeconds(2)));
     CHECK_FALSE(Under.findState());
   }
   SUBCASE("it stays if it has") {
     Under.View.applyEvents(
         {makeItem("servers/i-1", makeServer(9, "ready"), {2, 21})}, {2, 21},
         Under.Now);
-    Under.View.settleLapsed(Under.Now + fromSeconds(20));
+    Under.View.resolveMissing(Under.Now + fromSeconds(20));
     CHECK(Under.findState() == ServerState::Active);
   }
   SUBCASE("one that leaves after the return is not kept") {
@@ -196,13 +196,13 @@
   Under.restore({makeItem("op/config", makeRules(5), {2, 10})}, {2, 20});
   CHECK(Under.View.listDaemons().size() == 1);
   SUBCASE("who does not write again is gone then") {
-    CHECK_FALSE(Under.View.settleLapsed(Under.Now + fromSeconds(1)));
-    Under.View.settleLapsed(Under.Now + fromSeconds(10));
+    CHECK_FALSE(Under.View.resolveMissing(Under.Now + fromSeconds(1)));
+    Under.View.resolveMissing(Under.Now + fromSeconds(10));
     CHECK(Under.View.listDaemons().empty());
   }
   SUBCASE("who does stays") {
     Under.View.applyEvents({makeDaemonItem("d1", {2, 21})}, {2, 21}, Under.Now);
-    Under.View.settleLapsed(Under.Now + fromSeconds(10));
+    Under.View.resolveMissing(Under.Now + fromSeconds(10));
     CHECK(Under.View.listDaemons().size() == 1);
   }
 }
@@ -231,12 +231,12 @@
       const TimePoint Now =
           Start + fromSeconds(Spread * static_cast<double>(I) /
                               static_cast<double>(Missing));
-      View.settleLapsed(Now);
+      View.resolveMissing(Now);
       const StorePosition At(2, 501 + I);
       View.applyEvents({makeDaemonItem(MakeName(Listed + I), At)}, At, Now);
       REQUIRE(View.listDaemons().size() == Count);
     }
-    View.settleLapsed(Start + fromSeconds(10));
+    View.resolveMissing(Start + fromSeconds(10));
     CHECK(View.listDaemons().size() == Count - Dead);
   }
 }
--- a/unittests/StoreSilence/StoreSilenceTest.cpp
+++ b/unittests/StoreSilence/StoreSilenceTest.cpp
@@ -25,7 +25,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/HallBench.h"
+#include "PlatformAdapter/HallFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -37,11 +37,11 @@
 
 TEST_CASE("a change reaches daemons whose watchers the store leaves waiting") {
   Hall Under(4);
-  Under.settle();
+  Under.startServing();
   const std::vector<Member *> Watchers = Under.listWatchers();
   for (Member *Each : Watchers) {
-    Each->WayToStore.getFaults().CutForward = true;
-    Each->WayToStore.getFaults().CutBackward = true;
+    Each->StoreRelay.getFaults().CutForward = true;
+    Each->StoreRelay.getFaults().CutBackward = true;
   }
   Under.writeConfig(3, "/y/");
   for (const std::unique_ptr<Member> &Each : Under.Members)
@@ -52,8 +52,8 @@
 
 TEST_CASE("a change is learned though the watch's connection went silent") {
   Hall Under(1);
-  Under.settle();
-  Under.Members[0]->WayToStore.silenceOpenConnections();
+  Under.startServing();
+  Under.Members[0]->StoreRelay.silenceOpenConnections();
   Under.writeConfig(3, "/y/");
   Under.waitFor([&] { return Under.serves(*Under.Members[0], "/y/1"); });
 }
--- a/unittests/StoreSoak/StoreSoakTest.cpp
+++ b/unittests/StoreSoak/StoreSoakTest.cpp
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "PlatformAdapter/HallBench.h"
+#include "PlatformAdapter/HallFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -76,7 +76,7 @@
     for (const std::unique_ptr<Member> &Each : this->Under.Members)
       this->Under.waitFor(
           [&] { return this->Under.serves(*Each, makePath(2) + "1"); });
-    this->Under.Store.keepBackup();
+    this->Under.Store.takeBackup();
     this->Newest.resize(this->Under.Members.size());
   }
 
@@ -121,7 +121,7 @@
     Request.Target = "/pay/1";
     Request.Headers.emplace("Host", "a.example");
     Request.Headers.emplace("Request-Id", fmt::format("caller-{}", Caller));
-    Request.Headers.emplace("Deadline-Ms", fmt::format("{}", CallerMillis));
+    Request.Headers.emplace("Deadline-Ms", fmt::format("{}", CallerDeadlineMs));
     const Endpoint Address = this->Under.Members[Caller]->Config.Callers;
     while (!IsOver) {
       (void)Kept.exchange(Address, Request, readSteadyClock() + fromSeconds(2),
@@ -157,16 +157,16 @@
       this->Wrote.writeServer(this->Under.One);
       return;
     case 4:
-      this->Under.Store.keepBackup();
+      this->Under.Store.takeBackup();
       return;
     case 5:
       this->restoreStore();
       return;
     case 6:
-      Daemon.WayToStore.silenceOpenConnections();
+      Daemon.StoreRelay.silenceOpenConnections();
       return;
     case 7:
-      Daemon.WayToStore.getFaults().CutBackward = this->draw(0, 1) == 0;
+      Daemon.StoreRelay.getFaults().CutBackward = this->draw(0, 1) == 0;
       return;
     case 8:
       this->Under.Store.forgetHistory();
@@ -188,7 +188,7 @@
   void endFaults() {
     this->Under.Store.setFaults({});
     for (const std::unique_ptr<Member> &Each : this->Under.Members)
-      Each->WayToStore.getFaults().CutBackward = false;
+      Each->StoreRelay.getFaults().CutBackward = false;
     this->Wrote.writeAll();
     this->Wrote.writeVersion();
   }
