--- a/unittests/PlatformAdapter/FleetAtSizeTest.cpp
+++ b/unittests/PlatformAdapter/FleetAtSizeTest.cpp
@@ -156,16 +156,16 @@
 
 /// Returns the processor time of one of Count changes that Make makes.
 template <typename Maker> static double measure(int Count, Maker Make) {
-  FilledDaemon Under;
+  FilledDaemon Fixture;
   const double Before = readProcessorMillis();
   for (int I = 0; I < Count; ++I)
-    Under.take(Make(I, FilledAt + 1 + static_cast<uint64_t>(I)));
+    Fixture.take(Make(I, FilledAt + 1 + static_cast<uint64_t>(I)));
   return (readProcessorMillis() - Before) / Count;
 }
 
 TEST_CASE("the processor time of a change in a large fleet is stated") {
   const double Before = readProcessorMillis();
-  { FilledDaemon Under; }
+  { FilledDaemon Fixture; }
   MESSAGE("a start from a copy, before it was packed: ",
           readProcessorMillis() - Before, " ms");
   MESSAGE("another lease of a daemon's entry: ",
--- a/unittests/PlatformAdapter/FleetViewTest.cpp
+++ b/unittests/PlatformAdapter/FleetViewTest.cpp
@@ -228,8 +228,9 @@
 }
 
 /// Returns the entry of one life of a server.
-static std::string makeLife(uint64_t Born, uint64_t Sequence,
-                            const std::string &State = "ready", int Port = 80) {
+static std::string makeInstanceEntry(uint64_t Born, uint64_t Sequence,
+                                     const std::string &State = "ready",
+                                     int Port = 80) {
   return fmt::format(
       R"({{"address": "10.0.0.9:{}", "born": {},
       "info": {{"service": "s", "version": "v", "zone": "h", "slots": 3}},
@@ -246,13 +247,15 @@
   FleetView View({70}, fromSeconds(2));
   View.replaceAll(
       {{"op/config", makeRules(2), {0, 5}, false},
-       {"servers/i-1", makeLife(1000, 7, "draining"), {0, 6}, false}},
+       {"servers/i-1", makeInstanceEntry(1000, 7, "draining"), {0, 6}, false}},
       {0, 10}, Start);
   const FleetConfigRef Before = View.compileConfig();
   CHECK(getOnly(Before).State == ServerState::Draining);
-  View.applyEvents(
-      {{"servers/i-1", makeLife(2000, 1, "ready", 81), {0, 11}, false}},
-      {0, 11}, Start);
+  View.applyEvents({{"servers/i-1",
+                     makeInstanceEntry(2000, 1, "ready", 81),
+                     {0, 11},
+                     false}},
+                   {0, 11}, Start);
   const FleetConfigRef After = View.compileConfig();
   CHECK(getOnly(After).State == ServerState::Active);
   CHECK(getOnly(After).Address.Port == 81);
@@ -264,12 +267,12 @@
 TEST_CASE("the same life is the same server, whatever else it says") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
-                   {"servers/i-1", makeLife(1000, 7), {0, 6}, false}},
+                   {"servers/i-1", makeInstanceEntry(1000, 7), {0, 6}, false}},
                   {0, 10}, Start);
   const FleetConfigRef Before = View.compileConfig();
   View.applyEvents(
-      {{"servers/i-1", makeLife(1000, 8, "draining"), {0, 11}, false}}, {0, 11},
-      Start);
+      {{"servers/i-1", makeInstanceEntry(1000, 8, "draining"), {0, 11}, false}},
+      {0, 11}, Start);
   CHECK(getOnly(View.compileConfig()).Name == getOnly(Before).Name);
   CHECK(getOnly(View.compileConfig()).State == ServerState::Draining);
 }
@@ -278,38 +281,43 @@
     "what an earlier life, or the same one earlier, wrote comes too late") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
-                   {"servers/i-1", makeLife(2000, 5), {0, 6}, false}},
+                   {"servers/i-1", makeInstanceEntry(2000, 5), {0, 6}, false}},
                   {0, 10}, Start);
-  View.applyEvents(
-      {{"servers/i-1", makeLife(1000, 99, "draining"), {0, 11}, false}},
-      {0, 11}, Start);
+  View.applyEvents({{"servers/i-1",
+                     makeInstanceEntry(1000, 99, "draining"),
+                     {0, 11},
+                     false}},
+                   {0, 11}, Start);
   CHECK(getOnly(View.compileConfig()).State == ServerState::Active);
   View.applyEvents(
-      {{"servers/i-1", makeLife(2000, 4, "draining"), {0, 12}, false}}, {0, 12},
-      Start);
+      {{"servers/i-1", makeInstanceEntry(2000, 4, "draining"), {0, 12}, false}},
+      {0, 12}, Start);
   CHECK(getOnly(View.compileConfig()).State == ServerState::Active);
   // Also once the entry has gone.
   View.applyEvents({{"servers/i-1", "", {0, 13}, true}}, {0, 13}, Start);
-  View.applyEvents({{"servers/i-1", makeLife(1000, 100), {0, 14}, false}},
-                   {0, 14}, Start);
+  View.applyEvents(
+      {{"servers/i-1", makeInstanceEntry(1000, 100), {0, 14}, false}}, {0, 14},
+      Start);
   CHECK(countServers(View) == 0);
-  View.applyEvents({{"servers/i-1", makeLife(2000, 6), {0, 15}, false}},
-                   {0, 15}, Start);
+  View.applyEvents(
+      {{"servers/i-1", makeInstanceEntry(2000, 6), {0, 15}, false}}, {0, 15},
+      Start);
   CHECK(countServers(View) == 1);
 }
 
 TEST_CASE("an entry that turns unreadable names no server, and comes back") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
-                   {"servers/i-1", makeLife(1000, 7), {0, 6}, false},
-                   {"servers/i-2", makeLife(1000, 7), {0, 7}, false}},
+                   {"servers/i-1", makeInstanceEntry(1000, 7), {0, 6}, false},
+                   {"servers/i-2", makeInstanceEntry(1000, 7), {0, 7}, false}},
                   {0, 10}, Start);
   View.applyEvents({{"servers/i-1", "\xff", {0, 11}, false}}, {0, 11}, Start);
   CHECK(countServers(View) == 1);
   CHECK(View.drainRefusedCount() == 1);
   CHECK(View.drainRefusedCount() == 0);
-  View.applyEvents({{"servers/i-1", makeLife(1000, 8), {0, 12}, false}},
-                   {0, 12}, Start);
+  View.applyEvents(
+      {{"servers/i-1", makeInstanceEntry(1000, 8), {0, 12}, false}}, {0, 12},
+      Start);
   CHECK(countServers(View) == 2);
 }
 
@@ -319,16 +327,18 @@
   fill(View);
   CHECK(countServers(View) == 1);
   // One that tells it among others that do not proves nothing.
-  View.applyEvents({{"servers/i-2", makeLife(1000, 1), {0, 11}, false}},
-                   {0, 11}, Start);
+  View.applyEvents(
+      {{"servers/i-2", makeInstanceEntry(1000, 1), {0, 11}, false}}, {0, 11},
+      Start);
   CHECK(countServers(View) == 2);
-  View.applyEvents({{"servers/i-3", makeLife(1000, 1), {0, 12}, false}},
-                   {0, 12}, Start);
+  View.applyEvents(
+      {{"servers/i-3", makeInstanceEntry(1000, 1), {0, 12}, false}}, {0, 12},
+      Start);
   CHECK(countServers(View) == 2);
 }
 
 /// Returns a real value with some bytes changed, or another text altogether.
-static std::string drawForeign(const std::string &Real) {
+static std::string makeDamagedEntry(const std::string &Real) {
   if (*rc::gen::inRange(0, 4) == 0)
     return *rc::gen::arbitrary<std::string>();
   std::string Text = Real;
@@ -360,19 +370,20 @@
       const std::string &Key = Keys[*rc::gen::inRange(0, 6)];
       if (Key == "servers/i-1" || Key == "op/config")
         continue;
-      const std::string Real =
-          *rc::gen::arbitrary<bool>() ? makeLife(1000, 5) : encodeDaemon(Peer);
-      View.applyEvents({{Key, drawForeign(Real), {0, Revision}, false}},
+      const std::string Real = *rc::gen::arbitrary<bool>()
+                                   ? makeInstanceEntry(1000, 5)
+                                   : encodeDaemon(Peer);
+      View.applyEvents({{Key, makeDamagedEntry(Real), {0, Revision}, false}},
                        {0, Revision}, Start);
     }
     const FleetConfigRef Config = View.compileConfig();
     RC_ASSERT(Config->Version == 2u);
     RC_ASSERT(Config->Routes.size() == 1u);
     const auto &Servers = Config->Services[0].Servers;
-    const auto IsSound = [](const ServerConfig &Server) {
+    const auto IsUnchanged = [](const ServerConfig &Server) {
       return Server.Name == "i-1" && Server.Address.Port == 80;
     };
-    RC_ASSERT(std::count_if(Servers.begin(), Servers.end(), IsSound) == 1);
+    RC_ASSERT(std::count_if(Servers.begin(), Servers.end(), IsUnchanged) == 1);
     const std::vector<DaemonRecord> Daemons = View.listDaemons();
     RC_ASSERT(std::count(Daemons.begin(), Daemons.end(), Peer) == 1);
   }));
--- a/unittests/PlatformAdapter/PeerFollowerTest.cpp
+++ b/unittests/PlatformAdapter/PeerFollowerTest.cpp
@@ -38,9 +38,9 @@
             [this] { return this->HasRoom.load(); }) {
     addDirectoryMethod(this->Dispatcher, this->Answerer);
     REQUIRE(this->Server.start({"127.0.0.1", 0}));
-    this->Way = std::make_unique<RelayStandIn>(
+    this->Relay = std::make_unique<RelayStandIn>(
         Endpoint{"127.0.0.1", this->Server.getPort()});
-    REQUIRE(this->Way->start({"127.0.0.1", 0}));
+    REQUIRE(this->Relay->start({"127.0.0.1", 0}));
   }
 
   ItemChanges listChanges(uint64_t AsOf, const ItemPositions &Held) const {
@@ -56,7 +56,7 @@
   }
 
   DaemonRecord getRecord() const {
-    return {this->Name, "h", {"127.0.0.1", this->Way->getPort()}, {}};
+    return {this->Name, "h", {"127.0.0.1", this->Relay->getPort()}, {}};
   }
 
   JsonRpcDispatcher Dispatcher;
@@ -66,7 +66,7 @@
   std::atomic<bool> HasLarge{false};
   std::atomic<bool> HasRoom{true};
   ChangesAnswerer Answerer;
-  std::unique_ptr<RelayStandIn> Way;
+  std::unique_ptr<RelayStandIn> Relay;
 };
 
 /// A follower in a hall with two such peers.
@@ -105,46 +105,46 @@
 
 TEST_CASE("a peer that does not answer is left for another at once") {
   for (const char *Name : FollowerNames) {
-    FollowerFixture Under(Name);
-    Under.One.Way->getFaults().CutBackward = true;
+    FollowerFixture Fixture(Name);
+    Fixture.One.Relay->getFaults().CutBackward = true;
     const TimePoint Now = readSteadyClock();
-    Under.advance(5, Now);
-    Under.Follower.runRound(Now);
-    CHECK(Under.View.getAsOf() == StorePosition(0, 5));
+    Fixture.advance(5, Now);
+    Fixture.Follower.runRound(Now);
+    CHECK(Fixture.View.getAsOf() == StorePosition(0, 5));
   }
 }
 
 TEST_CASE("kept connections that all went silent cost one short wait") {
-  FollowerFixture Under("a");
+  FollowerFixture Fixture("a");
   // Both peers are asked on connections that are kept.
   uint64_t Next = 1;
   for (int I = 0; I < 12; ++I) {
-    Under.advance(++Next, readSteadyClock());
-    Under.Follower.runRound(readSteadyClock());
+    Fixture.advance(++Next, readSteadyClock());
+    Fixture.Follower.runRound(readSteadyClock());
   }
-  REQUIRE(Under.View.getAsOf() == StorePosition(0, Next));
-  Under.One.Way->silenceOpenConnections();
-  Under.Two.Way->silenceOpenConnections();
-  Under.advance(++Next, readSteadyClock());
-  Under.Follower.runRound(readSteadyClock());
-  CHECK(Under.View.getAsOf() == StorePosition(0, Next));
+  REQUIRE(Fixture.View.getAsOf() == StorePosition(0, Next));
+  Fixture.One.Relay->silenceOpenConnections();
+  Fixture.Two.Relay->silenceOpenConnections();
+  Fixture.advance(++Next, readSteadyClock());
+  Fixture.Follower.runRound(readSteadyClock());
+  CHECK(Fixture.View.getAsOf() == StorePosition(0, Next));
 }
 
 TEST_CASE("only a watch of its own that is answered is waited for") {
-  FollowerFixture Under("a");
+  FollowerFixture Fixture("a");
   const TimePoint Heard = readSteadyClock();
-  Under.Follower.setLocalWatchAnswered(true);
-  Under.advance(5, Heard);
-  Under.Follower.runRound(Heard + fromMillis(100));
-  CHECK(Under.View.getAsOf() == StorePosition(0, 1));
+  Fixture.Follower.setLocalWatchAnswered(true);
+  Fixture.advance(5, Heard);
+  Fixture.Follower.runRound(Heard + fromMillis(100));
+  CHECK(Fixture.View.getAsOf() == StorePosition(0, 1));
   SUBCASE("it is no longer answered") {
-    Under.Follower.setLocalWatchAnswered(false);
-    Under.Follower.runRound(Heard + fromMillis(100));
+    Fixture.Follower.setLocalWatchAnswered(false);
+    Fixture.Follower.runRound(Heard + fromMillis(100));
   }
   SUBCASE("it should have told by now") {
-    Under.Follower.runRound(Heard + fromMillis(500));
+    Fixture.Follower.runRound(Heard + fromMillis(500));
   }
-  CHECK(Under.View.getAsOf() == StorePosition(0, 5));
+  CHECK(Fixture.View.getAsOf() == StorePosition(0, 5));
 }
 
 // The failure. A server that had said that it leaves was sent requests 2.8 s
@@ -156,39 +156,39 @@
 // four times; the answer that came at last held 34 items, 33 of them servers'
 // entries.
 TEST_CASE("small news are taken where there is no room for a large value") {
-  FollowerFixture Under("a");
-  for (AheadPeer *Peer : {&Under.One, &Under.Two}) {
+  FollowerFixture Fixture("a");
+  for (AheadPeer *Peer : {&Fixture.One, &Fixture.Two}) {
     Peer->HasLarge = true;
     Peer->HasRoom = false;
   }
   const TimePoint Now = readSteadyClock();
-  Under.advance(5, Now);
-  Under.Follower.runRound(Now);
+  Fixture.advance(5, Now);
+  Fixture.Follower.runRound(Now);
   // The news are in, and the rest is still to come.
-  const ItemChanges Taken = Under.View.getChangesAfter({});
+  const ItemChanges Taken = Fixture.View.getChangesAfter({});
   REQUIRE(Taken.Items.size() == 1);
   CHECK(Taken.Items[0].Key == "k");
-  CHECK(Under.View.getAsOf() == StorePosition(0, 1));
+  CHECK(Fixture.View.getAsOf() == StorePosition(0, 1));
   SUBCASE("one of them has room later") {
-    Under.Two.HasRoom = true;
-    Under.advance(5, Now);
-    Under.Follower.runRound(Now);
-    Under.Follower.runRound(Now);
-    CHECK(Under.View.getAsOf() == StorePosition(0, 5));
-    CHECK(Under.View.getChangesAfter({}).Items.size() == 2);
+    Fixture.Two.HasRoom = true;
+    Fixture.advance(5, Now);
+    Fixture.Follower.runRound(Now);
+    Fixture.Follower.runRound(Now);
+    CHECK(Fixture.View.getAsOf() == StorePosition(0, 5));
+    CHECK(Fixture.View.getChangesAfter({}).Items.size() == 2);
   }
 }
 
 TEST_CASE("a difference that cannot be used is followed by the whole") {
-  FollowerFixture Under("a");
+  FollowerFixture Fixture("a");
   const StoreItem Held{"large", std::string(5000, 'y'), {0, 2}, false};
-  Under.View.replaceAll({Held}, {0, 2}, readSteadyClock());
-  for (AheadPeer *Peer : {&Under.One, &Under.Two})
+  Fixture.View.replaceAll({Held}, {0, 2}, readSteadyClock());
+  for (AheadPeer *Peer : {&Fixture.One, &Fixture.Two})
     Peer->HasLarge = true;
-  Under.advance(5, readSteadyClock());
-  Under.Follower.runRound(readSteadyClock());
-  CHECK(Under.View.getAsOf() == StorePosition(0, 5));
-  const ItemChanges Taken = Under.View.getChangesAfter({0, 2});
+  Fixture.advance(5, readSteadyClock());
+  Fixture.Follower.runRound(readSteadyClock());
+  CHECK(Fixture.View.getAsOf() == StorePosition(0, 5));
+  const ItemChanges Taken = Fixture.View.getChangesAfter({0, 2});
   REQUIRE(Taken.Items.size() == 2);
   CHECK(Taken.Items[1].Value == std::string(5000, 'x'));
 }
--- a/unittests/PlatformAdapter/PlatformDaemonTest.cpp
+++ b/unittests/PlatformAdapter/PlatformDaemonTest.cpp
@@ -29,26 +29,26 @@
 }
 
 TEST_CASE("nothing is served or denied before the first configuration") {
-  DaemonFixture Under;
-  CHECK(Under.getReadyStatus() == 503);
-  const ExchangeResult Early = Under.sendRequest("GET", "/x/1");
+  DaemonFixture Fixture;
+  CHECK(Fixture.getReadyStatus() == 503);
+  const ExchangeResult Early = Fixture.sendRequest("GET", "/x/1");
   CHECK(Early.Status == 503);
   CHECK_FALSE(getHeader(Early, "Retry-After").empty());
-  Under.startServing();
-  CHECK(Under.getReadyStatus() == 200);
-  CHECK(Under.sendRequest("GET", "/nowhere/1").Status == 404);
+  Fixture.startServing();
+  CHECK(Fixture.getReadyStatus() == 200);
+  CHECK(Fixture.sendRequest("GET", "/nowhere/1").Status == 404);
 }
 
 TEST_CASE("a request reaches its server as it was sent, with what is left") {
-  DaemonFixture Under;
-  Under.startServing();
+  DaemonFixture Fixture;
+  Fixture.startServing();
   const ExchangeResult Result =
-      Under.sendRequest("POST", "/pay/9?q=%41", "order");
+      Fixture.sendRequest("POST", "/pay/9?q=%41", "order");
   CHECK(Result.Status == 200);
   CHECK(Result.Body == "whole answer");
   CHECK(getHeader(Result, "Request-Id") == "id-1");
   CHECK(getHeader(Result, "Server-Stamp").starts_with("stamp-"));
-  Upstream &Used = Under.One.Runs ? Under.One : Under.Two;
+  Upstream &Used = Fixture.One.Runs ? Fixture.One : Fixture.Two;
   CHECK(Used.LastBody == "order");
   CHECK(Used.LastHeaders.find("Request-Id")->second == "id-1");
   CHECK(Used.LastHeaders.find("Expect-Instance")->second == Used.Id);
@@ -57,14 +57,14 @@
 }
 
 TEST_CASE("what a server declined goes to the other one") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.One.NextBehaviour = Behaviour::Decline;
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.One.NextBehaviour = Behaviour::Decline;
   for (int I = 0; I < 6; ++I)
-    CHECK(Under.sendRequest("POST", "/pay/1", "order").Status == 200);
-  CHECK(Under.One.Runs == 0);
-  Under.setBehaviours(Behaviour::Decline);
-  const ExchangeResult Refused = Under.sendRequest("POST", "/pay/1", "order");
+    CHECK(Fixture.sendRequest("POST", "/pay/1", "order").Status == 200);
+  CHECK(Fixture.One.Runs == 0);
+  Fixture.setBehaviours(Behaviour::Decline);
+  const ExchangeResult Refused = Fixture.sendRequest("POST", "/pay/1", "order");
   CHECK(Refused.Status == 503);
   CHECK_FALSE(getHeader(Refused, "Retry-After").empty());
 }
@@ -73,211 +73,220 @@
   for (const Behaviour NextBehaviour :
        {Behaviour::Fail, Behaviour::UnmarkedRefusal, Behaviour::Truncate,
         Behaviour::MismatchedId}) {
-    DaemonFixture Under;
-    Under.startServing();
-    Under.setBehaviours(NextBehaviour);
-    const ExchangeResult Result = Under.sendRequest("POST", "/pay/1", "order");
+    DaemonFixture Fixture;
+    Fixture.startServing();
+    Fixture.setBehaviours(NextBehaviour);
+    const ExchangeResult Result =
+        Fixture.sendRequest("POST", "/pay/1", "order");
     CHECK(Result.Status == (NextBehaviour == Behaviour::Fail ? 500 : 502));
-    CHECK(Under.countRuns() == 1);
+    CHECK(Fixture.countRuns() == 1);
   }
 }
 
 TEST_CASE("a repeatable request survives a server that cuts its answers") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.One.NextBehaviour = Behaviour::Truncate;
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.One.NextBehaviour = Behaviour::Truncate;
   for (int I = 0; I < 10; ++I) {
-    const ExchangeResult Result = Under.sendRequest("GET", "/x/1");
+    const ExchangeResult Result = Fixture.sendRequest("GET", "/x/1");
     CHECK(Result.Status == 200);
     CHECK(Result.Body == "whole answer");
   }
 }
 
 TEST_CASE("a request that has no try left takes no right to a repeat") {
-  DaemonFixture Under;
-  Under.startServing();
+  DaemonFixture Fixture;
+  Fixture.startServing();
   // Enough requests for several repeats.
   for (int I = 0; I < 8; ++I)
-    CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
-  Under.setBehaviours(Behaviour::Decline);
-  CHECK(Under.sendRequest("GET", "/x/1").Status == 503);
-  CHECK(Under.One.Arrivals + Under.Two.Arrivals == 10);
-  INFO(Under.readMetrics());
-  CHECK(Under.readMetrics().find("canvaswick_repeats 1\n") !=
+    CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
+  Fixture.setBehaviours(Behaviour::Decline);
+  CHECK(Fixture.sendRequest("GET", "/x/1").Status == 503);
+  CHECK(Fixture.One.Arrivals + Fixture.Two.Arrivals == 10);
+  INFO(Fixture.readMetrics());
+  CHECK(Fixture.readMetrics().find("canvaswick_repeats 1\n") !=
         std::string::npos);
 }
 
 TEST_CASE("a request that has no time left takes no right to a repeat") {
-  DaemonFixture Under;
-  Under.startServing();
+  DaemonFixture Fixture;
+  Fixture.startServing();
   // Enough requests for several repeats.
   for (int I = 0; I < 8; ++I)
-    CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
-  Under.setBehaviours(Behaviour::Slow);
-  Under.One.AnswerDelay = Under.Two.AnswerDelay = std::chrono::seconds(3);
+    CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
+  Fixture.setBehaviours(Behaviour::Slow);
+  Fixture.One.AnswerDelay = Fixture.Two.AnswerDelay = std::chrono::seconds(3);
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
-  Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals == 9; });
+  std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
+  Fixture.waitFor(
+      [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals == 9; });
   // A daemon that is stopping leaves it where it is, to its deadline.
-  Under.Daemon->beginStop();
+  Fixture.Daemon->beginStop();
   Caller.join();
   CHECK(Result.Status == 504);
-  CHECK(Under.readMetrics().find("canvaswick_repeats 0\n") !=
+  CHECK(Fixture.readMetrics().find("canvaswick_repeats 0\n") !=
         std::string::npos);
 }
 
 TEST_CASE("an answer that ends with its connection is passed on whole") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.setBehaviours(Behaviour::Unframed);
-  const ExchangeResult Result = Under.sendRequest("GET", "/x/1");
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.setBehaviours(Behaviour::Unframed);
+  const ExchangeResult Result = Fixture.sendRequest("GET", "/x/1");
   CHECK(Result.Status == 200);
   CHECK(Result.Body == "whole answer");
   CHECK(getHeader(Result, "Content-Length") == "12");
 }
 
 TEST_CASE("a server that has another's address runs nothing") {
-  DaemonFixture Under;
-  Under.startServing();
+  DaemonFixture Fixture;
+  Fixture.startServing();
   // The entry of a third server names the first one's address.
-  Under.Store.remove("servers/i-2");
-  Under.Store.remove("servers/i-1");
-  Under.Store.put("servers/i-3", Under.One.makeEntry("ready"));
-  Under.waitFor([&] { return Under.sendRequest("GET", "/x/1").Status == 503; });
-  Under.One.Runs = 0;
-  CHECK(Under.sendRequest("POST", "/pay/1", "order").Status == 503);
-  CHECK(Under.One.Runs == 0);
+  Fixture.Store.remove("servers/i-2");
+  Fixture.Store.remove("servers/i-1");
+  Fixture.Store.put("servers/i-3", Fixture.One.makeEntry("ready"));
+  Fixture.waitFor(
+      [&] { return Fixture.sendRequest("GET", "/x/1").Status == 503; });
+  Fixture.One.Runs = 0;
+  CHECK(Fixture.sendRequest("POST", "/pay/1", "order").Status == 503);
+  CHECK(Fixture.One.Runs == 0);
 }
 
 TEST_CASE("a draining server gets no new work") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.Store.put("servers/i-1", Under.One.makeEntry("draining"));
-  Under.waitFor([&] {
-    Under.One.Arrivals = 0;
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.Store.put("servers/i-1", Fixture.One.makeEntry("draining"));
+  Fixture.waitFor([&] {
+    Fixture.One.Arrivals = 0;
     for (int I = 0; I < 20; ++I)
-      Under.sendRequest("GET", "/x/1");
-    return Under.One.Arrivals == 0;
+      Fixture.sendRequest("GET", "/x/1");
+    return Fixture.One.Arrivals == 0;
   });
-  CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+  CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
 }
 
 TEST_CASE("a new configuration replaces the old one") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.writeConfig(5, "/y/");
-  Under.waitFor([&] { return Under.sendRequest("GET", "/y/1").Status == 200; });
-  CHECK(Under.sendRequest("GET", "/x/1").Status == 404);
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.writeConfig(5, "/y/");
+  Fixture.waitFor(
+      [&] { return Fixture.sendRequest("GET", "/y/1").Status == 200; });
+  CHECK(Fixture.sendRequest("GET", "/x/1").Status == 404);
 }
 
 TEST_CASE("the operators' bounds for callers are kept") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.Limits = R"({"maxHeaderBytes": 400, "maxBodyBytes": 10,
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.Limits = R"({"maxHeaderBytes": 400, "maxBodyBytes": 10,
                      "headerTimeoutS": 3, "idleTimeoutS": 0.5})";
-  Under.writeConfig(5, "/y/");
-  Under.waitFor([&] { return Under.sendRequest("GET", "/y/1").Status == 200; });
-  CHECK(Under.sendRequest("POST", "/pay/1", "short").Status == 200);
-  CHECK(Under.sendRequest("POST", "/pay/1", "longer than ten bytes").Status ==
+  Fixture.writeConfig(5, "/y/");
+  Fixture.waitFor(
+      [&] { return Fixture.sendRequest("GET", "/y/1").Status == 200; });
+  CHECK(Fixture.sendRequest("POST", "/pay/1", "short").Status == 200);
+  CHECK(Fixture.sendRequest("POST", "/pay/1", "longer than ten bytes").Status ==
         413);
-  CHECK(Under.sendRequest("GET", "/y/" + std::string(500, 'a')).Status == 431);
+  CHECK(Fixture.sendRequest("GET", "/y/" + std::string(500, 'a')).Status ==
+        431);
 }
 
 TEST_CASE("the store may be away while requests are served") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.Store.setFaults({.IsDown = true});
-  Under.Store.forgetHistory();
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.Store.setFaults({.IsDown = true});
+  Fixture.Store.forgetHistory();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
-  CHECK(Under.getReadyStatus() == 200);
+  CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
+  CHECK(Fixture.getReadyStatus() == 200);
 }
 
 TEST_CASE("a planned stop turns readiness red and answers what comes") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.Daemon->beginStop();
-  CHECK(Under.getReadyStatus() == 503);
-  const ExchangeResult Late = Under.sendRequest("GET", "/x/1");
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.Daemon->beginStop();
+  CHECK(Fixture.getReadyStatus() == 503);
+  const ExchangeResult Late = Fixture.sendRequest("GET", "/x/1");
   CHECK(Late.Status == 200);
   CHECK(getHeader(Late, "Connection") == "close");
-  CHECK(Under.Daemon->finishStop(readSteadyClock() + fromSeconds(3)));
+  CHECK(Fixture.Daemon->finishStop(readSteadyClock() + fromSeconds(3)));
 }
 
 TEST_CASE("a slow server is left for another, but not once a stop has begun") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.setBehaviours(Behaviour::Slow);
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.setBehaviours(Behaviour::Slow);
   int Arrivals = 2;
   SUBCASE("no stop") {}
   SUBCASE("a stop begins meanwhile") { Arrivals = 1; }
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
-  Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals == 1; });
+  std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
+  Fixture.waitFor(
+      [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals == 1; });
   if (Arrivals == 1)
-    Under.Daemon->beginStop();
+    Fixture.Daemon->beginStop();
   Caller.join();
-  CHECK(Under.One.Arrivals + Under.Two.Arrivals == Arrivals);
+  CHECK(Fixture.One.Arrivals + Fixture.Two.Arrivals == Arrivals);
   if (Arrivals == 1)
     CHECK(Result.Status == 200);
 }
 
 TEST_CASE("nothing is given up while no repeat is left to try elsewhere") {
-  DaemonFixture Under;
-  Under.startServing();
-  Under.setBehaviours(Behaviour::Slow);
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  Fixture.setBehaviours(Behaviour::Slow);
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
-  Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals == 1; });
+  std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
+  Fixture.waitFor(
+      [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals == 1; });
   // Others use up what is left while it waits.
-  DaemonConfig Config = Under.Config;
+  DaemonConfig Config = Fixture.Config;
   Config.Repeats = {0, fromSeconds(10), 0};
-  Under.Daemon->reload(Config);
+  Fixture.Daemon->reload(Config);
   Caller.join();
   CHECK(Result.Status == 200);
-  CHECK(Under.One.Arrivals + Under.Two.Arrivals == 1);
+  CHECK(Fixture.One.Arrivals + Fixture.Two.Arrivals == 1);
 }
 
 /// Sends requests one after the other, none of which may leave its server, and
 /// returns the server that the last one used.
-static Upstream &useServers(DaemonFixture &Under) {
+static Upstream &useServers(DaemonFixture &Fixture) {
   // With a right to repeats, a server that was not used before may be left
   // again and again before it can answer, and that speaks against it.
-  DaemonConfig Config = Under.Config;
+  DaemonConfig Config = Fixture.Config;
   Config.Repeats = {0, fromSeconds(10), 0};
-  Under.Daemon->reload(Config);
-  Under.One.AnswerDelay = Under.Two.AnswerDelay = TypicalAnswerTime;
+  Fixture.Daemon->reload(Config);
+  Fixture.One.AnswerDelay = Fixture.Two.AnswerDelay = TypicalAnswerTime;
   int OfOne = 0;
   for (int I = 0; I < 12; ++I) {
-    OfOne = Under.One.Arrivals;
-    REQUIRE(Under.sendRequest("GET", "/x/1").Status == 200);
+    OfOne = Fixture.One.Arrivals;
+    REQUIRE(Fixture.sendRequest("GET", "/x/1").Status == 200);
   }
-  Under.Daemon->reload(Under.Config);
-  return Under.One.Arrivals > OfOne ? Under.One : Under.Two;
+  Fixture.Daemon->reload(Fixture.Config);
+  return Fixture.One.Arrivals > OfOne ? Fixture.One : Fixture.Two;
 }
 
 TEST_CASE("a long request stays with a server that nothing speaks against") {
-  DaemonFixture Under;
+  DaemonFixture Fixture;
   // Both answer well for a while, in less than half of the objective.
-  Under.setBehaviours(Behaviour::Slow);
-  Under.One.AnswerDelay = Under.Two.AnswerDelay = TypicalAnswerTime;
-  Under.startServing();
+  Fixture.setBehaviours(Behaviour::Slow);
+  Fixture.One.AnswerDelay = Fixture.Two.AnswerDelay = TypicalAnswerTime;
+  Fixture.startServing();
   // That it has not been used for a while speaks against a server: about one
   // long request in ten goes to the one that was not used last, and is not the
   // case under test.
   for (int Draw = 0; Draw < 20; ++Draw) {
-    Upstream &Used = useServers(Under);
-    Under.One.Arrivals = Under.Two.Arrivals = 0;
-    Under.One.AnswerDelay = Under.Two.AnswerDelay = LateAnswerTime;
+    Upstream &Used = useServers(Fixture);
+    Fixture.One.Arrivals = Fixture.Two.Arrivals = 0;
+    Fixture.One.AnswerDelay = Fixture.Two.AnswerDelay = LateAnswerTime;
     ExchangeResult Result;
-    std::thread Caller([&] { Result = Under.sendRequest("GET", "/x/1"); });
-    Under.waitFor([&] { return Under.One.Arrivals + Under.Two.Arrivals > 0; });
+    std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
+    Fixture.waitFor(
+        [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals > 0; });
     const bool IsCase = Used.Arrivals == 1;
     Caller.join();
     if (!IsCase)
       continue;
     CHECK(Result.Status == 200);
-    CHECK(Under.One.Arrivals + Under.Two.Arrivals == 1);
+    CHECK(Fixture.One.Arrivals + Fixture.Two.Arrivals == 1);
     return;
   }
   FAIL("no long request went to the server that was used last");
@@ -285,26 +294,26 @@
 
 TEST_CASE(
     "a request that is out for many times its usual time goes elsewhere") {
-  DaemonFixture Under;
-  Under.startServing();
+  DaemonFixture Fixture;
+  Fixture.startServing();
   for (int I = 0; I < 20; ++I)
-    REQUIRE(Under.sendRequest("GET", "/x/1").Status == 200);
-  Under.One.Arrivals = Under.Two.Arrivals = 0;
-  Under.One.NextBehaviour = Behaviour::Slow;
-  Under.One.AnswerDelay = LateAnswerTime;
+    REQUIRE(Fixture.sendRequest("GET", "/x/1").Status == 200);
+  Fixture.One.Arrivals = Fixture.Two.Arrivals = 0;
+  Fixture.One.NextBehaviour = Behaviour::Slow;
+  Fixture.One.AnswerDelay = LateAnswerTime;
   // Both are chosen sooner or later.
-  for (int I = 0; I < 20 && Under.One.Arrivals == 0; ++I) {
+  for (int I = 0; I < 20 && Fixture.One.Arrivals == 0; ++I) {
     const TimePoint Began = readSteadyClock();
-    CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+    CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
     CHECK(readSteadyClock() - Began < LateAnswerTime);
   }
-  CHECK(Under.One.Arrivals == 1);
+  CHECK(Fixture.One.Arrivals == 1);
 }
 
 TEST_CASE("metrics have an address of their own, but no daemon depends on it") {
-  DaemonFixture Under;
-  Under.startServing();
-  DaemonConfig Config = Under.Config;
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  DaemonConfig Config = Fixture.Config;
   Config.Name = "d2";
   Config.Callers.Port = DaemonFixture::findFreePort();
   Config.Ready.Port = DaemonFixture::findFreePort();
@@ -312,50 +321,50 @@
     Config.Metrics = {"127.0.0.1", DaemonFixture::findFreePort()};
     PlatformDaemon Daemon(Config);
     REQUIRE(Daemon.start());
-    const ExchangeResult Page = Under.get(Config.Metrics, "/metrics");
+    const ExchangeResult Page = Fixture.get(Config.Metrics, "/metrics");
     CHECK(Page.Status == 200);
     CHECK(Page.Body.find("canvaswick_requests 0\n") != std::string::npos);
-    CHECK(Under.get(Config.Metrics, "/ready").Status == 404);
+    CHECK(Fixture.get(Config.Metrics, "/ready").Status == 404);
   }
   SUBCASE("another process has it") {
-    Config.Metrics = Under.Config.Callers;
+    Config.Metrics = Fixture.Config.Callers;
     PlatformDaemon Daemon(Config);
     REQUIRE(Daemon.start());
-    Under.waitFor(
-        [&] { return Under.get(Config.Ready, "/ready").Status == 200; });
+    Fixture.waitFor(
+        [&] { return Fixture.get(Config.Ready, "/ready").Status == 200; });
   }
 }
 
 TEST_CASE("metrics tell how far the copy of the store goes and how old it is") {
-  DaemonFixture Under;
-  Under.startServing();
+  DaemonFixture Fixture;
+  Fixture.startServing();
   const auto Shows = [&](const std::string &Line) {
-    return Under.readMetrics().find("canvaswick_store_" + Line) !=
+    return Fixture.readMetrics().find("canvaswick_store_" + Line) !=
            std::string::npos;
   };
   // The daemon's own entry may come after the change in the same answer: then
   // the copy goes further than the change.
   const auto ReadAsOf = [&] {
-    const std::string Page = Under.readMetrics();
+    const std::string Page = Fixture.readMetrics();
     const std::string Name = "\ncanvaswick_store_as_of ";
     const size_t At = Page.find(Name);
     REQUIRE(At != std::string::npos);
     return std::stoull(Page.substr(At + Name.size()));
   };
-  const uint64_t Revision = Under.Store.put("elsewhere", "x");
-  Under.waitFor([&] { return ReadAsOf() >= Revision; });
+  const uint64_t Revision = Fixture.Store.put("elsewhere", "x");
+  Fixture.waitFor([&] { return ReadAsOf() >= Revision; });
   // It does not claim more than the store has.
   const uint64_t Claimed = ReadAsOf();
-  CHECK(Claimed < Under.Store.put("elsewhere", "y"));
+  CHECK(Claimed < Fixture.Store.put("elsewhere", "y"));
   CHECK(Shows("watching 1\n"));
   CHECK_FALSE(Shows("heard_ms -1\n"));
 }
 
 TEST_CASE("a daemon that is dropped while peers speak to it ends cleanly") {
   // Found by a sanitizer, or by a crash: threads reached members already gone.
-  DaemonFixture Under;
-  Under.startServing();
-  DaemonConfig Brief = Under.Config;
+  DaemonFixture Fixture;
+  Fixture.startServing();
+  DaemonConfig Brief = Fixture.Config;
   Brief.Name = "d2";
   Brief.Callers.Port = DaemonFixture::findFreePort();
   Brief.Ready.Port = DaemonFixture::findFreePort();
@@ -385,7 +394,7 @@
   IsOver = true;
   Speaking.join();
   CHECK(Counters.get(Counter::PeerDatagramsSent) > 0);
-  CHECK(Under.sendRequest("GET", "/x/1").Status == 200);
+  CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
 }
 
 // The failure. After a loss of power of a whole fleet one request in six of the
@@ -395,54 +404,54 @@
 // refusals of that time say no-settings, and each daemon's settings came 0.2 s
 // after its start.
 TEST_CASE("who comes just before the settings is served by them") {
-  PlatformFixture Under;
-  Under.writeConfig(2);
-  Under.addServers();
-  Under.Store.setFaults({.SlowMs = 100});
-  const DaemonConfig Config = Under.makeDaemonConfig("d1");
+  PlatformFixture Fixture;
+  Fixture.writeConfig(2);
+  Fixture.addServers();
+  Fixture.Store.setFaults({.SlowMs = 100});
+  const DaemonConfig Config = Fixture.makeDaemonConfig("d1");
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
-  CHECK(Under.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200);
+  CHECK(Fixture.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200);
 }
 
 TEST_CASE("who is refused for want of settings and comes back is served") {
-  PlatformFixture Under;
-  Under.writeConfig(2);
-  Under.addServers();
-  Under.Store.setFaults({.IsDown = true});
-  const DaemonConfig Config = Under.makeDaemonConfig("d1");
+  PlatformFixture Fixture;
+  Fixture.writeConfig(2);
+  Fixture.addServers();
+  Fixture.Store.setFaults({.IsDown = true});
+  const DaemonConfig Config = Fixture.makeDaemonConfig("d1");
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
   // Nothing says that there will be settings soon.
   const ExchangeResult First =
-      Under.sendRequestTo(Config.Callers, "GET", "/x/1");
+      Fixture.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(First.Status == 503);
   CHECK(getHeader(First, "Canvaswick-Outcome") == "not-run");
   const double Wait = std::stod(getHeader(First, "Retry-After"));
   CHECK(Wait >= 0.5);
-  Under.Store.setFaults({});
+  Fixture.Store.setFaults({});
   // A busy machine may take longer; then it says so again.
-  Under.waitFor([&] {
+  Fixture.waitFor([&] {
     std::this_thread::sleep_for(std::chrono::duration<double>(Wait));
-    return Under.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200;
+    return Fixture.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200;
   });
 }
 
 TEST_CASE("who comes while there are no settings is refused and told when") {
-  PlatformFixture Under;
-  Under.Store.setFaults({.IsDown = true});
-  const DaemonConfig Config = Under.makeDaemonConfig("d1");
+  PlatformFixture Fixture;
+  Fixture.Store.setFaults({.IsDown = true});
+  const DaemonConfig Config = Fixture.makeDaemonConfig("d1");
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
   const ExchangeResult First =
-      Under.sendRequestTo(Config.Callers, "GET", "/x/1");
+      Fixture.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(First.Status == 503);
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
   const ExchangeResult Later =
-      Under.sendRequestTo(Config.Callers, "GET", "/x/1");
+      Fixture.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(Later.Status == 503);
   // The longer it lasts the longer it is likely to last.
   CHECK(std::stod(getHeader(Later, "Retry-After")) >= 0.7);
   // The balancer is told all along.
-  CHECK(Under.get(Config.Ready, "/ready").Status == 503);
+  CHECK(Fixture.get(Config.Ready, "/ready").Status == 503);
 }
--- a/unittests/PlatformAdapter/StoreWatcherTest.cpp
+++ b/unittests/PlatformAdapter/StoreWatcherTest.cpp
@@ -28,162 +28,165 @@
 static const std::string DaemonKey = "canvaswick/daemons/d1";
 
 TEST_CASE("all pages are read and changes follow") {
-  WatcherFixture Under;
+  WatcherFixture Fixture;
   for (char Name = 'a'; Name <= 'h'; ++Name)
-    Under.Store.put(std::string("canvaswick/daemons/") + Name,
-                    encodeDaemon(Under.Self));
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 8);
-  CHECK(Under.Store.countCalls("/kv-range") == 3);
-  Under.Store.remove("canvaswick/daemons/c");
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 7);
+    Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
+                      encodeDaemon(Fixture.Self));
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 8);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 3);
+  Fixture.Store.remove("canvaswick/daemons/c");
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
 TEST_CASE("a store that has forgotten its history is read anew") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Feed.runRound();
-  Under.Store.remove(DaemonKey);
-  Under.Store.forgetHistory();
-  Under.Feed.runRound();
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().empty());
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Feed.runRound();
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Store.forgetHistory();
+  Fixture.Feed.runRound();
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
 TEST_CASE("what changed while the store was away is learned on its return") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  WatcherFixture::synchronize(Under.Feed);
-  Under.Store.setFaults({.IsDown = true});
-  Under.Feed.runRound();
-  CHECK_FALSE(Under.Feed.isSynced());
-  CHECK(Under.View.listDaemons().size() == 1);
-  Under.Store.remove(DaemonKey);
-  Under.Store.setFaults({});
-  Under.Feed.runRound();
-  CHECK(Under.Feed.isSynced());
-  CHECK(Under.View.listDaemons().empty());
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  WatcherFixture::synchronize(Fixture.Feed);
+  Fixture.Store.setFaults({.IsDown = true});
+  Fixture.Feed.runRound();
+  CHECK_FALSE(Fixture.Feed.isSynced());
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Store.setFaults({});
+  Fixture.Feed.runRound();
+  CHECK(Fixture.Feed.isSynced());
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
 TEST_CASE("an answer without changes shows that the store is reached") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Feed.runRound();
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Feed.runRound();
   // What it read may be old.
-  CHECK(Under.Feed.getHeardAt() == TimePoint{});
-  Under.Feed.runRound();
-  const TimePoint Watched = Under.Feed.getHeardAt();
+  CHECK(Fixture.Feed.getHeardAt() == TimePoint{});
+  Fixture.Feed.runRound();
+  const TimePoint Watched = Fixture.Feed.getHeardAt();
   CHECK(Watched > TimePoint{});
-  Under.Feed.runRound();
-  CHECK(Under.Feed.getHeardAt() > Watched);
-  CHECK(Under.Store.countCalls("/kv-watch") == 2);
-  CHECK(Under.Store.countCalls("/kv-range") == 1);
+  Fixture.Feed.runRound();
+  CHECK(Fixture.Feed.getHeardAt() > Watched);
+  CHECK(Fixture.Store.countCalls("/kv-watch") == 2);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 1);
 }
 
 TEST_CASE("after a watch that was not answered, what has changed is read") {
-  WatcherFixture Under;
-  RelayStandIn Way(Under.Store.getAddress());
-  REQUIRE(Way.start({"127.0.0.1", 0}));
-  StoreClient Client({"127.0.0.1", Way.getPort()}, Under.Counters);
-  StoreWatcher Feed(Client, Under.View, [] {});
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
+  WatcherFixture Fixture;
+  RelayStandIn Relay(Fixture.Store.getAddress());
+  REQUIRE(Relay.start({"127.0.0.1", 0}));
+  StoreClient Client({"127.0.0.1", Relay.getPort()}, Fixture.Counters);
+  StoreWatcher Feed(Client, Fixture.View, [] {});
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   WatcherFixture::synchronize(Feed);
-  Way.silenceOpenConnections();
-  Under.Store.remove(DaemonKey);
+  Relay.silenceOpenConnections();
+  Fixture.Store.remove(DaemonKey);
   Feed.runRound();
   CHECK_FALSE(Feed.isSynced());
   // On a new connection, and at once.
   Feed.runRound();
   CHECK(Feed.isSynced());
-  CHECK(Under.View.listDaemons().empty());
+  CHECK(Fixture.View.listDaemons().empty());
   // All, how far the store is, and all again.
-  CHECK(Under.Store.countCalls("/kv-range") == 3);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 3);
 }
 
 TEST_CASE("changes that a watch withholds are read") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Feed.runRound();
-  Under.Store.setFaults({.WithholdsChanges = true});
-  Under.Store.remove(DaemonKey);
-  Under.Feed.runRound();
-  CHECK_FALSE(Under.Feed.isSynced());
-  Under.Feed.runRound();
-  CHECK(Under.Feed.isSynced());
-  CHECK(Under.View.listDaemons().empty());
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Feed.runRound();
+  Fixture.Store.setFaults({.WithholdsChanges = true});
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Feed.runRound();
+  CHECK_FALSE(Fixture.Feed.isSynced());
+  Fixture.Feed.runRound();
+  CHECK(Fixture.Feed.isSynced());
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
 TEST_CASE("a daemon that rests counts for nothing until the store answers it") {
-  WatcherFixture Under;
-  WatcherFixture::synchronize(Under.Feed);
-  Under.Feed.suspend();
-  CHECK_FALSE(Under.Feed.isSynced());
-  Under.Feed.runRound();
-  CHECK(Under.Feed.isSynced());
+  WatcherFixture Fixture;
+  WatcherFixture::synchronize(Fixture.Feed);
+  Fixture.Feed.suspend();
+  CHECK_FALSE(Fixture.Feed.isSynced());
+  Fixture.Feed.runRound();
+  CHECK(Fixture.Feed.isSynced());
 }
 
 TEST_CASE("pages that are not equally old are complete up to the oldest") {
-  WatcherFixture Under;
+  WatcherFixture Fixture;
   for (char Name = 'a'; Name <= 'h'; ++Name)
-    Under.Store.put(std::string("canvaswick/daemons/") + Name,
-                    encodeDaemon(Under.Self));
-  Under.Store.freezeStalePages();
+    Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
+                      encodeDaemon(Fixture.Self));
+  Fixture.Store.freezeStalePages();
   // The later pages do not show it, and the first one's revision is past it.
-  Under.Store.remove("canvaswick/daemons/h");
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 8);
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 7);
+  Fixture.Store.remove("canvaswick/daemons/h");
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 8);
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
 /// Returns a copy as a fleet leaves it at the store.
-static std::string makeCopy(const WatcherFixture &Under, uint64_t AsOf) {
+static std::string makeCopy(const WatcherFixture &Fixture, uint64_t AsOf) {
   ItemChanges All;
   All.IsAll = true;
   All.AsOf = {1, AsOf};
-  All.Items.push_back({DaemonKey, encodeDaemon(Under.Self), {1, AsOf}, false});
+  All.Items.push_back(
+      {DaemonKey, encodeDaemon(Fixture.Self), {1, AsOf}, false});
   return encodeSnapshot(All);
 }
 
 TEST_CASE("a daemon that starts takes the copy that its fleet keeps") {
-  WatcherFixture Under;
-  const uint64_t AsOf = Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Store.put("canvaswick/copy", makeCopy(Under, AsOf));
+  WatcherFixture Fixture;
+  const uint64_t AsOf =
+      Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Store.put("canvaswick/copy", makeCopy(Fixture, AsOf));
   // The copy does not know of this one.
-  Under.Store.put("canvaswick/daemons/d2", encodeDaemon(Under.Self));
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 1);
-  CHECK(Under.Store.countCalls("/kv-range") == 0);
-  CHECK(Under.Store.sumCallCosts() == doctest::Approx(0.1));
-  Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 2);
+  Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 0);
+  CHECK(Fixture.Store.sumCallCosts() == doctest::Approx(0.1));
+  Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 2);
   // Nor is the copy one of the items that it would hold.
-  CHECK(Under.View.getChangesAfter({}).Items.size() == 2);
-  CHECK(Under.View.getSnapshotPosition() == StorePosition(1, AsOf + 1));
+  CHECK(Fixture.View.getChangesAfter({}).Items.size() == 2);
+  CHECK(Fixture.View.getSnapshotPosition() == StorePosition(1, AsOf + 1));
 }
 
 TEST_CASE("a copy that is broken, of a part, or too old is made up for") {
-  WatcherFixture Under;
-  const uint64_t AsOf = Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  SUBCASE("broken") { Under.Store.put("canvaswick/copy", "no copy"); }
+  WatcherFixture Fixture;
+  const uint64_t AsOf =
+      Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  SUBCASE("broken") { Fixture.Store.put("canvaswick/copy", "no copy"); }
   SUBCASE("of a part") {
     ItemChanges Part;
     Part.AsOf = {1, AsOf};
-    Under.Store.put("canvaswick/copy", encodeSnapshot(Part));
+    Fixture.Store.put("canvaswick/copy", encodeSnapshot(Part));
   }
   SUBCASE("too old") {
-    Under.Store.put("canvaswick/copy", makeCopy(Under, AsOf));
-    Under.Store.put("canvaswick/daemons/d2", encodeDaemon(Under.Self));
-    Under.Store.remove(DaemonKey);
-    Under.Store.forgetHistory();
-    Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-    Under.Store.remove("canvaswick/daemons/d2");
+    Fixture.Store.put("canvaswick/copy", makeCopy(Fixture, AsOf));
+    Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
+    Fixture.Store.remove(DaemonKey);
+    Fixture.Store.forgetHistory();
+    Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+    Fixture.Store.remove("canvaswick/daemons/d2");
   }
   for (int I = 0; I < 3; ++I)
-    Under.Feed.runRound();
-  CHECK(Under.View.listDaemons().size() == 1);
-  CHECK(Under.Feed.isSynced());
+    Fixture.Feed.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  CHECK(Fixture.Feed.isSynced());
 }
 
 TEST_CASE("random bytes for a copy are refused") {
@@ -194,15 +197,15 @@
 }
 
 TEST_CASE("the copy is written when it is behind, by who leads, now and then") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  WatcherFixture::synchronize(Under.Feed);
-  SnapshotWriter Keeper(Under.Client, Under.View);
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  WatcherFixture::synchronize(Fixture.Feed);
+  SnapshotWriter Writer(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
   const auto IsWritten = [&](WatchRole Role, size_t HallRank, Duration After) {
-    const size_t Before = Under.Store.countCalls("/kv-txn");
-    Keeper.runRound(Role, HallRank, Start + After);
-    return Under.Store.countCalls("/kv-txn") > Before;
+    const size_t Before = Fixture.Store.countCalls("/kv-txn");
+    Writer.runRound(Role, HallRank, Start + After);
+    return Fixture.Store.countCalls("/kv-txn") > Before;
   };
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, Duration::zero()));
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, fromSeconds(4.9)));
@@ -210,124 +213,125 @@
   CHECK_FALSE(IsWritten(WatchRole::Lead, 1, fromSeconds(5)));
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(5)));
   const Result<ItemChanges> Copy =
-      decodeSnapshot(Under.Store.peek("canvaswick/copy"));
+      decodeSnapshot(Fixture.Store.peek("canvaswick/copy"));
   REQUIRE(Copy);
   CHECK(Copy.value().Items.size() == 1);
   // Its own write is no change that another copy would be due for.
-  Under.Feed.runRound();
+  Fixture.Feed.runRound();
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, fromSeconds(11)));
-  Under.Store.put("canvaswick/daemons/d2", encodeDaemon(Under.Self));
-  Under.Feed.runRound();
+  Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
+  Fixture.Feed.runRound();
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(12)));
 }
 
 TEST_CASE("of two that write the copy at once one is refused and waits") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  WatcherFixture::synchronize(Under.Feed);
-  SnapshotWriter One(Under.Client, Under.View);
-  SnapshotWriter Two(Under.Client, Under.View);
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  WatcherFixture::synchronize(Fixture.Feed);
+  SnapshotWriter One(Fixture.Client, Fixture.View);
+  SnapshotWriter Two(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
   for (const Duration After :
        {Duration::zero(), fromSeconds(5), fromSeconds(6)})
     for (SnapshotWriter *Each : {&One, &Two})
       Each->runRound(WatchRole::Lead, 0, Start + After);
-  CHECK(Under.Store.countCalls("/kv-txn") == 2);
-  CHECK(decodeSnapshot(Under.Store.peek("canvaswick/copy")));
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
+  CHECK(decodeSnapshot(Fixture.Store.peek("canvaswick/copy")));
 }
 
 TEST_CASE("writes are conditional, and leases take their items along") {
-  WatcherFixture Under;
+  WatcherFixture Fixture;
   StoreTransaction First;
   First.Expected.emplace_back("k", 0);
   First.Writes.push_back({"k", "one", 0});
-  Result<StorePosition> Written = Under.Client.write(First);
+  Result<StorePosition> Written = Fixture.Client.write(First);
   REQUIRE(Written);
-  Result<StorePosition> Again = Under.Client.write(First);
+  Result<StorePosition> Again = Fixture.Client.write(First);
   REQUIRE_FALSE(Again);
   CHECK(Again.error().Kind == ErrorKind::Conflict);
-  Result<StoreLease> Lease = Under.Client.openLease(fromSeconds(5));
+  Result<StoreLease> Lease = Fixture.Client.openLease(fromSeconds(5));
   REQUIRE(Lease);
   StoreTransaction Leased;
   Leased.Writes.push_back({"l", "x", Lease.value().Number});
-  REQUIRE(Under.Client.write(Leased));
-  CHECK(Under.Client.renewLease(Lease.value()));
-  CHECK(Under.Client.endLease(Lease.value()));
-  CHECK(Under.Store.peek("l").empty());
-  Result<void> Late = Under.Client.renewLease(Lease.value());
+  REQUIRE(Fixture.Client.write(Leased));
+  CHECK(Fixture.Client.renewLease(Lease.value()));
+  CHECK(Fixture.Client.endLease(Lease.value()));
+  CHECK(Fixture.Store.peek("l").empty());
+  Result<void> Late = Fixture.Client.renewLease(Lease.value());
   REQUIRE_FALSE(Late);
   CHECK(Late.error().Kind == ErrorKind::NotFound);
 }
 
 TEST_CASE("a daemon registers, and again when its lease has ended") {
-  WatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  Under.Feed.runRound();
-  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
-                              fromSeconds(60));
+  WatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  Fixture.Feed.runRound();
+  DaemonRegistration Registration(Fixture.Client, Fixture.View, Fixture.Self,
+                                  fromSeconds(60));
   const TimePoint Now = readSteadyClock();
-  Registry.runRound(Now);
-  CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
+  Registration.runRound(Now);
+  CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
   // The view has not reached the write yet: nothing is written twice.
-  Registry.runRound(Now + fromSeconds(3));
-  CHECK(Under.Store.countCalls("/kv-txn") == 1);
-  Under.Store.endLeases();
-  Under.Feed.runRound();
-  Registry.runRound(Now + fromSeconds(4));
-  CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-  CHECK(Under.Store.countCalls("/kv-txn") == 2);
-  Registry.leave();
-  CHECK(Under.Store.peek(DaemonKey).empty());
+  Registration.runRound(Now + fromSeconds(3));
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
+  Fixture.Store.endLeases();
+  Fixture.Feed.runRound();
+  Registration.runRound(Now + fromSeconds(4));
+  CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
+  Registration.leave();
+  CHECK(Fixture.Store.peek(DaemonKey).empty());
 }
 
 TEST_CASE("a daemon that comes back goes on with its entry and its lease") {
-  WatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  WatcherFixture::synchronize(Under.Feed);
+  WatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  WatcherFixture::synchronize(Fixture.Feed);
   const TimePoint Now = readSteadyClock();
-  DaemonRegistration Before(Under.Client, Under.View, Under.Self,
+  DaemonRegistration Before(Fixture.Client, Fixture.View, Fixture.Self,
                             fromSeconds(60));
   Before.runRound(Now);
-  Under.Feed.runRound();
+  Fixture.Feed.runRound();
   // It lost power: nothing was ended.
-  const double Price = Under.Store.sumCallCosts();
-  DaemonRegistration After(Under.Client, Under.View, Under.Self,
+  const double Price = Fixture.Store.sumCallCosts();
+  DaemonRegistration After(Fixture.Client, Fixture.View, Fixture.Self,
                            fromSeconds(60));
   After.runRound(Now);
-  CHECK(Under.Store.sumCallCosts() - Price == doctest::Approx(0.1));
+  CHECK(Fixture.Store.sumCallCosts() - Price == doctest::Approx(0.1));
   SUBCASE("it leaves by it") {
     After.leave();
-    CHECK(Under.Store.peek(DaemonKey).empty());
+    CHECK(Fixture.Store.peek(DaemonKey).empty());
   }
   SUBCASE("the lease has ended, though the view lists the entry") {
-    Under.Store.endLeases();
-    DaemonRegistration Third(Under.Client, Under.View, Under.Self,
+    Fixture.Store.endLeases();
+    DaemonRegistration Third(Fixture.Client, Fixture.View, Fixture.Self,
                              fromSeconds(60));
     Third.runRound(Now);
-    CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-    CHECK(Under.Store.countCalls("/kv-txn") == 2);
+    CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+    CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
   }
   SUBCASE("it comes back at another address") {
-    DaemonRecord Moved = Under.Self;
+    DaemonRecord Moved = Fixture.Self;
     Moved.Control.Port = 99;
-    DaemonRegistration Third(Under.Client, Under.View, Moved, fromSeconds(60));
+    DaemonRegistration Third(Fixture.Client, Fixture.View, Moved,
+                             fromSeconds(60));
     Third.runRound(Now);
-    CHECK(Under.Store.countCalls("/kv-txn") == 2);
+    CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
   }
 }
 
 TEST_CASE("a write whose answer was lost is looked up first") {
-  WatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  Under.Feed.runRound();
-  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
-                              fromSeconds(60));
-  Under.Store.setFaults({.LosesAnswers = true});
+  WatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  Fixture.Feed.runRound();
+  DaemonRegistration Registration(Fixture.Client, Fixture.View, Fixture.Self,
+                                  fromSeconds(60));
+  Fixture.Store.setFaults({.LosesAnswers = true});
   const TimePoint Now = readSteadyClock();
-  Registry.runRound(Now);
-  CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-  Under.Store.setFaults({});
-  Under.Feed.runRound();
-  Registry.runRound(Now + fromSeconds(3));
-  CHECK(Under.Store.countCalls("/kv-txn") == 1);
+  Registration.runRound(Now);
+  CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+  Fixture.Store.setFaults({});
+  Fixture.Feed.runRound();
+  Registration.runRound(Now + fromSeconds(3));
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
 }
