--- a/unittests/PlatformAdapter/StoreWatcherFixture.h
+++ b/unittests/PlatformAdapter/StoreWatcherFixture.h
@@ -30,18 +30,18 @@
   }
 
   /// The first read may be old; the watch after it is not.
-  static void synchronize(StoreWatcher &Feed) {
-    Feed.runRound();
-    CHECK_FALSE(Feed.isSynced());
-    Feed.runRound();
-    CHECK(Feed.isSynced());
+  static void synchronize(StoreWatcher &Watcher) {
+    Watcher.runRound();
+    CHECK_FALSE(Watcher.isSynced());
+    Watcher.runRound();
+    CHECK(Watcher.isSynced());
   }
 
   StoreStandIn Store;
   CounterTable Counters;
   StoreClient Client;
   FleetView View{{70}, fromSeconds(2)};
-  StoreWatcher Feed{Client, View, [] {}};
+  StoreWatcher Watcher{Client, View, [] {}};
   DaemonRecord Self{"d1", "h", {"10.0.0.1", 80}, {"10.0.0.1", 81}};
 };
 
--- a/unittests/PlatformAdapter/StoreWatcherTest.cpp
+++ b/unittests/PlatformAdapter/StoreWatcherTest.cpp
@@ -32,51 +32,51 @@
   for (char Name = 'a'; Name <= 'h'; ++Name)
     Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
                       encodeDaemon(Fixture.Self));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 8);
   CHECK(Fixture.Store.countCalls("/kv-range") == 3);
   Fixture.Store.remove("canvaswick/daemons/c");
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
 TEST_CASE("a store that has forgotten its history is read anew") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   Fixture.Store.remove(DaemonKey);
   Fixture.Store.forgetHistory();
-  Fixture.Feed.runRound();
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().empty());
 }
 
 TEST_CASE("what changed while the store was away is learned on its return") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  WatcherFixture::synchronize(Fixture.Feed);
+  WatcherFixture::synchronize(Fixture.Watcher);
   Fixture.Store.setFaults({.IsDown = true});
-  Fixture.Feed.runRound();
-  CHECK_FALSE(Fixture.Feed.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK_FALSE(Fixture.Watcher.isSynced());
   CHECK(Fixture.View.listDaemons().size() == 1);
   Fixture.Store.remove(DaemonKey);
   Fixture.Store.setFaults({});
-  Fixture.Feed.runRound();
-  CHECK(Fixture.Feed.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.isSynced());
   CHECK(Fixture.View.listDaemons().empty());
 }
 
 TEST_CASE("an answer without changes shows that the store is reached") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   // What it read may be old.
-  CHECK(Fixture.Feed.getHeardAt() == TimePoint{});
-  Fixture.Feed.runRound();
-  const TimePoint Watched = Fixture.Feed.getHeardAt();
+  CHECK(Fixture.Watcher.getHeardAt() == TimePoint{});
+  Fixture.Watcher.runRound();
+  const TimePoint Watched = Fixture.Watcher.getHeardAt();
   CHECK(Watched > TimePoint{});
-  Fixture.Feed.runRound();
-  CHECK(Fixture.Feed.getHeardAt() > Watched);
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.getHeardAt() > Watched);
   CHECK(Fixture.Store.countCalls("/kv-watch") == 2);
   CHECK(Fixture.Store.countCalls("/kv-range") == 1);
 }
@@ -86,16 +86,16 @@
   RelayStandIn Relay(Fixture.Store.getAddress());
   REQUIRE(Relay.start({"127.0.0.1", 0}));
   StoreClient Client({"127.0.0.1", Relay.getPort()}, Fixture.Counters);
-  StoreWatcher Feed(Client, Fixture.View, [] {});
+  StoreWatcher Watcher(Client, Fixture.View, [] {});
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  WatcherFixture::synchronize(Feed);
+  WatcherFixture::synchronize(Watcher);
   Relay.silenceOpenConnections();
   Fixture.Store.remove(DaemonKey);
-  Feed.runRound();
-  CHECK_FALSE(Feed.isSynced());
+  Watcher.runRound();
+  CHECK_FALSE(Watcher.isSynced());
   // On a new connection, and at once.
-  Feed.runRound();
-  CHECK(Feed.isSynced());
+  Watcher.runRound();
+  CHECK(Watcher.isSynced());
   CHECK(Fixture.View.listDaemons().empty());
   // All, how far the store is, and all again.
   CHECK(Fixture.Store.countCalls("/kv-range") == 3);
@@ -104,23 +104,23 @@
 TEST_CASE("changes that a watch withholds are read") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   Fixture.Store.setFaults({.WithholdsChanges = true});
   Fixture.Store.remove(DaemonKey);
-  Fixture.Feed.runRound();
-  CHECK_FALSE(Fixture.Feed.isSynced());
-  Fixture.Feed.runRound();
-  CHECK(Fixture.Feed.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK_FALSE(Fixture.Watcher.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.isSynced());
   CHECK(Fixture.View.listDaemons().empty());
 }
 
 TEST_CASE("a daemon that rests counts for nothing until the store answers it") {
   WatcherFixture Fixture;
-  WatcherFixture::synchronize(Fixture.Feed);
-  Fixture.Feed.suspend();
-  CHECK_FALSE(Fixture.Feed.isSynced());
-  Fixture.Feed.runRound();
-  CHECK(Fixture.Feed.isSynced());
+  WatcherFixture::synchronize(Fixture.Watcher);
+  Fixture.Watcher.suspend();
+  CHECK_FALSE(Fixture.Watcher.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.isSynced());
 }
 
 TEST_CASE("pages that are not equally old are complete up to the oldest") {
@@ -131,9 +131,9 @@
   Fixture.Store.freezeStalePages();
   // The later pages do not show it, and the first one's revision is past it.
   Fixture.Store.remove("canvaswick/daemons/h");
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 8);
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
@@ -154,11 +154,11 @@
   Fixture.Store.put("canvaswick/copy", makeCopy(Fixture, AsOf));
   // The copy does not know of this one.
   Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 1);
   CHECK(Fixture.Store.countCalls("/kv-range") == 0);
   CHECK(Fixture.Store.sumCallCosts() == doctest::Approx(0.1));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 2);
   // Nor is the copy one of the items that it would hold.
   CHECK(Fixture.View.getChangesAfter({}).Items.size() == 2);
@@ -184,9 +184,9 @@
     Fixture.Store.remove("canvaswick/daemons/d2");
   }
   for (int I = 0; I < 3; ++I)
-    Fixture.Feed.runRound();
+    Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 1);
-  CHECK(Fixture.Feed.isSynced());
+  CHECK(Fixture.Watcher.isSynced());
 }
 
 TEST_CASE("random bytes for a copy are refused") {
@@ -199,7 +199,7 @@
 TEST_CASE("the copy is written when it is behind, by who leads, now and then") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  WatcherFixture::synchronize(Fixture.Feed);
+  WatcherFixture::synchronize(Fixture.Watcher);
   SnapshotWriter Writer(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
   const auto IsWritten = [&](WatchRole Role, size_t HallRank, Duration After) {
@@ -217,17 +217,17 @@
   REQUIRE(Copy);
   CHECK(Copy.value().Items.size() == 1);
   // Its own write is no change that another copy would be due for.
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, fromSeconds(11)));
   Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(12)));
 }
 
 TEST_CASE("of two that write the copy at once one is refused and waits") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  WatcherFixture::synchronize(Fixture.Feed);
+  WatcherFixture::synchronize(Fixture.Watcher);
   SnapshotWriter One(Fixture.Client, Fixture.View);
   SnapshotWriter Two(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
@@ -265,7 +265,7 @@
 TEST_CASE("a daemon registers, and again when its lease has ended") {
   WatcherFixture Fixture;
   Fixture.Store.put("op/config", "{}");
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   DaemonRegistration Registration(Fixture.Client, Fixture.View, Fixture.Self,
                                   fromSeconds(60));
   const TimePoint Now = readSteadyClock();
@@ -275,7 +275,7 @@
   Registration.runRound(Now + fromSeconds(3));
   CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
   Fixture.Store.endLeases();
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   Registration.runRound(Now + fromSeconds(4));
   CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
   CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
@@ -286,12 +286,12 @@
 TEST_CASE("a daemon that comes back goes on with its entry and its lease") {
   WatcherFixture Fixture;
   Fixture.Store.put("op/config", "{}");
-  WatcherFixture::synchronize(Fixture.Feed);
+  WatcherFixture::synchronize(Fixture.Watcher);
   const TimePoint Now = readSteadyClock();
   DaemonRegistration Before(Fixture.Client, Fixture.View, Fixture.Self,
                             fromSeconds(60));
   Before.runRound(Now);
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   // It lost power: nothing was ended.
   const double Price = Fixture.Store.sumCallCosts();
   DaemonRegistration After(Fixture.Client, Fixture.View, Fixture.Self,
@@ -323,7 +323,7 @@
 TEST_CASE("a write whose answer was lost is looked up first") {
   WatcherFixture Fixture;
   Fixture.Store.put("op/config", "{}");
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   DaemonRegistration Registration(Fixture.Client, Fixture.View, Fixture.Self,
                                   fromSeconds(60));
   Fixture.Store.setFaults({.LosesAnswers = true});
@@ -331,7 +331,7 @@
   Registration.runRound(Now);
   CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
   Fixture.Store.setFaults({});
-  Fixture.Feed.runRound();
+  Fixture.Watcher.runRound();
   Registration.runRound(Now + fromSeconds(3));
   CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
 }
--- a/unittests/StoreRestore/FeedRestoreTest.cpp
+++ b/unittests/StoreRestore/FeedRestoreTest.cpp
@@ -29,7 +29,7 @@
 /// Runs rounds until the view is as far as the store, or says that it is not.
 static bool catchesUp(StoreWatcherFixture &Under, int Rounds) {
   for (int I = 0; I < Rounds; ++I) {
-    Under.Feed.runRound();
+    Under.Watcher.runRound();
     if (Under.View.getAsOf().Revision == Under.Store.getRevision() &&
         Under.View.getAsOf().Epoch == Under.Client.getEpoch())
       return true;
@@ -43,7 +43,7 @@
 struct RestoreBench : StoreWatcherFixture {
   RestoreBench() {
     this->Store.put(DaemonKey, encodeDaemon(this->Self));
-    synchronize(this->Feed);
+    synchronize(this->Watcher);
     this->Store.takeBackup();
     change(this->Store, 20);
     CHECK(catchesUp(*this, 3));
@@ -69,9 +69,9 @@
   SUBCASE("it never told one") { Under.Store.setEpochText(std::nullopt); }
   SUBCASE("it tells the one before") { Under.Store.setEpochText("1"); }
   Under.Store.remove(DaemonKey);
-  Under.Feed.runRound();
-  Under.Feed.runRound();
-  Under.Feed.runRound();
+  Under.Watcher.runRound();
+  Under.Watcher.runRound();
+  Under.Watcher.runRound();
   CHECK(Under.View.getAsOf().Revision == Under.Store.getRevision());
 }
 
@@ -110,10 +110,10 @@
   // The store answers as it would have before.
   Under.Store.setEpochText("1");
   Under.Store.remove(DaemonKey);
-  Under.Feed.runRound();
-  Under.Feed.runRound();
+  Under.Watcher.runRound();
+  Under.Watcher.runRound();
   CHECK(Under.View.getAsOf() == Known);
-  CHECK_FALSE(Under.Feed.isSynced());
+  CHECK_FALSE(Under.Watcher.isSynced());
   Under.Store.setEpochText("2");
   CHECK(catchesUp(Under, 4));
   CHECK(Under.View.listDaemons().empty());
@@ -135,7 +135,7 @@
   for (int I = 0; I < Rounds; ++I) {
     change(Under.Store, 1);
     Under.Store.forgetHistory();
-    Under.Feed.runRound();
+    Under.Watcher.runRound();
   }
   // Every second round pauses, longer each time.
   CHECK(readSteadyClock() - Began >= fromMillis(200));
@@ -145,7 +145,7 @@
 TEST_CASE("a lease number of an earlier epoch is let go, and not ended") {
   StoreWatcherFixture Under;
   Under.Store.put("op/config", "{}");
-  StoreWatcherFixture::synchronize(Under.Feed);
+  StoreWatcherFixture::synchronize(Under.Watcher);
   Under.Store.takeBackup();
   DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
                               fromSeconds(60));
@@ -181,7 +181,7 @@
 TEST_CASE("a daemon whose entry the copy holds goes on with its lease") {
   StoreWatcherFixture Under;
   Under.Store.put("op/config", "{}");
-  StoreWatcherFixture::synchronize(Under.Feed);
+  StoreWatcherFixture::synchronize(Under.Watcher);
   DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
                               fromSeconds(60));
   const TimePoint Now = readSteadyClock();
@@ -229,11 +229,11 @@
   Under.Store.restoreBackup();
   FleetView View{{70}, fromSeconds(2)};
   StoreClient Client(Under.Store.getAddress(), Under.Counters);
-  StoreWatcher Feed(Client, View, [] {});
-  Feed.runRound();
+  StoreWatcher Watcher(Client, View, [] {});
+  Watcher.runRound();
   CHECK(View.getAsOf().Epoch == 1);
   const size_t Before = Under.Store.countCalls("/kv-range");
-  Feed.runRound();
+  Watcher.runRound();
   CHECK(Under.Store.countCalls("/kv-range") > Before);
   CHECK(View.getAsOf() == StorePosition(2, Under.Store.getRevision()));
 }
