--- a/unittests/PlatformAdapter/ConfigKeysTest.cpp
+++ b/unittests/PlatformAdapter/ConfigKeysTest.cpp
@@ -1,4 +1,4 @@
-//===- ConfigKeysTest.cpp - Tests of callers' keys in the configuration --===//
+//===- ConfigKeysTest.cpp - Tests of API keys in the configuration --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -32,7 +32,7 @@
     R"("tenants":[{"name":"acme","apiKeys":["alpha-key","beta-key"],)"
     R"("priority":1,"ratePerS":2.5,"burst":4},{"name":"free"}],)";
 
-TEST_CASE("organisations are known by digests of their keys") {
+TEST_CASE("organisations are found by the digests of their keys") {
   const Result<RoutingRules> Rules =
       decodeRoutingRules(replaceKeysByDigests(makeConfig(TwoKeys)));
   REQUIRE(Rules);
@@ -52,18 +52,19 @@
   CHECK(Rules.value().Routes.at(0).IsPublic);
 }
 
-TEST_CASE("no key is left in what daemons hand on, and no digest is a key") {
+TEST_CASE("exchanged configurations hold no keys, and no digest is accepted as "
+          "a key") {
   const std::string Kept = replaceKeysByDigests(makeConfig(TwoKeys));
   CHECK(Kept.find("alpha-key") == std::string::npos);
   CHECK(Kept.find("beta-key") == std::string::npos);
-  // A caller that has seen the digest cannot show it in place of the key.
+  // A caller that has seen the digest cannot present it in place of the key.
   const Result<RoutingRules> Rules = decodeRoutingRules(Kept);
   REQUIRE(Rules);
   CHECK(Rules.value().Organisations->findByKey(
             KeyDigest::of(KeyDigest::of("alpha-key").format())) == nullptr);
 }
 
-TEST_CASE("the item that a call brings holds digests only") {
+TEST_CASE("an item decoded from an answer holds digests only") {
   Json::Value Item;
   Item["tlsKey"] = "op/config";
   Item["revision"] = 5;
@@ -74,7 +75,7 @@
   CHECK(Decoded.value().Value.find("alpha-key") == std::string::npos);
 }
 
-TEST_CASE("a configuration without organisations stays as it is") {
+TEST_CASE("a configuration without organisations is unchanged") {
   const std::string Plain = makeConfig("");
   CHECK(replaceKeysByDigests(Plain) == Plain);
   const Result<RoutingRules> Rules = decodeRoutingRules(Plain);
@@ -82,14 +83,14 @@
   CHECK_FALSE(Rules.value().Organisations->needsKeys());
 }
 
-TEST_CASE("organisations that have lost all keys still need one") {
+TEST_CASE("organisations without any key still require one") {
   const Result<RoutingRules> Rules = decodeRoutingRules(replaceKeysByDigests(
       makeConfig(R"("tenants":[{"name":"acme","apiKeys":[]}],)")));
   REQUIRE(Rules);
   CHECK(Rules.value().Organisations->needsKeys());
 }
 
-TEST_CASE("organisations of a wrong shape are refused, keys unprinted") {
+TEST_CASE("malformed organisations are refused without printing keys") {
   for (const char *Wrong : {R"("tenants":[{"apiKeys":[]}],)",
                             R"("tenants":[{"name":"a","ratePerS":-1}],)",
                             R"("tenants":[{"name":"a","ratePerS":"x"}],)",
@@ -98,7 +99,7 @@
         decodeRoutingRules(replaceKeysByDigests(makeConfig(Wrong)));
     CHECK_FALSE(Rules);
   }
-  // As a store would hold it that some other program has written.
+  // Plain keys in place of digests, as another program could have written them.
   const Result<RoutingRules> Plain = decodeRoutingRules(makeConfig(TwoKeys));
   REQUIRE_FALSE(Plain);
   CHECK(Plain.error().Message.find("alpha") == std::string::npos);
--- a/unittests/PlatformAdapter/FleetAtSizeTest.cpp
+++ b/unittests/PlatformAdapter/FleetAtSizeTest.cpp
@@ -1,4 +1,4 @@
-//===- FleetAtSizeTest.cpp - What a change costs in a large fleet ---------===//
+//===- FleetAtSizeTest.cpp - Costs of a change in a large fleet -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,16 +7,17 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The processor time of one change of the store on a daemon of a fleet of 443
-/// daemons before 720 servers, where each start writes an entry that all others
-/// take. Nothing is asserted of times; the tests state them.
+/// Reports the processor time that one change of the store costs a daemon in a
+/// fleet of 443 daemons and 720 servers, where each daemon that starts writes
+/// an entry that all others receive. Times are printed, not asserted.
 ///
-/// While every change decoded the entries of all daemons and compiled all that
-/// is run: 3.9 ms for another lease of an entry, 4.9 for a new daemon, 5.9 for
-/// a server that leaves. With what has changed only: 0.6, 0.7 and 1.4 ms (one
-/// run each on a shared machine). A start took 17 to 27 ms (eight runs) while
-/// each text that was read made its own JSON reader, and 10 to 14 (three runs)
-/// since each thread keeps one. A tenth of a core takes ten times as long.
+/// Decoding the entries of all daemons and compiling the whole configuration
+/// for every change took 3.9 ms for a new lease of an entry, 4.9 ms for a new
+/// daemon and 5.9 ms for a leaving server. Processing only what has changed
+/// takes 0.6, 0.7 and 1.4 ms (one run each on a shared VM). A start took 17 to
+/// 27 ms (eight runs) when each parsed text created its own JSON reader, and
+/// takes 10 to 14 ms (three runs) with one reader per thread. On a tenth of a
+/// core everything takes ten times as long.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -42,7 +43,7 @@
 /// Servers of each of three services, as in the users' large deployment.
 constexpr int ServerCounts[] = {232, 431, 57};
 
-constexpr uint64_t FilledAt = 2000;
+constexpr uint64_t InitialRevision = 2000;
 constexpr TimePoint Start{fromSeconds(100)};
 
 } // namespace
@@ -112,11 +113,11 @@
 
 namespace {
 
-/// One daemon, filled with a whole fleet.
+/// A daemon whose view holds a whole fleet.
 struct FilledDaemon {
   FilledDaemon() : Serving(makeConfig(), makeProxyOptions({})) {
     REQUIRE(this->Serving.start());
-    this->View.replaceAll(makeItems(), {0, FilledAt}, Start);
+    this->View.replaceAll(makeItems(), {0, InitialRevision}, Start);
     this->apply();
   }
 
@@ -132,7 +133,7 @@
     return Config;
   }
 
-  /// Puts what has changed in force, as PlatformDaemon does.
+  /// Puts changes in force as PlatformDaemon does.
   void apply() {
     const FleetChangeCounts Counts = this->View.getChangeCounts();
     if (Counts.Daemons != this->InForce.Daemons)
@@ -142,7 +143,7 @@
     this->InForce = Counts;
   }
 
-  void take(const StoreItem &Item) {
+  void applyItem(const StoreItem &Item) {
     REQUIRE(this->View.applyEvents({Item}, Item.At, Start));
     this->apply();
   }
@@ -154,33 +155,34 @@
 
 } // namespace
 
-/// Returns the processor time of one of Count changes that Make makes.
+/// Returns the mean processor time, in milliseconds, of the Count changes that
+/// Make returns.
 template <typename Maker> static double measure(int Count, Maker Make) {
   FilledDaemon Fixture;
   const double Before = readProcessorMillis();
   for (int I = 0; I < Count; ++I)
-    Fixture.take(Make(I, FilledAt + 1 + static_cast<uint64_t>(I)));
+    Fixture.applyItem(Make(I, InitialRevision + 1 + static_cast<uint64_t>(I)));
   return (readProcessorMillis() - Before) / Count;
 }
 
-TEST_CASE("the processor time of a change in a large fleet is stated") {
+TEST_CASE("the processor time of a change in a large fleet is reported") {
   const double Before = readProcessorMillis();
   { FilledDaemon Fixture; }
-  MESSAGE("a start from a copy, before it was packed: ",
-          readProcessorMillis() - Before, " ms");
-  MESSAGE("another lease of a daemon's entry: ",
+  MESSAGE("a start from an unpacked snapshot: ", readProcessorMillis() - Before,
+          " ms");
+  MESSAGE("a new lease of a daemon's entry: ",
           measure(50,
                   [](int I, uint64_t Revision) {
                     return makeDaemonItem(I, 8, Revision);
                   }),
           " ms");
-  MESSAGE("a daemon that is new: ",
+  MESSAGE("a new daemon: ",
           measure(50,
                   [](int I, uint64_t Revision) {
                     return makeDaemonItem(DaemonCount + I, 7, Revision);
                   }),
           " ms");
-  MESSAGE("a server that leaves: ",
+  MESSAGE("a leaving server: ",
           measure(50,
                   [](int I, uint64_t Revision) {
                     return StoreItem{fmt::format("servers/i-1-{}", I),
--- a/unittests/PlatformAdapter/FleetViewTest.cpp
+++ b/unittests/PlatformAdapter/FleetViewTest.cpp
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Configuration only moves forward; servers that leave are dropped at once,
-/// and those that may only have lapsed are kept a little.
+/// The configuration's version never decreases. Servers that leave are dropped
+/// at once, and those whose entries may merely have expired are kept for a
+/// grace period.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -49,7 +50,7 @@
   return View.compileConfig()->Services[0].Servers.size();
 }
 
-/// A view with one configuration and one server.
+/// Fills a view with one configuration and one server.
 static void fill(FleetView &View) {
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
                    {"servers/i-1", makeServer("ready"), {0, 6}, false}},
@@ -63,14 +64,15 @@
   CHECK(View.compileConfig() == nullptr);
 }
 
-TEST_CASE("a configuration never goes back") {
+TEST_CASE("the configuration's version never decreases") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   CHECK(View.compileConfig()->Version == 2);
   View.applyEvents({{"op/config", makeRules(4), {0, 12}, false}}, {0, 12},
                    Start);
   CHECK(View.compileConfig()->Version == 4);
-  // An older version with a newer revision, a broken one, an old revision.
+  // An older version at a newer revision, a malformed configuration, and a
+  // newer version at an older revision.
   View.applyEvents({{"op/config", makeRules(3), {0, 13}, false}}, {0, 13},
                    Start);
   CHECK(View.compileConfig()->Version == 4);
@@ -81,7 +83,7 @@
   CHECK(View.compileConfig()->Version == 4);
 }
 
-TEST_CASE("a draining server is known as such, a gone one is dropped") {
+TEST_CASE("a draining server is kept as such, and a removed one is dropped") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   View.applyEvents({{"servers/i-1", makeServer("draining"), {0, 11}, false}},
@@ -92,7 +94,8 @@
   CHECK(countServers(View) == 0);
 }
 
-TEST_CASE("entries that vanish together around trouble are kept a while") {
+TEST_CASE("servers whose entries vanish together around a store failure are "
+          "kept for a while") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   View.applyEvents({{"servers/i-2", makeServer("ready"), {0, 11}, false},
@@ -108,14 +111,15 @@
     CHECK(View.resolveMissing(Start + fromSeconds(9)));
     CHECK(countServers(View) == 1);
   }
-  SUBCASE("none does") {
+  SUBCASE("none comes back") {
     CHECK_FALSE(View.resolveMissing(Start + fromSeconds(2.9)));
     CHECK(View.resolveMissing(Start + fromSeconds(3)));
     CHECK(countServers(View) == 0);
   }
 }
 
-TEST_CASE("a single entry that vanishes around trouble has left") {
+TEST_CASE(
+    "a single server whose entry vanishes around a store failure has left") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   View.applyEvents({{"servers/i-2", makeServer("ready"), {0, 11}, false}},
@@ -126,7 +130,8 @@
   CHECK(countServers(View) == 1);
 }
 
-TEST_CASE("without trouble an entry that vanishes is gone at once") {
+TEST_CASE("without a store failure a server whose entry vanishes is dropped at "
+          "once") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   View.recordStoreFailure(Start - fromSeconds(60));
@@ -134,7 +139,7 @@
   CHECK(countServers(View) == 0);
 }
 
-TEST_CASE("a peer's copy is taken like the store's own answer") {
+TEST_CASE("a peer's replica is applied like an answer of the store") {
   FleetView Ahead({70}, fromSeconds(2));
   fill(Ahead);
   Ahead.applyEvents({{"servers/i-1", "", {0, 12}, true},
@@ -152,10 +157,11 @@
 }
 
 TEST_CASE(
-    "a daemon's entry is counted apart, and only if it tells anything new") {
+    "a daemon's entry is counted separately, and only if its record changes") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
-  const auto Take = [&](uint64_t Lease, const char *Host, uint64_t Revision) {
+  const auto ApplyEntry = [&](uint64_t Lease, const char *Host,
+                              uint64_t Revision) {
     const DaemonRecord Record{"d1", "h", {Host, 80}, {Host, 81}};
     View.applyEvents({{"canvaswick/daemons/d1",
                        encodeDaemon(Record, Lease),
@@ -164,26 +170,26 @@
                      {0, Revision}, Start);
   };
   const FleetChangeCounts First = View.getChangeCounts();
-  Take(7, "10.0.0.1", 11);
+  ApplyEntry(7, "10.0.0.1", 11);
   const FleetChangeCounts Second = View.getChangeCounts();
   CHECK(Second.Daemons == First.Daemons + 1);
   SUBCASE("another lease") {
-    Take(8, "10.0.0.1", 12);
+    ApplyEntry(8, "10.0.0.1", 12);
     CHECK(View.getChangeCounts().Daemons == Second.Daemons);
   }
   SUBCASE("another address") {
-    Take(7, "10.0.0.2", 12);
+    ApplyEntry(7, "10.0.0.2", 12);
     CHECK(View.getChangeCounts().Daemons == Second.Daemons + 1);
     REQUIRE(View.listDaemons().size() == 1);
     CHECK(View.listDaemons()[0].Control.Host == "10.0.0.2");
   }
-  SUBCASE("an entry that cannot be read") {
+  SUBCASE("an entry that cannot be decoded") {
     View.applyEvents({{"canvaswick/daemons/d1", "[]", {0, 12}, false}}, {0, 12},
                      Start);
     CHECK(View.getChangeCounts().Daemons == Second.Daemons + 1);
     CHECK(View.listDaemons().empty());
   }
-  SUBCASE("it is gone") {
+  SUBCASE("the entry is removed") {
     View.applyEvents({{"canvaswick/daemons/d1", "", {0, 12}, true}}, {0, 12},
                      Start);
     CHECK(View.getChangeCounts().Daemons == Second.Daemons + 1);
@@ -192,7 +198,7 @@
   CHECK(View.getChangeCounts().Config == First.Config);
 }
 
-TEST_CASE("all that changes what is run is counted") {
+TEST_CASE("every change of the compiled configuration is counted") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   uint64_t Before = View.getChangeCounts().Config;
@@ -208,7 +214,7 @@
   CHECK(HasChanged());
   View.setBounds({60}, fromSeconds(2));
   CHECK(HasChanged());
-  // Two of two lapse, and are dropped later.
+  // Both entries expire, and their servers are dropped later.
   View.recordStoreFailure(Start);
   View.applyEvents(
       {{"servers/i-1", "", {0, 13}, true}, {"servers/i-2", "", {0, 14}, true}},
@@ -217,7 +223,7 @@
   CHECK_FALSE(HasChanged());
   CHECK(View.resolveMissing(Start + fromSeconds(3)));
   CHECK(HasChanged());
-  // One that leaves is dropped at once.
+  // A server that leaves is dropped at once.
   View.applyEvents({{"servers/i-3", makeServer("ready"), {0, 15}, false}},
                    {0, 15}, Start + fromSeconds(20));
   CHECK(HasChanged());
@@ -227,7 +233,7 @@
   CHECK(countServers(View) == 0);
 }
 
-/// Returns the entry of one life of a server.
+/// Returns the entry of one instance of a server.
 static std::string makeInstanceEntry(uint64_t Born, uint64_t Sequence,
                                      const std::string &State = "ready",
                                      int Port = 80) {
@@ -238,33 +244,34 @@
       Port, Born, State, Sequence);
 }
 
-static const ServerConfig &getOnly(const FleetConfigRef &Config) {
+static const ServerConfig &getOnlyServer(const FleetConfigRef &Config) {
   REQUIRE(Config->Services[0].Servers.size() == 1);
   return Config->Services[0].Servers[0];
 }
 
-TEST_CASE("a server that starts again under its id is another server") {
+TEST_CASE("a server that restarts under its ID is another server") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll(
       {{"op/config", makeRules(2), {0, 5}, false},
        {"servers/i-1", makeInstanceEntry(1000, 7, "draining"), {0, 6}, false}},
       {0, 10}, Start);
   const FleetConfigRef Before = View.compileConfig();
-  CHECK(getOnly(Before).State == ServerState::Draining);
+  CHECK(getOnlyServer(Before).State == ServerState::Draining);
   View.applyEvents({{"servers/i-1",
                      makeInstanceEntry(2000, 1, "ready", 81),
                      {0, 11},
                      false}},
                    {0, 11}, Start);
   const FleetConfigRef After = View.compileConfig();
-  CHECK(getOnly(After).State == ServerState::Active);
-  CHECK(getOnly(After).Address.Port == 81);
-  // What is known goes by the name; servers are asked by their id.
-  CHECK(getOnly(After).Name != getOnly(Before).Name);
-  CHECK(getOnly(After).Instance == "i-1");
+  CHECK(getOnlyServer(After).State == ServerState::Active);
+  CHECK(getOnlyServer(After).Address.Port == 81);
+  // State is kept by name; requests address servers by their ID.
+  CHECK(getOnlyServer(After).Name != getOnlyServer(Before).Name);
+  CHECK(getOnlyServer(After).Instance == "i-1");
 }
 
-TEST_CASE("the same life is the same server, whatever else it says") {
+TEST_CASE(
+    "the same instance is the same server, whatever else its entry says") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
                    {"servers/i-1", makeInstanceEntry(1000, 7), {0, 6}, false}},
@@ -273,12 +280,12 @@
   View.applyEvents(
       {{"servers/i-1", makeInstanceEntry(1000, 8, "draining"), {0, 11}, false}},
       {0, 11}, Start);
-  CHECK(getOnly(View.compileConfig()).Name == getOnly(Before).Name);
-  CHECK(getOnly(View.compileConfig()).State == ServerState::Draining);
+  CHECK(getOnlyServer(View.compileConfig()).Name == getOnlyServer(Before).Name);
+  CHECK(getOnlyServer(View.compileConfig()).State == ServerState::Draining);
 }
 
-TEST_CASE(
-    "what an earlier life, or the same one earlier, wrote comes too late") {
+TEST_CASE("an entry of an earlier instance, or an older one of the same, is "
+          "ignored") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
                    {"servers/i-1", makeInstanceEntry(2000, 5), {0, 6}, false}},
@@ -288,12 +295,12 @@
                      {0, 11},
                      false}},
                    {0, 11}, Start);
-  CHECK(getOnly(View.compileConfig()).State == ServerState::Active);
+  CHECK(getOnlyServer(View.compileConfig()).State == ServerState::Active);
   View.applyEvents(
       {{"servers/i-1", makeInstanceEntry(2000, 4, "draining"), {0, 12}, false}},
       {0, 12}, Start);
-  CHECK(getOnly(View.compileConfig()).State == ServerState::Active);
-  // Also once the entry has gone.
+  CHECK(getOnlyServer(View.compileConfig()).State == ServerState::Active);
+  // The same holds after the entry was removed.
   View.applyEvents({{"servers/i-1", "", {0, 13}, true}}, {0, 13}, Start);
   View.applyEvents(
       {{"servers/i-1", makeInstanceEntry(1000, 100), {0, 14}, false}}, {0, 14},
@@ -305,7 +312,8 @@
   CHECK(countServers(View) == 1);
 }
 
-TEST_CASE("an entry that turns unreadable names no server, and comes back") {
+TEST_CASE("a server whose entry becomes malformed is dropped until it is valid "
+          "again") {
   FleetView View({70}, fromSeconds(2));
   View.replaceAll({{"op/config", makeRules(2), {0, 5}, false},
                    {"servers/i-1", makeInstanceEntry(1000, 7), {0, 6}, false},
@@ -321,12 +329,13 @@
   CHECK(countServers(View) == 2);
 }
 
-TEST_CASE(
-    "where servers tell their start, an entry without one is not theirs") {
+TEST_CASE("if most servers report their start time, an entry without one is "
+          "ignored") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   CHECK(countServers(View) == 1);
-  // One that tells it among others that do not proves nothing.
+  // One server that reports its start time among others that do not proves
+  // nothing.
   View.applyEvents(
       {{"servers/i-2", makeInstanceEntry(1000, 1), {0, 11}, false}}, {0, 11},
       Start);
@@ -337,7 +346,7 @@
   CHECK(countServers(View) == 2);
 }
 
-/// Returns a real value with some bytes changed, or another text altogether.
+/// Returns a valid value with some bytes changed, or an arbitrary text.
 static std::string makeDamagedEntry(const std::string &Real) {
   if (*rc::gen::inRange(0, 4) == 0)
     return *rc::gen::arbitrary<std::string>();
@@ -350,7 +359,7 @@
   return Text;
 }
 
-TEST_CASE("entries of other writers change nothing about the others") {
+TEST_CASE("entries of unknown writers do not affect any others") {
   CHECK(rc::check([] {
     FleetView View({70}, fromSeconds(2));
     fill(View);
@@ -392,7 +401,7 @@
 /// Returns how many lines a change of the view logs.
 static uint64_t countLines(FleetView &View,
                            const std::vector<StoreItem> &Events) {
-  // A writer that may write nothing counts what it drops.
+  // A log writer that may write nothing counts the lines that it drops.
   LogBounds Bounds;
   Bounds.LinesPerSecond = 0;
   Bounds.Burst = 0;
@@ -403,7 +412,7 @@
   return countDroppedLogLines() - Before;
 }
 
-TEST_CASE("servers that come together are counted, few are named") {
+TEST_CASE("servers that appear together are logged as a count, a few by name") {
   FleetView View({70}, fromSeconds(2));
   fill(View);
   std::vector<StoreItem> Many;
--- a/unittests/PlatformAdapter/HallFixture.h
+++ b/unittests/PlatformAdapter/HallFixture.h
@@ -1,4 +1,4 @@
-//===- HallFixture.h - Daemons of a hall and their surroundings -*- C++ -*-===//
+//===- HallFixture.h - Fixtures of several daemons --------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Several daemons that know each other, each with a way of its own to the
-/// store. Private to the tests of whole daemons.
+/// Several daemons that know each other, each of which reaches the store
+/// through its own relay. For tests only.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
 
 namespace canvaswick::platform {
 
-/// A daemon that reaches the store through a relay of its own.
+/// A daemon that reaches the store through its own relay.
 struct Member {
   Member(const DaemonConfig &Given, const Endpoint &Store)
       : Config(Given), StoreRelay(Store) {
@@ -35,7 +35,7 @@
     this->start();
   }
 
-  /// Starts the daemon, after stop with nothing that it knew before.
+  /// Starts the daemon. After stop, it starts without any state.
   void start() {
     this->Daemon = std::make_unique<PlatformDaemon>(this->Config);
     REQUIRE(this->Daemon->start());
@@ -48,11 +48,11 @@
   std::unique_ptr<PlatformDaemon> Daemon;
 };
 
-/// Daemons in their surroundings, of one hall unless their names are told.
+/// Daemons with their surroundings, in one hall unless halls are named.
 struct Hall : PlatformFixture {
   explicit Hall(int Count) : Hall(std::vector<std::string>(Count, "h")) {}
 
-  /// Starts one daemon for each name of a hall.
+  /// Starts one daemon for each element of Halls, which names its hall.
   explicit Hall(const std::vector<std::string> &Halls) {
     for (size_t I = 0; I < Halls.size(); ++I) {
       DaemonConfig Config = this->makeDaemonConfig(fmt::format("d{}", I));
@@ -80,7 +80,8 @@
     return Watchers;
   }
 
-  /// Starts with a configuration, two servers and two that watch.
+  /// Writes a configuration and two servers to the store, and waits until all
+  /// daemons serve and two of them watch the store (all, if fewer).
   void startServing() {
     this->writeConfig(2);
     this->addServers();
--- a/unittests/PlatformAdapter/PeerFollowerTest.cpp
+++ b/unittests/PlatformAdapter/PeerFollowerTest.cpp
@@ -1,4 +1,4 @@
-//===- PeerFollowerTest.cpp - Tests of learning from other daemons --------===//
+//===- PeerFollowerTest.cpp - Tests of fetching changes from peers --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A follower against peers that hold a later copy, some of which fall silent.
+/// Tests a follower with peers whose replicas are ahead, some of which stop
+/// answering.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +24,7 @@
 
 namespace {
 
-/// A daemon whose copy goes further than the follower's, behind a relay.
+/// A daemon behind a relay, whose replica is ahead of the follower's.
 struct AheadPeer {
   AheadPeer(std::string Name, const std::atomic<uint64_t> &AsOf)
       : Server(HttpServerLimits{},
@@ -35,7 +36,7 @@
             [this, &AsOf](const ChangesRequest &Request) {
               return this->listChanges(AsOf, Request.Held);
             },
-            [this] { return this->HasRoom.load(); }) {
+            [this] { return this->HasCapacity.load(); }) {
     addDirectoryMethod(this->Dispatcher, this->Answerer);
     REQUIRE(this->Server.start({"127.0.0.1", 0}));
     this->Relay = std::make_unique<RelayStandIn>(
@@ -62,14 +63,15 @@
   JsonRpcDispatcher Dispatcher;
   HttpServer Server;
   const std::string Name;
-  /// Whether a large value is among what it tells, and whether it has room to.
+  /// Whether its changes include a large value, and whether it has the capacity
+  /// to send one.
   std::atomic<bool> HasLarge{false};
-  std::atomic<bool> HasRoom{true};
+  std::atomic<bool> HasCapacity{true};
   ChangesAnswerer Answerer;
   std::unique_ptr<RelayStandIn> Relay;
 };
 
-/// A follower in a hall with two such peers.
+/// A follower in a hall with two peers that are ahead.
 struct FollowerFixture {
   explicit FollowerFixture(const std::string &Name)
       : Follower({Name, "h", {}, {}}, {}, {}, View, Counters, [] {}) {
@@ -78,7 +80,7 @@
                               readSteadyClock());
   }
 
-  /// Moves the peers' copies on and lets the follower hear of it.
+  /// Advances the peers' replicas and passes their messages to the follower.
   void advance(uint64_t Next, TimePoint Now) {
     this->AsOf = Next;
     for (const AheadPeer *Peer : {&this->One, &this->Two}) {
@@ -100,10 +102,11 @@
 
 } // namespace
 
-/// Followers draw differently: among these some ask either peer first.
+/// Followers choose peers at random, depending on their names: with these
+/// names, each peer is asked first by some follower.
 static const char *const FollowerNames[] = {"a", "b", "c", "d", "e", "f"};
 
-TEST_CASE("a peer that does not answer is left for another at once") {
+TEST_CASE("another peer is asked at once if one does not answer") {
   for (const char *Name : FollowerNames) {
     FollowerFixture Fixture(Name);
     Fixture.One.Relay->getFaults().CutBackward = true;
@@ -114,9 +117,9 @@
   }
 }
 
-TEST_CASE("kept connections that all went silent cost one short wait") {
+TEST_CASE("open connections that are all dead cost one short timeout") {
   FollowerFixture Fixture("a");
-  // Both peers are asked on connections that are kept.
+  // Both peers are asked on connections that stay open.
   uint64_t Next = 1;
   for (int I = 0; I < 12; ++I) {
     Fixture.advance(++Next, readSteadyClock());
@@ -130,47 +133,47 @@
   CHECK(Fixture.View.getAsOf() == StorePosition(0, Next));
 }
 
-TEST_CASE("only a watch of its own that is answered is waited for") {
+TEST_CASE("a follower waits for its own watch only if that is answered") {
   FollowerFixture Fixture("a");
   const TimePoint Heard = readSteadyClock();
   Fixture.Follower.setLocalWatchAnswered(true);
   Fixture.advance(5, Heard);
   Fixture.Follower.runRound(Heard + fromMillis(100));
   CHECK(Fixture.View.getAsOf() == StorePosition(0, 1));
-  SUBCASE("it is no longer answered") {
+  SUBCASE("the watch is no longer answered") {
     Fixture.Follower.setLocalWatchAnswered(false);
     Fixture.Follower.runRound(Heard + fromMillis(100));
   }
-  SUBCASE("it should have told by now") {
+  SUBCASE("the watch should have returned the changes by now") {
     Fixture.Follower.runRound(Heard + fromMillis(500));
   }
   CHECK(Fixture.View.getAsOf() == StorePosition(0, 5));
 }
 
-// The failure. A server that had said that it leaves was sent requests 2.8 s
-// later, 0.3 s more than it may. A configuration of 1,130 routes had changed
-// just before.
-// The cause. One answer brought all: news of the server waited behind the
-// configuration, which 36 daemons of a hall took from two on links of 10
-// Mbit/s. Evidence: the daemon's fetches from both failed after 0.6 s each,
-// four times; the answer that came at last held 34 items, 33 of them servers'
-// entries.
-TEST_CASE("small news are taken where there is no room for a large value") {
+// Guards against a delay of small items behind a large value. A server was sent
+// requests 2.8 s after it had announced that it leaves, 0.3 s longer than
+// allowed: its entry arrived in one answer with a changed configuration of
+// 1,130 routes, which 36 daemons of a hall fetched from two over links of 10
+// Mbit/s. The fetches of the daemon from both failed after 0.6 s each, four
+// times; the answer that arrived at last held 34 items, 33 of them entries of
+// servers.
+TEST_CASE(
+    "small items are applied if peers have no capacity for a large value") {
   FollowerFixture Fixture("a");
   for (AheadPeer *Peer : {&Fixture.One, &Fixture.Two}) {
     Peer->HasLarge = true;
-    Peer->HasRoom = false;
+    Peer->HasCapacity = false;
   }
   const TimePoint Now = readSteadyClock();
   Fixture.advance(5, Now);
   Fixture.Follower.runRound(Now);
-  // The news are in, and the rest is still to come.
+  // The small item has arrived, the large one has not.
   const ItemChanges Taken = Fixture.View.getChangesAfter({});
   REQUIRE(Taken.Items.size() == 1);
   CHECK(Taken.Items[0].Key == "k");
   CHECK(Fixture.View.getAsOf() == StorePosition(0, 1));
-  SUBCASE("one of them has room later") {
-    Fixture.Two.HasRoom = true;
+  SUBCASE("one of them has capacity later") {
+    Fixture.Two.HasCapacity = true;
     Fixture.advance(5, Now);
     Fixture.Follower.runRound(Now);
     Fixture.Follower.runRound(Now);
@@ -179,7 +182,7 @@
   }
 }
 
-TEST_CASE("a difference that cannot be used is followed by the whole") {
+TEST_CASE("a delta that cannot be applied is followed by the whole value") {
   FollowerFixture Fixture("a");
   const StoreItem Held{"large", std::string(5000, 'y'), {0, 2}, false};
   Fixture.View.replaceAll({Held}, {0, 2}, readSteadyClock());
--- a/unittests/PlatformAdapter/PlatformDaemonTest.cpp
+++ b/unittests/PlatformAdapter/PlatformDaemonTest.cpp
@@ -1,4 +1,4 @@
-//===- PlatformDaemonTest.cpp - Tests of a whole daemon on the platform ---===//
+//===- PlatformDaemonTest.cpp - Tests of a daemon on the platform ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What callers, backend servers, operators and peers meet at a daemon between
-/// real sockets.
+/// Tests how a daemon behaves towards callers, backend servers, operators and
+/// peers over real sockets.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +28,8 @@
   return Found == Result.Headers.end() ? "" : Found->second;
 }
 
-TEST_CASE("nothing is served or denied before the first configuration") {
+TEST_CASE("no request is served or rejected as unknown before the first "
+          "configuration") {
   DaemonFixture Fixture;
   CHECK(Fixture.getReadyStatus() == 503);
   const ExchangeResult Early = Fixture.sendRequest("GET", "/x/1");
@@ -39,7 +40,7 @@
   CHECK(Fixture.sendRequest("GET", "/nowhere/1").Status == 404);
 }
 
-TEST_CASE("a request reaches its server as it was sent, with what is left") {
+TEST_CASE("a request is forwarded unchanged, with the remaining deadline") {
   DaemonFixture Fixture;
   Fixture.startServing();
   const ExchangeResult Result =
@@ -56,7 +57,7 @@
         CallerDeadlineMs);
 }
 
-TEST_CASE("what a server declined goes to the other one") {
+TEST_CASE("a request that a server declined is sent to the other one") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.One.NextBehaviour = Behaviour::Decline;
@@ -69,7 +70,8 @@
   CHECK_FALSE(getHeader(Refused, "Retry-After").empty());
 }
 
-TEST_CASE("what may have run is never promised not to have, nor run again") {
+TEST_CASE(
+    "a request that may have run is never reported as not run, nor run again") {
   for (const Behaviour NextBehaviour :
        {Behaviour::Fail, Behaviour::UnmarkedRefusal, Behaviour::Truncate,
         Behaviour::MismatchedId}) {
@@ -83,7 +85,8 @@
   }
 }
 
-TEST_CASE("a repeatable request survives a server that cuts its answers") {
+TEST_CASE(
+    "a repeatable request succeeds though a server truncates its answers") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.One.NextBehaviour = Behaviour::Truncate;
@@ -94,10 +97,10 @@
   }
 }
 
-TEST_CASE("a request that has no try left takes no right to a repeat") {
+TEST_CASE("a request without attempts left takes no retry") {
   DaemonFixture Fixture;
   Fixture.startServing();
-  // Enough requests for several repeats.
+  // Enough requests to earn several retries.
   for (int I = 0; I < 8; ++I)
     CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
   Fixture.setBehaviours(Behaviour::Decline);
@@ -108,10 +111,10 @@
         std::string::npos);
 }
 
-TEST_CASE("a request that has no time left takes no right to a repeat") {
+TEST_CASE("a request without time left takes no retry") {
   DaemonFixture Fixture;
   Fixture.startServing();
-  // Enough requests for several repeats.
+  // Enough requests to earn several retries.
   for (int I = 0; I < 8; ++I)
     CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
   Fixture.setBehaviours(Behaviour::Slow);
@@ -120,7 +123,8 @@
   std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
   Fixture.waitFor(
       [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals == 9; });
-  // A daemon that is stopping leaves it where it is, to its deadline.
+  // A daemon that is stopping leaves the request with its server until the
+  // deadline.
   Fixture.Daemon->beginStop();
   Caller.join();
   CHECK(Result.Status == 504);
@@ -128,7 +132,7 @@
         std::string::npos);
 }
 
-TEST_CASE("an answer that ends with its connection is passed on whole") {
+TEST_CASE("an answer that ends with its connection is forwarded completely") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.setBehaviours(Behaviour::Unframed);
@@ -138,7 +142,7 @@
   CHECK(getHeader(Result, "Content-Length") == "12");
 }
 
-TEST_CASE("a server that has another's address runs nothing") {
+TEST_CASE("a server at the address of another one runs no requests") {
   DaemonFixture Fixture;
   Fixture.startServing();
   // The entry of a third server names the first one's address.
@@ -152,7 +156,7 @@
   CHECK(Fixture.One.Runs == 0);
 }
 
-TEST_CASE("a draining server gets no new work") {
+TEST_CASE("a draining server gets no new requests") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.Store.put("servers/i-1", Fixture.One.makeEntry("draining"));
@@ -174,7 +178,7 @@
   CHECK(Fixture.sendRequest("GET", "/x/1").Status == 404);
 }
 
-TEST_CASE("the operators' bounds for callers are kept") {
+TEST_CASE("the operators' limits for callers are enforced") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.Limits = R"({"maxHeaderBytes": 400, "maxBodyBytes": 10,
@@ -189,7 +193,7 @@
         431);
 }
 
-TEST_CASE("the store may be away while requests are served") {
+TEST_CASE("requests are served while the store is unreachable") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.Store.setFaults({.IsDown = true});
@@ -199,7 +203,8 @@
   CHECK(Fixture.getReadyStatus() == 200);
 }
 
-TEST_CASE("a planned stop turns readiness red and answers what comes") {
+TEST_CASE(
+    "a planned stop fails the readiness check and still answers requests") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.Daemon->beginStop();
@@ -210,7 +215,8 @@
   CHECK(Fixture.Daemon->finishStop(readSteadyClock() + fromSeconds(3)));
 }
 
-TEST_CASE("a slow server is left for another, but not once a stop has begun") {
+TEST_CASE("a request leaves a slow server for another, but not once a stop has "
+          "begun") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.setBehaviours(Behaviour::Slow);
@@ -229,7 +235,7 @@
     CHECK(Result.Status == 200);
 }
 
-TEST_CASE("nothing is given up while no repeat is left to try elsewhere") {
+TEST_CASE("a request stays with its server while no retry is left") {
   DaemonFixture Fixture;
   Fixture.startServing();
   Fixture.setBehaviours(Behaviour::Slow);
@@ -237,7 +243,7 @@
   std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
   Fixture.waitFor(
       [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals == 1; });
-  // Others use up what is left while it waits.
+  // Meanwhile other requests use up the retries.
   DaemonConfig Config = Fixture.Config;
   Config.Repeats = {0, fromSeconds(10), 0};
   Fixture.Daemon->reload(Config);
@@ -249,8 +255,8 @@
 /// Sends requests one after the other, none of which may leave its server, and
 /// returns the server that the last one used.
 static Upstream &useServers(DaemonFixture &Fixture) {
-  // With a right to repeats, a server that was not used before may be left
-  // again and again before it can answer, and that speaks against it.
+  // With retries left, requests may leave a server that was not used before
+  // again and again before it can answer, which counts as evidence against it.
   DaemonConfig Config = Fixture.Config;
   Config.Repeats = {0, fromSeconds(10), 0};
   Fixture.Daemon->reload(Config);
@@ -264,15 +270,16 @@
   return Fixture.One.Arrivals > OfOne ? Fixture.One : Fixture.Two;
 }
 
-TEST_CASE("a long request stays with a server that nothing speaks against") {
+TEST_CASE(
+    "a long request stays with a server if there is no evidence against it") {
   DaemonFixture Fixture;
-  // Both answer well for a while, in less than half of the objective.
+  // Both servers answer well for a while, in less than half of the objective.
   Fixture.setBehaviours(Behaviour::Slow);
   Fixture.One.AnswerDelay = Fixture.Two.AnswerDelay = TypicalAnswerTime;
   Fixture.startServing();
-  // That it has not been used for a while speaks against a server: about one
-  // long request in ten goes to the one that was not used last, and is not the
-  // case under test.
+  // That a server has not been used for a while counts as evidence against it:
+  // about one long request in ten goes to the one that was not used last, and
+  // is not the case under test.
   for (int Draw = 0; Draw < 20; ++Draw) {
     Upstream &Used = useServers(Fixture);
     Fixture.One.Arrivals = Fixture.Two.Arrivals = 0;
@@ -281,9 +288,9 @@
     std::thread Caller([&] { Result = Fixture.sendRequest("GET", "/x/1"); });
     Fixture.waitFor(
         [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals > 0; });
-    const bool IsCase = Used.Arrivals == 1;
+    const bool HitsUsedServer = Used.Arrivals == 1;
     Caller.join();
-    if (!IsCase)
+    if (!HitsUsedServer)
       continue;
     CHECK(Result.Status == 200);
     CHECK(Fixture.One.Arrivals + Fixture.Two.Arrivals == 1);
@@ -293,7 +300,7 @@
 }
 
 TEST_CASE(
-    "a request that is out for many times its usual time goes elsewhere") {
+    "a request in flight for many times its typical time is sent elsewhere") {
   DaemonFixture Fixture;
   Fixture.startServing();
   for (int I = 0; I < 20; ++I)
@@ -301,7 +308,7 @@
   Fixture.One.Arrivals = Fixture.Two.Arrivals = 0;
   Fixture.One.NextBehaviour = Behaviour::Slow;
   Fixture.One.AnswerDelay = LateAnswerTime;
-  // Both are chosen sooner or later.
+  // Both servers are chosen sooner or later.
   for (int I = 0; I < 20 && Fixture.One.Arrivals == 0; ++I) {
     const TimePoint Began = readSteadyClock();
     CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
@@ -310,14 +317,14 @@
   CHECK(Fixture.One.Arrivals == 1);
 }
 
-TEST_CASE("metrics have an address of their own, but no daemon depends on it") {
+TEST_CASE("metrics have a separate address, on which no daemon depends") {
   DaemonFixture Fixture;
   Fixture.startServing();
   DaemonConfig Config = Fixture.Config;
   Config.Name = "d2";
   Config.Callers.Port = DaemonFixture::findFreePort();
   Config.Ready.Port = DaemonFixture::findFreePort();
-  SUBCASE("it is free") {
+  SUBCASE("the address is free") {
     Config.Metrics = {"127.0.0.1", DaemonFixture::findFreePort()};
     PlatformDaemon Daemon(Config);
     REQUIRE(Daemon.start());
@@ -326,7 +333,7 @@
     CHECK(Page.Body.find("canvaswick_requests 0\n") != std::string::npos);
     CHECK(Fixture.get(Config.Metrics, "/ready").Status == 404);
   }
-  SUBCASE("another process has it") {
+  SUBCASE("another process uses the address") {
     Config.Metrics = Fixture.Config.Callers;
     PlatformDaemon Daemon(Config);
     REQUIRE(Daemon.start());
@@ -335,15 +342,15 @@
   }
 }
 
-TEST_CASE("metrics tell how far the copy of the store goes and how old it is") {
+TEST_CASE("metrics show the position and the age of the replica") {
   DaemonFixture Fixture;
   Fixture.startServing();
   const auto Shows = [&](const std::string &Line) {
     return Fixture.readMetrics().find("canvaswick_store_" + Line) !=
            std::string::npos;
   };
-  // The daemon's own entry may come after the change in the same answer: then
-  // the copy goes further than the change.
+  // The daemon's own entry may follow the change in the same answer: then the
+  // position of the replica is past the change.
   const auto ReadAsOf = [&] {
     const std::string Page = Fixture.readMetrics();
     const std::string Name = "\ncanvaswick_store_as_of ";
@@ -353,57 +360,58 @@
   };
   const uint64_t Revision = Fixture.Store.put("elsewhere", "x");
   Fixture.waitFor([&] { return ReadAsOf() >= Revision; });
-  // It does not claim more than the store has.
+  // The position is not past that of the store.
   const uint64_t Claimed = ReadAsOf();
   CHECK(Claimed < Fixture.Store.put("elsewhere", "y"));
   CHECK(Shows("watching 1\n"));
   CHECK_FALSE(Shows("heard_ms -1\n"));
 }
 
-TEST_CASE("a daemon that is dropped while peers speak to it ends cleanly") {
-  // Found by a sanitizer, or by a crash: threads reached members already gone.
+TEST_CASE("a daemon that is destroyed while peers send to it ends cleanly") {
+  // Threads used members that were already destroyed, which a sanitizer
+  // reports, or which crashes the test.
   DaemonFixture Fixture;
   Fixture.startServing();
-  DaemonConfig Brief = Fixture.Config;
-  Brief.Name = "d2";
-  Brief.Callers.Port = DaemonFixture::findFreePort();
-  Brief.Ready.Port = DaemonFixture::findFreePort();
-  Brief.Control = {"127.0.0.1", DaemonFixture::findFreePort()};
-  Brief.PeerPort = DaemonFixture::findFreePort();
-  DaemonRecord Speaker{
+  DaemonConfig ShortLivedConfig = Fixture.Config;
+  ShortLivedConfig.Name = "d2";
+  ShortLivedConfig.Callers.Port = DaemonFixture::findFreePort();
+  ShortLivedConfig.Ready.Port = DaemonFixture::findFreePort();
+  ShortLivedConfig.Control = {"127.0.0.1", DaemonFixture::findFreePort()};
+  ShortLivedConfig.PeerPort = DaemonFixture::findFreePort();
+  DaemonRecord Sender{
       "d3", "h", {}, {"127.0.0.1", DaemonFixture::findFreePort()}};
-  const DaemonRecord Listener{
-      "d2", "h", Brief.Control, {"127.0.0.1", Brief.PeerPort}};
+  const DaemonRecord Receiver{"d2",
+                              "h",
+                              ShortLivedConfig.Control,
+                              {"127.0.0.1", ShortLivedConfig.PeerPort}};
   CounterTable Counters;
-  PeerLink Link(Speaker, 1, Counters, [](const PeerMessage &) {});
+  PeerLink Link(Sender, 1, Counters, [](const PeerMessage &) {});
   REQUIRE(Link.start());
-  Link.setPeers({Listener});
+  Link.setPeers({Receiver});
   Link.setStoreState({{1, 1000000}, true, readSteadyClock()});
   std::atomic<bool> IsOver{false};
-  std::thread Speaking([&] {
+  std::thread SendLoop([&] {
     while (!IsOver) {
       Link.sendWatcherNews(readSteadyClock());
       std::this_thread::sleep_for(std::chrono::microseconds(200));
     }
   });
   for (int I = 0; I < 5; ++I) {
-    PlatformDaemon Dropped(Brief);
+    PlatformDaemon Dropped(ShortLivedConfig);
     REQUIRE(Dropped.start());
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
   IsOver = true;
-  Speaking.join();
+  SendLoop.join();
   CHECK(Counters.get(Counter::PeerDatagramsSent) > 0);
   CHECK(Fixture.sendRequest("GET", "/x/1").Status == 200);
 }
 
-// The failure. After a loss of power of a whole fleet one request in six of the
-// next two seconds was refused, most of them for good.
-// The cause. A daemon refused at once what came in the 0.2 s between its start
-// and its settings, though it was about to be able to serve it. Evidence: all
-// refusals of that time say no-settings, and each daemon's settings came 0.2 s
-// after its start.
-TEST_CASE("who comes just before the settings is served by them") {
+// Guards against refusals just after a start. After a loss of power of a whole
+// fleet, one request in six of the next two seconds was refused, most of them
+// for good: a daemon refused at once what arrived in the 0.2 s between its
+// start and its settings, although it was about to be able to serve it.
+TEST_CASE("a request that arrives just before the settings is served by them") {
   PlatformFixture Fixture;
   Fixture.writeConfig(2);
   Fixture.addServers();
@@ -414,7 +422,8 @@
   CHECK(Fixture.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200);
 }
 
-TEST_CASE("who is refused for want of settings and comes back is served") {
+TEST_CASE(
+    "a caller that is refused for lack of settings and retries is served") {
   PlatformFixture Fixture;
   Fixture.writeConfig(2);
   Fixture.addServers();
@@ -422,7 +431,7 @@
   const DaemonConfig Config = Fixture.makeDaemonConfig("d1");
   PlatformDaemon Daemon(Config);
   REQUIRE(Daemon.start());
-  // Nothing says that there will be settings soon.
+  // Nothing shows that settings will arrive soon.
   const ExchangeResult First =
       Fixture.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(First.Status == 503);
@@ -430,14 +439,14 @@
   const double Wait = std::stod(getHeader(First, "Retry-After"));
   CHECK(Wait >= 0.5);
   Fixture.Store.setFaults({});
-  // A busy machine may take longer; then it says so again.
+  // A busy VM may take longer; the answer then asks for another retry.
   Fixture.waitFor([&] {
     std::this_thread::sleep_for(std::chrono::duration<double>(Wait));
     return Fixture.sendRequestTo(Config.Callers, "GET", "/x/1").Status == 200;
   });
 }
 
-TEST_CASE("who comes while there are no settings is refused and told when") {
+TEST_CASE("a caller is refused without settings, and told when to retry") {
   PlatformFixture Fixture;
   Fixture.Store.setFaults({.IsDown = true});
   const DaemonConfig Config = Fixture.makeDaemonConfig("d1");
@@ -450,8 +459,9 @@
   const ExchangeResult Later =
       Fixture.sendRequestTo(Config.Callers, "GET", "/x/1");
   CHECK(Later.Status == 503);
-  // The longer it lasts the longer it is likely to last.
+  // The longer settings are missing, the longer they are likely to stay
+  // missing.
   CHECK(std::stod(getHeader(Later, "Retry-After")) >= 0.7);
-  // The balancer is told all along.
+  // The readiness check tells the load balancer all along.
   CHECK(Fixture.get(Config.Ready, "/ready").Status == 503);
 }
--- a/unittests/PlatformAdapter/PlatformFixture.h
+++ b/unittests/PlatformAdapter/PlatformFixture.h
@@ -1,4 +1,4 @@
-//===- PlatformFixture.h - A whole daemon and its surroundings --*- C++ -*-===//
+//===- PlatformFixture.h - Fixtures of one daemon ---------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A daemon between real sockets: the stand-in for the store, two backend
-/// servers that speak the platform's headers, and a caller. Private to the
-/// tests of this directory.
+/// Fixtures of a daemon on real sockets: a stand-in for the store, two backend
+/// servers that implement the platform's headers, and a caller. For tests only.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,40 +31,41 @@
 
 namespace canvaswick::platform {
 
-/// What a backend server does with the next requests.
+/// How a backend server treats the next requests.
 enum class Behaviour : uint8_t {
   Serve,
-  /// Declines with the platform's mark.
+  /// Declines with the platform's mark that the request did not run.
   Decline,
-  /// Answers 503 without the mark: it may have run.
+  /// Answers 503 without the mark, so that the request may have run.
   UnmarkedRefusal,
   /// Runs the request and answers 500.
   Fail,
-  /// Runs the request and answers with less than it announced.
+  /// Runs the request and sends a shorter body than announced.
   Truncate,
-  /// Answers another request than was asked.
+  /// Runs the request and answers with the ID of another one.
   MismatchedId,
-  /// Ends an answer without a length with its connection.
+  /// Sends an answer without a length, which ends with its connection.
   Unframed,
-  /// Serves after a while.
+  /// Serves after AnswerDelay.
   Slow,
 };
 
-/// Past the 1.2 s after which a repeatable request goes elsewhere even if
-/// nothing else speaks against its server.
+/// Longer than the 1.2 s after which a repeatable request is sent to another
+/// server even without other evidence against its server.
 inline constexpr std::chrono::milliseconds HangingAnswerTime(1400);
 
-/// Past the 0.6 s after which it goes elsewhere if anything does.
+/// Longer than the 0.6 s after which it is sent to another server if there is
+/// such evidence.
 inline constexpr std::chrono::milliseconds LateAnswerTime(800);
 
-/// A usual answer's time, where answers take long: half of LateAnswerTime, so
-/// that an answer which takes that is nothing unusual.
+/// Typical time of an answer where answers take long: half of LateAnswerTime,
+/// so that an answer that takes LateAnswerTime is not unusual.
 inline constexpr std::chrono::milliseconds TypicalAnswerTime(400);
 
-/// How long callers wait.
+/// Deadline of callers in milliseconds.
 inline constexpr int CallerDeadlineMs = 1900;
 
-/// One backend server that speaks the platform's headers.
+/// A backend server that implements the platform's headers.
 class Upstream {
 public:
   explicit Upstream(std::string Id) : Id(std::move(Id)) {
@@ -103,12 +103,12 @@
       this->LastBody = Body;
     }
     httplib::Response &Answer = Exchange.Response;
-    const bool IsForMe =
+    const bool IsExpectedInstance =
         Exchange.Request.get_header_value("Expect-Instance") == this->Id;
     Answer.set_header("Request-Id",
                       Exchange.Request.get_header_value("Request-Id"));
-    if (!IsForMe || this->NextBehaviour == Behaviour::Decline) {
-      Answer.status = IsForMe ? 503 : 421;
+    if (!IsExpectedInstance || this->NextBehaviour == Behaviour::Decline) {
+      Answer.status = IsExpectedInstance ? 503 : 421;
       Answer.set_header("Not-Executed", "1");
       return;
     }
@@ -160,14 +160,15 @@
   std::unique_ptr<HttpServer> Server;
 };
 
-/// What daemons have around them: a store, two backend servers and a caller.
+/// The surroundings of daemons: a store, two backend servers and a caller.
 class PlatformFixture {
 public:
   PlatformFixture() { REQUIRE(this->Store.start()); }
 
-  /// Returns a port that stays free for a server of this process until it ends:
-  /// a socket holds it that does not listen. Without that, an outgoing
-  /// connection may take it before the server does; of 160 ports some were.
+  /// Returns a port that stays free for a server of this process until the
+  /// process ends, since a bound socket that does not listen holds it.
+  /// Otherwise an outgoing connection may take the port before the server does,
+  /// which happened to some of 160 ports.
   static uint16_t findFreePort() {
     const int Holder = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     REQUIRE(Holder >= 0);
@@ -232,10 +233,11 @@
         return;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
-    FAIL("waited five seconds");
+    FAIL("the condition did not hold within five seconds");
   }
 
-  /// Sends a caller's request to the daemon that takes callers at Address.
+  /// Sends a caller's request to the daemon that listens for callers at
+  /// Address.
   ExchangeResult sendRequestTo(const Endpoint &Address,
                                const std::string &Method,
                                const std::string &Target,
@@ -265,10 +267,10 @@
   ConnectionPool Client{0};
 };
 
-/// One daemon in its surroundings.
+/// One daemon with its surroundings.
 class DaemonFixture : public PlatformFixture {
 public:
-  /// Grace: how long after a stop signal the daemon is killed.
+  /// Grace is the time from a stop signal until the daemon is killed.
   explicit DaemonFixture(Duration Grace = fromSeconds(3))
       : Config(this->makeDaemonConfig("d1")) {
     this->Config.Grace = Grace;
@@ -276,7 +278,8 @@
     REQUIRE(this->Daemon->start());
   }
 
-  /// Starts with a configuration and two servers.
+  /// Writes a configuration and two servers to the store, and waits until the
+  /// daemon serves.
   void startServing() {
     this->writeConfig(2);
     this->addServers();
--- a/unittests/PlatformAdapter/RecordDecoderTest.cpp
+++ b/unittests/PlatformAdapter/RecordDecoderTest.cpp
@@ -1,4 +1,4 @@
-//===- RecordDecoderTest.cpp - Tests of decoding what the store holds -----===//
+//===- RecordDecoderTest.cpp - Tests of decoding the store's values -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whole values, values of a wrong shape, and random ones.
+/// Decodes valid, malformed and random values.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -50,12 +50,12 @@
   CHECK(Value.Routes[0].MaxAttempts == 2);
   REQUIRE(Value.Routes[0].Parts.size() == 2);
   CHECK(Value.Routes[0].Parts[0].Weight == 9 * Value.Routes[0].Parts[1].Weight);
-  // What is not said to be repeatable runs once.
+  // A route of a kind that is not named as repeatable runs once.
   CHECK(Value.Routes[1].Class == RouteClass::Once);
   CHECK(Value.Services[1].MaxConnections == 330);
 }
 
-TEST_CASE("a configuration of a wrong shape is an error that names the field") {
+TEST_CASE("a malformed configuration gives an error that names the field") {
   CHECK_FALSE(decodeRoutingRules("not json"));
   CHECK_FALSE(decodeRoutingRules("[]"));
   Result<RoutingRules> NoVersion = decodeRoutingRules("{}");
@@ -87,7 +87,7 @@
     "info": {"service": "s", "version": "v1", "zone": "h", "slots": 3},
     "status": {"state": "ready", "seq": 4, "warmupLeftS": 1.5}})";
 
-TEST_CASE("a server's entry is refused for each field that is wrong") {
+TEST_CASE("a server's entry is refused for each malformed field") {
   Json::Value Value;
   REQUIRE(parseJson(Entry, Value));
   REQUIRE(decodeServer("i-1", Entry));
@@ -115,14 +115,16 @@
     for (const Json::Value &Wrong : Wrongs) {
       const bool IsAllowed = std::string(Field) == "warmupLeftS" &&
                              Wrong.isDouble() && Wrong.asDouble() == 2.5;
-      // A server that does not tell its start may be one of an older platform.
-      const bool IsUntold = std::string(Field) == "born" && Wrong.isNull();
+      // A server that does not report its start time may belong to an older
+      // platform.
+      const bool LacksStartTime =
+          std::string(Field) == "born" && Wrong.isNull();
       Json::Value Changed = Value;
       (*Table ? Changed[Table] : Changed)[Field] = Wrong;
       CAPTURE(writeJson(Changed));
       CHECK(decodeServer("i-1", writeJson(Changed)).has_value() ==
-            (IsAllowed || IsUntold));
-      if (IsUntold)
+            (IsAllowed || LacksStartTime));
+      if (LacksStartTime)
         continue;
       Changed = Value;
       (*Table ? Changed[Table] : Changed).removeMember(Field);
@@ -140,7 +142,7 @@
   CHECK_FALSE(decodeServer("i-1", writeJson(Changed)));
 }
 
-TEST_CASE("an id that could not stand in a header names no server") {
+TEST_CASE("an ID that is not valid in a header names no server") {
   CHECK(decodeServer("i-7f3a91c2", Entry));
   for (const char *Id : {"", "i 1", "i\r\nX: y", "i/1", "\xc3\xa9", "i\x01"})
     CHECK_FALSE(decodeServer(Id, Entry));
@@ -155,7 +157,7 @@
   }
 }
 
-TEST_CASE("an entry that is long or deep is refused") {
+TEST_CASE("an entry that is too long or too deep is refused") {
   CHECK_FALSE(decodeServer("i-1", std::string(1 << 20, ' ') + Entry));
   CHECK_FALSE(decodeServer("i-1", std::string(100000, '[')));
   std::string Deep = Entry;
--- a/unittests/PlatformAdapter/StoreWatcherFixture.h
+++ b/unittests/PlatformAdapter/StoreWatcherFixture.h
@@ -1,4 +1,4 @@
-//===- StoreWatcherFixture.h - A store, a client and a view of --*- C++ -*-===//
+//===- StoreWatcherFixture.h - A store and a watcher of it ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What follows the store, without a daemon around it. Private to tests.
+/// The parts of a daemon that follow the store, without the daemon. For tests
+/// only.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +30,7 @@
     return Store.getAddress();
   }
 
-  /// The first read may be old; the watch after it is not.
+  /// Runs two rounds: the first read may be stale, the watch after it is not.
   static void synchronize(StoreWatcher &Watcher) {
     Watcher.runRound();
     CHECK_FALSE(Watcher.isSynced());
--- a/unittests/PlatformAdapter/StoreWatcherTest.cpp
+++ b/unittests/PlatformAdapter/StoreWatcherTest.cpp
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The client, the feed and the registry against the stand-in for the store.
+/// Tests the client, the watcher, the writer of snapshots and the registration
+/// of a daemon with the stand-in for the store.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,7 +28,7 @@
 
 static const std::string DaemonKey = "canvaswick/daemons/d1";
 
-TEST_CASE("all pages are read and changes follow") {
+TEST_CASE("all pages are read, and later changes are applied") {
   WatcherFixture Fixture;
   for (char Name = 'a'; Name <= 'h'; ++Name)
     Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
@@ -40,7 +41,7 @@
   CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
-TEST_CASE("a store that has forgotten its history is read anew") {
+TEST_CASE("everything is read again if the store has discarded its history") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   Fixture.Watcher.runRound();
@@ -51,7 +52,8 @@
   CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("what changed while the store was away is learned on its return") {
+TEST_CASE(
+    "changes made while the store was unreachable are read on its return") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   WatcherFixture::synchronize(Fixture.Watcher);
@@ -66,11 +68,11 @@
   CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("an answer without changes shows that the store is reached") {
+TEST_CASE("an answer without changes shows that the store is reachable") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   Fixture.Watcher.runRound();
-  // What it read may be old.
+  // What the first round read may be stale.
   CHECK(Fixture.Watcher.getHeardAt() == TimePoint{});
   Fixture.Watcher.runRound();
   const TimePoint Watched = Fixture.Watcher.getHeardAt();
@@ -81,7 +83,7 @@
   CHECK(Fixture.Store.countCalls("/kv-range") == 1);
 }
 
-TEST_CASE("after a watch that was not answered, what has changed is read") {
+TEST_CASE("after a watch that was not answered, changes are read") {
   WatcherFixture Fixture;
   RelayStandIn Relay(Fixture.Store.getAddress());
   REQUIRE(Relay.start({"127.0.0.1", 0}));
@@ -93,11 +95,11 @@
   Fixture.Store.remove(DaemonKey);
   Watcher.runRound();
   CHECK_FALSE(Watcher.isSynced());
-  // On a new connection, and at once.
+  // The next call is made at once, on a new connection.
   Watcher.runRound();
   CHECK(Watcher.isSynced());
   CHECK(Fixture.View.listDaemons().empty());
-  // All, how far the store is, and all again.
+  // A full read, a read of the position of the store, and a full read again.
   CHECK(Fixture.Store.countCalls("/kv-range") == 3);
 }
 
@@ -114,7 +116,7 @@
   CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("a daemon that rests counts for nothing until the store answers it") {
+TEST_CASE("a suspended watcher is not synced until the store answers again") {
   WatcherFixture Fixture;
   WatcherFixture::synchronize(Fixture.Watcher);
   Fixture.Watcher.suspend();
@@ -123,13 +125,14 @@
   CHECK(Fixture.Watcher.isSynced());
 }
 
-TEST_CASE("pages that are not equally old are complete up to the oldest") {
+TEST_CASE("pages of different ages are complete up to the oldest") {
   WatcherFixture Fixture;
   for (char Name = 'a'; Name <= 'h'; ++Name)
     Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
                       encodeDaemon(Fixture.Self));
   Fixture.Store.freezeStalePages();
-  // The later pages do not show it, and the first one's revision is past it.
+  // The later pages do not include the removal, although the revision of the
+  // first one is past it.
   Fixture.Store.remove("canvaswick/daemons/h");
   Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 8);
@@ -137,8 +140,8 @@
   CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
-/// Returns a copy as a fleet leaves it at the store.
-static std::string makeCopy(const WatcherFixture &Fixture, uint64_t AsOf) {
+/// Returns a snapshot as a fleet writes it to the store.
+static std::string makeSnapshot(const WatcherFixture &Fixture, uint64_t AsOf) {
   ItemChanges All;
   All.IsAll = true;
   All.AsOf = {1, AsOf};
@@ -147,12 +150,12 @@
   return encodeSnapshot(All);
 }
 
-TEST_CASE("a daemon that starts takes the copy that its fleet keeps") {
+TEST_CASE("a starting daemon loads the snapshot that its fleet keeps") {
   WatcherFixture Fixture;
   const uint64_t AsOf =
       Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  Fixture.Store.put("canvaswick/copy", makeCopy(Fixture, AsOf));
-  // The copy does not know of this one.
+  Fixture.Store.put("canvaswick/copy", makeSnapshot(Fixture, AsOf));
+  // The snapshot does not include this entry.
   Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
   Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 1);
@@ -160,23 +163,26 @@
   CHECK(Fixture.Store.sumCallCosts() == doctest::Approx(0.1));
   Fixture.Watcher.runRound();
   CHECK(Fixture.View.listDaemons().size() == 2);
-  // Nor is the copy one of the items that it would hold.
+  // The snapshot is not one of the items of the view.
   CHECK(Fixture.View.getChangesAfter({}).Items.size() == 2);
   CHECK(Fixture.View.getSnapshotPosition() == StorePosition(1, AsOf + 1));
 }
 
-TEST_CASE("a copy that is broken, of a part, or too old is made up for") {
+TEST_CASE("a snapshot that is malformed, incomplete or too old is made up for "
+          "by reads") {
   WatcherFixture Fixture;
   const uint64_t AsOf =
       Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
-  SUBCASE("broken") { Fixture.Store.put("canvaswick/copy", "no copy"); }
-  SUBCASE("of a part") {
+  SUBCASE("malformed value") {
+    Fixture.Store.put("canvaswick/copy", "no copy");
+  }
+  SUBCASE("incomplete") {
     ItemChanges Part;
     Part.AsOf = {1, AsOf};
     Fixture.Store.put("canvaswick/copy", encodeSnapshot(Part));
   }
   SUBCASE("too old") {
-    Fixture.Store.put("canvaswick/copy", makeCopy(Fixture, AsOf));
+    Fixture.Store.put("canvaswick/copy", makeSnapshot(Fixture, AsOf));
     Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
     Fixture.Store.remove(DaemonKey);
     Fixture.Store.forgetHistory();
@@ -189,14 +195,14 @@
   CHECK(Fixture.Watcher.isSynced());
 }
 
-TEST_CASE("random bytes for a copy are refused") {
+TEST_CASE("random bytes are refused as a snapshot") {
   CHECK(rc::check([](const std::string &Bytes) {
     (void)decodeSnapshot(Bytes);
     RC_ASSERT(!decodeSnapshot(packText(Bytes)));
   }));
 }
 
-TEST_CASE("the copy is written when it is behind, by who leads, now and then") {
+TEST_CASE("the leader writes the snapshot when it is behind, at intervals") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   WatcherFixture::synchronize(Fixture.Watcher);
@@ -212,11 +218,11 @@
   CHECK_FALSE(IsWritten(WatchRole::StandBy, 0, fromSeconds(5)));
   CHECK_FALSE(IsWritten(WatchRole::Lead, 1, fromSeconds(5)));
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(5)));
-  const Result<ItemChanges> Copy =
+  const Result<ItemChanges> Snapshot =
       decodeSnapshot(Fixture.Store.peek("canvaswick/copy"));
-  REQUIRE(Copy);
-  CHECK(Copy.value().Items.size() == 1);
-  // Its own write is no change that another copy would be due for.
+  REQUIRE(Snapshot);
+  CHECK(Snapshot.value().Items.size() == 1);
+  // The write of a snapshot is not a change that makes another one due.
   Fixture.Watcher.runRound();
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, fromSeconds(11)));
   Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
@@ -224,7 +230,8 @@
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(12)));
 }
 
-TEST_CASE("of two that write the copy at once one is refused and waits") {
+TEST_CASE(
+    "if two daemons write the snapshot at once, one is refused and waits") {
   WatcherFixture Fixture;
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   WatcherFixture::synchronize(Fixture.Watcher);
@@ -239,7 +246,7 @@
   CHECK(decodeSnapshot(Fixture.Store.peek("canvaswick/copy")));
 }
 
-TEST_CASE("writes are conditional, and leases take their items along") {
+TEST_CASE("writes are conditional, and the end of a lease removes its items") {
   WatcherFixture Fixture;
   StoreTransaction First;
   First.Expected.emplace_back("k", 0);
@@ -262,7 +269,7 @@
   CHECK(Late.error().Kind == ErrorKind::NotFound);
 }
 
-TEST_CASE("a daemon registers, and again when its lease has ended") {
+TEST_CASE("a daemon registers, and does so again when its lease has ended") {
   WatcherFixture Fixture;
   Fixture.Store.put("op/config", "{}");
   Fixture.Watcher.runRound();
@@ -271,7 +278,7 @@
   const TimePoint Now = readSteadyClock();
   Registration.runRound(Now);
   CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
-  // The view has not reached the write yet: nothing is written twice.
+  // The view has not reached the write yet, and nothing is written twice.
   Registration.runRound(Now + fromSeconds(3));
   CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
   Fixture.Store.endLeases();
@@ -283,7 +290,7 @@
   CHECK(Fixture.Store.peek(DaemonKey).empty());
 }
 
-TEST_CASE("a daemon that comes back goes on with its entry and its lease") {
+TEST_CASE("a restarted daemon takes over its entry and its lease") {
   WatcherFixture Fixture;
   Fixture.Store.put("op/config", "{}");
   WatcherFixture::synchronize(Fixture.Watcher);
@@ -292,13 +299,13 @@
                             fromSeconds(60));
   Before.runRound(Now);
   Fixture.Watcher.runRound();
-  // It lost power: nothing was ended.
+  // The daemon lost power, so its lease was not ended.
   const double Price = Fixture.Store.sumCallCosts();
   DaemonRegistration After(Fixture.Client, Fixture.View, Fixture.Self,
                            fromSeconds(60));
   After.runRound(Now);
   CHECK(Fixture.Store.sumCallCosts() - Price == doctest::Approx(0.1));
-  SUBCASE("it leaves by it") {
+  SUBCASE("it ends the lease when it leaves") {
     After.leave();
     CHECK(Fixture.Store.peek(DaemonKey).empty());
   }
@@ -310,7 +317,7 @@
     CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
     CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
   }
-  SUBCASE("it comes back at another address") {
+  SUBCASE("it restarts at another address") {
     DaemonRecord Moved = Fixture.Self;
     Moved.Control.Port = 99;
     DaemonRegistration Third(Fixture.Client, Fixture.View, Moved,
@@ -320,7 +327,7 @@
   }
 }
 
-TEST_CASE("a write whose answer was lost is looked up first") {
+TEST_CASE("a write whose answer was lost is looked up before it is retried") {
   WatcherFixture Fixture;
   Fixture.Store.put("op/config", "{}");
   Fixture.Watcher.runRound();
