--- a/unittests/PlatformAdapter/StoreWatcherTest.cpp
+++ b/unittests/PlatformAdapter/StoreWatcherTest.cpp
@@ -73,12 +73,12 @@
   Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   Fixture.Watcher.runRound();
   // What the first round read may be stale.
-  CHECK(Fixture.Watcher.getHeardAt() == TimePoint{});
+  CHECK(Fixture.Watcher.getLastAnswerTime() == TimePoint{});
   Fixture.Watcher.runRound();
-  const TimePoint Watched = Fixture.Watcher.getHeardAt();
+  const TimePoint Watched = Fixture.Watcher.getLastAnswerTime();
   CHECK(Watched > TimePoint{});
   Fixture.Watcher.runRound();
-  CHECK(Fixture.Watcher.getHeardAt() > Watched);
+  CHECK(Fixture.Watcher.getLastAnswerTime() > Watched);
   CHECK(Fixture.Store.countCalls("/kv-watch") == 2);
   CHECK(Fixture.Store.countCalls("/kv-range") == 1);
 }
