--- a/unittests/PlatformAdapter/FleetAtSizeTest.cpp
+++ b/unittests/PlatformAdapter/FleetAtSizeTest.cpp
@@ -24,7 +24,7 @@
 #include "PlatformFixture.h"
 #include "canvaswick/Daemon/Gateway.h"
 #include "platform/FleetView.h"
-#include "platform/ProxyDialect.h"
+#include "platform/PlatformProxyOptions.h"
 #include "platform/RecordDecoder.h"
 
 #include <doctest/doctest.h>
