--- a/include/canvaswick/Health/HealthPolicy.h
+++ b/include/canvaswick/Health/HealthPolicy.h
@@ -62,7 +62,7 @@
   Leaving,
   KeptByFloor,
   /// The server asked for rest.
-  Resting,
+  ServerBackoff,
   /// The server named a limit.
   Limited,
 };
--- a/lib/Proxy/ServiceNotices.cpp
+++ b/lib/Proxy/ServiceNotices.cpp
@@ -127,7 +127,7 @@
   case NoticeKind::Leaving:
     return ShareReason::Leaving;
   case NoticeKind::Backoff:
-    return ShareReason::Resting;
+    return ShareReason::ServerBackoff;
   case NoticeKind::Malformed:
     break;
   }
--- a/unittests/PlatformAdapter/StoreWatcherTest.cpp
+++ b/unittests/PlatformAdapter/StoreWatcherTest.cpp
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The client, the feed and the registry against the stand-in for the store.
+/// Tests the client, the watcher, the writer of snapshots and the registration
+/// of a daemon with the stand-in for the store.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,307 +28,317 @@
 
 static const std::string DaemonKey = "canvaswick/daemons/d1";
 
-TEST_CASE("all pages are read and changes follow") {
-  WatcherFixture Under;
+TEST_CASE("all pages are read, and later changes are applied") {
+  WatcherFixture Fixture;
   for (char Name = 'a'; Name <= 'h'; ++Name)
-    Under.Store.put(std::string("canvaswick/daemons/") + Name,
-                    encodeDaemon(Under.Self));
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 8);
-  CHECK(Under.Store.countCalls("/kv-range") == 3);
-  Under.Store.remove("canvaswick/daemons/c");
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 7);
+    Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
+                      encodeDaemon(Fixture.Self));
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 8);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 3);
+  Fixture.Store.remove("canvaswick/daemons/c");
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
-TEST_CASE("a store that has forgotten its history is read anew") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Watcher.runRound();
-  Under.Store.remove(DaemonKey);
-  Under.Store.forgetHistory();
-  Under.Watcher.runRound();
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().empty());
+TEST_CASE("everything is read again if the store has discarded its history") {
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Watcher.runRound();
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Store.forgetHistory();
+  Fixture.Watcher.runRound();
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("what changed while the store was away is learned on its return") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  WatcherFixture::synchronize(Under.Watcher);
-  Under.Store.setFaults({.IsDown = true});
-  Under.Watcher.runRound();
-  CHECK_FALSE(Under.Watcher.isSynced());
-  CHECK(Under.View.listDaemons().size() == 1);
-  Under.Store.remove(DaemonKey);
-  Under.Store.setFaults({});
-  Under.Watcher.runRound();
-  CHECK(Under.Watcher.isSynced());
-  CHECK(Under.View.listDaemons().empty());
+TEST_CASE(
+    "changes made while the store was unreachable are read on its return") {
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  WatcherFixture::synchronize(Fixture.Watcher);
+  Fixture.Store.setFaults({.IsDown = true});
+  Fixture.Watcher.runRound();
+  CHECK_FALSE(Fixture.Watcher.isSynced());
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Store.setFaults({});
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.isSynced());
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("an answer without changes shows that the store is reached") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Watcher.runRound();
-  // What it read may be old.
-  CHECK(Under.Watcher.getHeardAt() == TimePoint{});
-  Under.Watcher.runRound();
-  const TimePoint Watched = Under.Watcher.getHeardAt();
+TEST_CASE("an answer without changes shows that the store is reachable") {
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Watcher.runRound();
+  // What the first round read may be stale.
+  CHECK(Fixture.Watcher.getLastAnswerTime() == TimePoint{});
+  Fixture.Watcher.runRound();
+  const TimePoint Watched = Fixture.Watcher.getLastAnswerTime();
   CHECK(Watched > TimePoint{});
-  Under.Watcher.runRound();
-  CHECK(Under.Watcher.getHeardAt() > Watched);
-  CHECK(Under.Store.countCalls("/kv-watch") == 2);
-  CHECK(Under.Store.countCalls("/kv-range") == 1);
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.getLastAnswerTime() > Watched);
+  CHECK(Fixture.Store.countCalls("/kv-watch") == 2);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 1);
 }
 
-TEST_CASE("after a watch that was not answered, what has changed is read") {
-  WatcherFixture Under;
-  RelayStandIn Way(Under.Store.getAddress());
-  REQUIRE(Way.start({"127.0.0.1", 0}));
-  StoreClient Client({"127.0.0.1", Way.getPort()}, Under.Counters);
-  StoreWatcher Watcher(Client, Under.View, [] {});
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
+TEST_CASE("after a watch that was not answered, changes are read") {
+  WatcherFixture Fixture;
+  RelayStandIn Relay(Fixture.Store.getAddress());
+  REQUIRE(Relay.start({"127.0.0.1", 0}));
+  StoreClient Client({"127.0.0.1", Relay.getPort()}, Fixture.Counters);
+  StoreWatcher Watcher(Client, Fixture.View, [] {});
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
   WatcherFixture::synchronize(Watcher);
-  Way.silenceOpenConnections();
-  Under.Store.remove(DaemonKey);
+  Relay.silenceOpenConnections();
+  Fixture.Store.remove(DaemonKey);
   Watcher.runRound();
   CHECK_FALSE(Watcher.isSynced());
-  // On a new connection, and at once.
+  // The next call is made at once, on a new connection.
   Watcher.runRound();
   CHECK(Watcher.isSynced());
-  CHECK(Under.View.listDaemons().empty());
-  // All, how far the store is, and all again.
-  CHECK(Under.Store.countCalls("/kv-range") == 3);
+  CHECK(Fixture.View.listDaemons().empty());
+  // A full read, a read of the position of the store, and a full read again.
+  CHECK(Fixture.Store.countCalls("/kv-range") == 3);
 }
 
 TEST_CASE("changes that a watch withholds are read") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Watcher.runRound();
-  Under.Store.setFaults({.WithholdsChanges = true});
-  Under.Store.remove(DaemonKey);
-  Under.Watcher.runRound();
-  CHECK_FALSE(Under.Watcher.isSynced());
-  Under.Watcher.runRound();
-  CHECK(Under.Watcher.isSynced());
-  CHECK(Under.View.listDaemons().empty());
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Watcher.runRound();
+  Fixture.Store.setFaults({.WithholdsChanges = true});
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Watcher.runRound();
+  CHECK_FALSE(Fixture.Watcher.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.isSynced());
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("a daemon that rests counts for nothing until the store answers it") {
-  WatcherFixture Under;
-  WatcherFixture::synchronize(Under.Watcher);
-  Under.Watcher.suspend();
-  CHECK_FALSE(Under.Watcher.isSynced());
-  Under.Watcher.runRound();
-  CHECK(Under.Watcher.isSynced());
+TEST_CASE("a suspended watcher is not synced until the store answers again") {
+  WatcherFixture Fixture;
+  WatcherFixture::synchronize(Fixture.Watcher);
+  Fixture.Watcher.suspend();
+  CHECK_FALSE(Fixture.Watcher.isSynced());
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.Watcher.isSynced());
 }
 
-TEST_CASE("pages that are not equally old are complete up to the oldest") {
-  WatcherFixture Under;
+TEST_CASE("pages of different ages are complete up to the oldest") {
+  WatcherFixture Fixture;
   for (char Name = 'a'; Name <= 'h'; ++Name)
-    Under.Store.put(std::string("canvaswick/daemons/") + Name,
-                    encodeDaemon(Under.Self));
-  Under.Store.freezeStalePages();
-  // The later pages do not show it, and the first one's revision is past it.
-  Under.Store.remove("canvaswick/daemons/h");
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 8);
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 7);
+    Fixture.Store.put(std::string("canvaswick/daemons/") + Name,
+                      encodeDaemon(Fixture.Self));
+  Fixture.Store.freezeStalePages();
+  // The later pages do not include the removal, although the revision of the
+  // first one is past it.
+  Fixture.Store.remove("canvaswick/daemons/h");
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 8);
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 7);
 }
 
-/// Returns a copy as a fleet leaves it at the store.
-static std::string makeCopy(const WatcherFixture &Under, uint64_t AsOf) {
+/// Returns a snapshot as a fleet writes it to the store.
+static std::string makeSnapshot(const WatcherFixture &Fixture, uint64_t AsOf) {
   ItemChanges All;
   All.IsFull = true;
   All.AsOf = {1, AsOf};
-  All.Items.push_back({DaemonKey, encodeDaemon(Under.Self), {1, AsOf}, false});
+  All.Items.push_back(
+      {DaemonKey, encodeDaemon(Fixture.Self), {1, AsOf}, false});
   return encodeSnapshot(All);
 }
 
-TEST_CASE("a daemon that starts takes the copy that its fleet keeps") {
-  WatcherFixture Under;
-  const uint64_t AsOf = Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  Under.Store.put("canvaswick/copy", makeCopy(Under, AsOf));
-  // The copy does not know of this one.
-  Under.Store.put("canvaswick/daemons/d2", encodeDaemon(Under.Self));
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 1);
-  CHECK(Under.Store.countCalls("/kv-range") == 0);
-  CHECK(Under.Store.sumCallCosts() == doctest::Approx(0.1));
-  Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 2);
-  // Nor is the copy one of the items that it would hold.
-  CHECK(Under.View.getChangesAfter({}).Items.size() == 2);
-  CHECK(Under.View.getSnapshotPosition() == StorePosition(1, AsOf + 1));
+TEST_CASE("a starting daemon loads the snapshot that its fleet keeps") {
+  WatcherFixture Fixture;
+  const uint64_t AsOf =
+      Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  Fixture.Store.put("canvaswick/copy", makeSnapshot(Fixture, AsOf));
+  // The snapshot does not include this entry.
+  Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  CHECK(Fixture.Store.countCalls("/kv-range") == 0);
+  CHECK(Fixture.Store.sumCallCosts() == doctest::Approx(0.1));
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 2);
+  // The snapshot is not one of the items of the view.
+  CHECK(Fixture.View.getChangesAfter({}).Items.size() == 2);
+  CHECK(Fixture.View.getSnapshotPosition() == StorePosition(1, AsOf + 1));
 }
 
-TEST_CASE("a copy that is broken, of a part, or too old is made up for") {
-  WatcherFixture Under;
-  const uint64_t AsOf = Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  SUBCASE("broken") { Under.Store.put("canvaswick/copy", "no copy"); }
-  SUBCASE("of a part") {
+TEST_CASE("a snapshot that is malformed, incomplete or too old is made up for "
+          "by reads") {
+  WatcherFixture Fixture;
+  const uint64_t AsOf =
+      Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  SUBCASE("malformed value") {
+    Fixture.Store.put("canvaswick/copy", "no copy");
+  }
+  SUBCASE("incomplete") {
     ItemChanges Part;
     Part.AsOf = {1, AsOf};
-    Under.Store.put("canvaswick/copy", encodeSnapshot(Part));
+    Fixture.Store.put("canvaswick/copy", encodeSnapshot(Part));
   }
   SUBCASE("too old") {
-    Under.Store.put("canvaswick/copy", makeCopy(Under, AsOf));
-    Under.Store.put("canvaswick/daemons/d2", encodeDaemon(Under.Self));
-    Under.Store.remove(DaemonKey);
-    Under.Store.forgetHistory();
-    Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-    Under.Store.remove("canvaswick/daemons/d2");
+    Fixture.Store.put("canvaswick/copy", makeSnapshot(Fixture, AsOf));
+    Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
+    Fixture.Store.remove(DaemonKey);
+    Fixture.Store.forgetHistory();
+    Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+    Fixture.Store.remove("canvaswick/daemons/d2");
   }
   for (int I = 0; I < 3; ++I)
-    Under.Watcher.runRound();
-  CHECK(Under.View.listDaemons().size() == 1);
-  CHECK(Under.Watcher.isSynced());
+    Fixture.Watcher.runRound();
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  CHECK(Fixture.Watcher.isSynced());
 }
 
-TEST_CASE("random bytes for a copy are refused") {
+TEST_CASE("random bytes are refused as a snapshot") {
   CHECK(rc::check([](const std::string &Bytes) {
     (void)decodeSnapshot(Bytes);
     RC_ASSERT(!decodeSnapshot(packText(Bytes)));
   }));
 }
 
-TEST_CASE("the copy is written when it is behind, by who leads, now and then") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  WatcherFixture::synchronize(Under.Watcher);
-  SnapshotWriter Keeper(Under.Client, Under.View);
+TEST_CASE("the leader writes the snapshot when it is behind, at intervals") {
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  WatcherFixture::synchronize(Fixture.Watcher);
+  SnapshotWriter Writer(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
   const auto IsWritten = [&](WatchRole Role, size_t HallRank, Duration After) {
-    const size_t Before = Under.Store.countCalls("/kv-txn");
-    Keeper.runRound(Role, HallRank, Start + After);
-    return Under.Store.countCalls("/kv-txn") > Before;
+    const size_t Before = Fixture.Store.countCalls("/kv-txn");
+    Writer.runRound(Role, HallRank, Start + After);
+    return Fixture.Store.countCalls("/kv-txn") > Before;
   };
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, Duration::zero()));
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, fromSeconds(4.9)));
   CHECK_FALSE(IsWritten(WatchRole::StandBy, 0, fromSeconds(5)));
   CHECK_FALSE(IsWritten(WatchRole::Lead, 1, fromSeconds(5)));
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(5)));
-  const Result<ItemChanges> Copy =
-      decodeSnapshot(Under.Store.peek("canvaswick/copy"));
-  REQUIRE(Copy);
-  CHECK(Copy.value().Items.size() == 1);
-  // Its own write is no change that another copy would be due for.
-  Under.Watcher.runRound();
+  const Result<ItemChanges> Snapshot =
+      decodeSnapshot(Fixture.Store.peek("canvaswick/copy"));
+  REQUIRE(Snapshot);
+  CHECK(Snapshot.value().Items.size() == 1);
+  // The write of a snapshot is not a change that makes another one due.
+  Fixture.Watcher.runRound();
   CHECK_FALSE(IsWritten(WatchRole::Lead, 0, fromSeconds(11)));
-  Under.Store.put("canvaswick/daemons/d2", encodeDaemon(Under.Self));
-  Under.Watcher.runRound();
+  Fixture.Store.put("canvaswick/daemons/d2", encodeDaemon(Fixture.Self));
+  Fixture.Watcher.runRound();
   CHECK(IsWritten(WatchRole::Lead, 0, fromSeconds(12)));
 }
 
-TEST_CASE("of two that write the copy at once one is refused and waits") {
-  WatcherFixture Under;
-  Under.Store.put(DaemonKey, encodeDaemon(Under.Self));
-  WatcherFixture::synchronize(Under.Watcher);
-  SnapshotWriter One(Under.Client, Under.View);
-  SnapshotWriter Two(Under.Client, Under.View);
+TEST_CASE(
+    "if two daemons write the snapshot at once, one is refused and waits") {
+  WatcherFixture Fixture;
+  Fixture.Store.put(DaemonKey, encodeDaemon(Fixture.Self));
+  WatcherFixture::synchronize(Fixture.Watcher);
+  SnapshotWriter One(Fixture.Client, Fixture.View);
+  SnapshotWriter Two(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
   for (const Duration After :
        {Duration::zero(), fromSeconds(5), fromSeconds(6)})
     for (SnapshotWriter *Each : {&One, &Two})
       Each->runRound(WatchRole::Lead, 0, Start + After);
-  CHECK(Under.Store.countCalls("/kv-txn") == 2);
-  CHECK(decodeSnapshot(Under.Store.peek("canvaswick/copy")));
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
+  CHECK(decodeSnapshot(Fixture.Store.peek("canvaswick/copy")));
 }
 
-TEST_CASE("writes are conditional, and leases take their items along") {
-  WatcherFixture Under;
+TEST_CASE("writes are conditional, and the end of a lease removes its items") {
+  WatcherFixture Fixture;
   StoreTransaction First;
   First.Expected.emplace_back("k", 0);
   First.Writes.push_back({"k", "one", 0});
-  Result<StorePosition> Written = Under.Client.write(First);
+  Result<StorePosition> Written = Fixture.Client.write(First);
   REQUIRE(Written);
-  Result<StorePosition> Again = Under.Client.write(First);
+  Result<StorePosition> Again = Fixture.Client.write(First);
   REQUIRE_FALSE(Again);
   CHECK(Again.error().Kind == ErrorKind::Conflict);
-  Result<StoreLease> Lease = Under.Client.openLease(fromSeconds(5));
+  Result<StoreLease> Lease = Fixture.Client.openLease(fromSeconds(5));
   REQUIRE(Lease);
   StoreTransaction Leased;
   Leased.Writes.push_back({"l", "x", Lease.value().Number});
-  REQUIRE(Under.Client.write(Leased));
-  CHECK(Under.Client.renewLease(Lease.value()));
-  CHECK(Under.Client.endLease(Lease.value()));
-  CHECK(Under.Store.peek("l").empty());
-  Result<void> Late = Under.Client.renewLease(Lease.value());
+  REQUIRE(Fixture.Client.write(Leased));
+  CHECK(Fixture.Client.renewLease(Lease.value()));
+  CHECK(Fixture.Client.endLease(Lease.value()));
+  CHECK(Fixture.Store.peek("l").empty());
+  Result<void> Late = Fixture.Client.renewLease(Lease.value());
   REQUIRE_FALSE(Late);
   CHECK(Late.error().Kind == ErrorKind::NotFound);
 }
 
-TEST_CASE("a daemon registers, and again when its lease has ended") {
-  WatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  Under.Watcher.runRound();
-  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
-                              fromSeconds(60));
+TEST_CASE("a daemon registers, and does so again when its lease has ended") {
+  WatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  Fixture.Watcher.runRound();
+  DaemonRegistration Registration(Fixture.Client, Fixture.View, Fixture.Self,
+                                  fromSeconds(60));
   const TimePoint Now = readSteadyClock();
-  Registry.runRound(Now);
-  CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-  // The view has not reached the write yet: nothing is written twice.
-  Registry.runRound(Now + fromSeconds(3));
-  CHECK(Under.Store.countCalls("/kv-txn") == 1);
-  Under.Store.endLeases();
-  Under.Watcher.runRound();
-  Registry.runRound(Now + fromSeconds(4));
-  CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-  CHECK(Under.Store.countCalls("/kv-txn") == 2);
-  Registry.leave();
-  CHECK(Under.Store.peek(DaemonKey).empty());
+  Registration.runRound(Now);
+  CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+  // The view has not reached the write yet, and nothing is written twice.
+  Registration.runRound(Now + fromSeconds(3));
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
+  Fixture.Store.endLeases();
+  Fixture.Watcher.runRound();
+  Registration.runRound(Now + fromSeconds(4));
+  CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
+  Registration.leave();
+  CHECK(Fixture.Store.peek(DaemonKey).empty());
 }
 
-TEST_CASE("a daemon that comes back goes on with its entry and its lease") {
-  WatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  WatcherFixture::synchronize(Under.Watcher);
+TEST_CASE("a restarted daemon takes over its entry and its lease") {
+  WatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  WatcherFixture::synchronize(Fixture.Watcher);
   const TimePoint Now = readSteadyClock();
-  DaemonRegistration Before(Under.Client, Under.View, Under.Self,
+  DaemonRegistration Before(Fixture.Client, Fixture.View, Fixture.Self,
                             fromSeconds(60));
   Before.runRound(Now);
-  Under.Watcher.runRound();
-  // It lost power: nothing was ended.
-  const double Price = Under.Store.sumCallCosts();
-  DaemonRegistration After(Under.Client, Under.View, Under.Self,
+  Fixture.Watcher.runRound();
+  // The daemon lost power, so its lease was not ended.
+  const double Price = Fixture.Store.sumCallCosts();
+  DaemonRegistration After(Fixture.Client, Fixture.View, Fixture.Self,
                            fromSeconds(60));
   After.runRound(Now);
-  CHECK(Under.Store.sumCallCosts() - Price == doctest::Approx(0.1));
-  SUBCASE("it leaves by it") {
+  CHECK(Fixture.Store.sumCallCosts() - Price == doctest::Approx(0.1));
+  SUBCASE("it ends the lease when it leaves") {
     After.leave();
-    CHECK(Under.Store.peek(DaemonKey).empty());
+    CHECK(Fixture.Store.peek(DaemonKey).empty());
   }
   SUBCASE("the lease has ended, though the view lists the entry") {
-    Under.Store.endLeases();
-    DaemonRegistration Third(Under.Client, Under.View, Under.Self,
+    Fixture.Store.endLeases();
+    DaemonRegistration Third(Fixture.Client, Fixture.View, Fixture.Self,
                              fromSeconds(60));
     Third.runRound(Now);
-    CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-    CHECK(Under.Store.countCalls("/kv-txn") == 2);
+    CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+    CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
   }
-  SUBCASE("it comes back at another address") {
-    DaemonRecord Moved = Under.Self;
+  SUBCASE("it restarts at another address") {
+    DaemonRecord Moved = Fixture.Self;
     Moved.Control.Port = 99;
-    DaemonRegistration Third(Under.Client, Under.View, Moved, fromSeconds(60));
+    DaemonRegistration Third(Fixture.Client, Fixture.View, Moved,
+                             fromSeconds(60));
     Third.runRound(Now);
-    CHECK(Under.Store.countCalls("/kv-txn") == 2);
+    CHECK(Fixture.Store.countCalls("/kv-txn") == 2);
   }
 }
 
-TEST_CASE("a write whose answer was lost is looked up first") {
-  WatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  Under.Watcher.runRound();
-  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
-                              fromSeconds(60));
-  Under.Store.setFaults({.LosesAnswers = true});
+TEST_CASE("a write whose answer was lost is looked up before it is retried") {
+  WatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  Fixture.Watcher.runRound();
+  DaemonRegistration Registration(Fixture.Client, Fixture.View, Fixture.Self,
+                                  fromSeconds(60));
+  Fixture.Store.setFaults({.LosesAnswers = true});
   const TimePoint Now = readSteadyClock();
-  Registry.runRound(Now);
-  CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
-  Under.Store.setFaults({});
-  Under.Watcher.runRound();
-  Registry.runRound(Now + fromSeconds(3));
-  CHECK(Under.Store.countCalls("/kv-txn") == 1);
+  Registration.runRound(Now);
+  CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
+  Fixture.Store.setFaults({});
+  Fixture.Watcher.runRound();
+  Registration.runRound(Now + fromSeconds(3));
+  CHECK(Fixture.Store.countCalls("/kv-txn") == 1);
 }
