--- a/include/canvaswick/Daemon/DirectoryCalls.h
+++ b/include/canvaswick/Daemon/DirectoryCalls.h
@@ -39,7 +39,7 @@
   ItemPositions Held;
   /// False: the peer knows no epochs. It is taken to be in the one of whom it
   /// asks.
-  bool NamesEpoch = true;
+  bool HasEpoch = true;
 };
 
 /// Returns what the peer lacks.
@@ -49,10 +49,10 @@
 /// server that leaves) and never waits behind what is large (a configuration):
 /// large values travel only if they are asked for and if this daemon has room
 /// for that, whole copies likewise. Thread-safe.
-class ChangesAnswerer {
+class ChangesResponder {
 public:
   /// HasRoom tells whether one more large answer may leave now.
-  ChangesAnswerer(ChangesSource Source, std::function<bool()> HasRoom);
+  ChangesResponder(ChangesSource Source, std::function<bool()> HasRoom);
 
   Json::Value answer(const ChangesRequest &Request);
 
@@ -75,7 +75,7 @@
 /// Adds the method that peers call. Answerer must outlive the dispatcher's
 /// calls.
 void addDirectoryMethod(JsonRpcDispatcher &Dispatcher,
-                        ChangesAnswerer &Answerer);
+                        ChangesResponder &Answerer);
 
 /// Asks a peer. Errors as for PeerCaller::call; Unavailable also from one that
 /// has no room for a whole copy.
--- a/include/canvaswick/Daemon/EvidenceAgent.h
+++ b/include/canvaswick/Daemon/EvidenceAgent.h
@@ -64,8 +64,8 @@
 bool decodeReport(const Json::Value &Value, EvidenceReport &Report);
 
 /// Writes a digest into a message, and reads it.
-Json::Value encodeDigest(const EvidenceDigest &Digest);
-bool decodeDigest(const Json::Value &Value, EvidenceDigest &Digest);
+Json::Value encodeSummary(const EvidenceDigest &Digest);
+bool decodeSummary(const Json::Value &Value, EvidenceDigest &Digest);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Daemon/Gateway.h
+++ b/include/canvaswick/Daemon/Gateway.h
@@ -48,10 +48,10 @@
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
 
   /// Sets who answers peers that ask for the copy of the store, and who hears
-  /// each message of a peer. StoodStill is called when the process goes on
+  /// each message of a peer. OnPause is called when the process goes on
   /// after a standstill. Call before start.
   void setHooks(ChangesSource Source, PeerLink::Handler Heard,
-                std::function<void()> StoodStill);
+                std::function<void()> OnPause);
 
   /// Says where this daemon stands with the store. IsNews: peers are told at
   /// once.
@@ -59,7 +59,7 @@
 
   /// Says that settings may be long in coming: callers who wait for them are
   /// refused at once from now on, until there are some. Called after start.
-  void endStart();
+  void stopWaitingForSettings();
 
   /// Changes the repeats that the fleet may send.
   void setRepeats(const RepeatAllowance &Allowance);
--- a/include/canvaswick/Daemon/LeavingAgent.h
+++ b/include/canvaswick/Daemon/LeavingAgent.h
@@ -25,20 +25,20 @@
 namespace canvaswick {
 
 /// What is known of one leaving address.
-struct LeavingSign {
+struct LeavingStatus {
   bool IsLeaving = false;
   /// Calendar time of the observation. A later one wins.
   int64_t AtMillis = 0;
 };
 
 /// The signs of all servers, by address. No sockets, no clock.
-class LeavingBoard {
+class LeavingServerTable {
 public:
   /// Takes what a server said of itself. Returns whether it was news.
-  bool takeSign(const std::string &Address, const LeavingSign &Sign);
+  bool mergeStatus(const std::string &Address, const LeavingStatus &Sign);
 
   /// Takes the platform's list. Returns whether it was newer.
-  bool takeList(uint64_t Revision, std::set<std::string> Addresses);
+  bool mergeList(uint64_t Revision, std::set<std::string> Addresses);
 
   /// Returns the addresses that receive no new work. Signs that were not
   /// renewed in time no longer count.
@@ -48,7 +48,7 @@
   const std::set<std::string> &getList() const { return this->List; }
 
 private:
-  std::map<std::string, LeavingSign> Signs;
+  std::map<std::string, LeavingStatus> Signs;
   uint64_t ListRevision = 0;
   std::set<std::string> List;
 };
@@ -89,7 +89,7 @@
   MembershipAgent &Members;
   ConnectionPool Probes;
   mutable std::mutex Mutex;
-  LeavingBoard Board;
+  LeavingServerTable Board;
   /// Used by runRound only.
   std::vector<ProbeDuty> Duties;
   FleetRuntimeRef DutiesOf;
--- a/include/canvaswick/Daemon/PeerLink.h
+++ b/include/canvaswick/Daemon/PeerLink.h
@@ -57,47 +57,47 @@
 
   /// Tells the peers of this hall what was seen since the last message, all
   /// that is in flight, what organisations asked and what limits servers named:
-  /// at most MostLevelsBesides and MostLimitsBesides, which leave room for the
-  /// rest.
-  void sendObservations(std::vector<Observation> Seen,
+  /// at most MaxPiggybackedUsages and MaxPiggybackedLimits, which leave room
+  /// for the rest.
+  void sendObservations(std::vector<Observation> Observations,
                         const std::vector<InFlightReport> &InFlight,
-                        std::vector<AllowanceLevel> Levels,
+                        std::vector<AllowanceLevel> Usages,
                         std::vector<LimitReport> Limits);
-  static constexpr size_t MostLevelsBesides = 10;
-  static constexpr size_t MostLimitsBesides = 5;
+  static constexpr size_t MaxPiggybackedUsages = 10;
+  static constexpr size_t MaxPiggybackedLimits = 5;
 
   /// Tells the other halls what organisations asked of this one. An empty list
   /// shows them that it is heard.
-  void sendHallLevels(std::vector<AllowanceLevel> Levels);
+  void sendHallUsages(std::vector<AllowanceLevel> Usages);
 
-  /// Tells the other halls. Limits: at most MostLimitsBesides.
+  /// Tells the other halls. Limits: at most MaxPiggybackedLimits.
   void sendEstimates(std::vector<Estimate> Estimates,
                      std::vector<HallRate> Rates,
                      std::vector<LimitReport> Limits);
 
   /// Tells the peers of this hall, for those that have just started.
-  void sendNearEstimates(std::vector<Estimate> Estimates);
+  void sendLocalEstimates(std::vector<Estimate> Estimates);
 
   /// Tells the peers of this hall how far the copy of the store goes and, if
   /// this daemon watches, how long ago the store answered.
-  void sendWatcherNews(TimePoint Now);
+  void sendStoreState(TimePoint Now);
 
   /// Tells the peers of this hall, and through one of each other hall all
   /// others, under which requests servers ended.
-  void sendSuspects(const SuspectReport &Report);
+  void sendPoisonReport(const PoisonRequestReport &Report);
 
-  /// Asks some peers, drawn anew each time, for the right to a repeat. AsksFar:
-  /// one of another hall too.
-  void askForRepeat(const RepeatLoan &Loan, bool AsksFar);
+  /// Asks some peers, drawn anew each time, for the right to a repeat.
+  /// AsksRemoteHall: one of another hall too.
+  void sendLoanRequest(const RetryLoan &Loan, bool AsksRemoteHall);
 
   /// Gives a right to the peer that asked for it.
-  void lendRepeat(const std::string &Daemon, const RepeatLoan &Loan);
+  void sendLoanGrant(const std::string &Daemon, const RetryLoan &Loan);
 
   /// Sets what messages say of the store.
   void setStoreState(const StoreState &State);
 
   /// Returns how many daemons of this hall are known, this one included.
-  size_t countNear();
+  size_t countHallDaemons();
 
   /// Ends the receiving thread and closes the socket.
   void stop();
@@ -111,7 +111,7 @@
   void sendTo(const Endpoint &Peer, const std::string &Text);
   void sendWithinHall(const std::string &Text);
   void sendToOtherHalls(const std::string &Text);
-  std::vector<DaemonRecord> drawAsked(bool AsksFar);
+  std::vector<DaemonRecord> drawAsked(bool AsksRemoteHall);
 
   const DaemonRecord Self;
   CounterTable &Counters;
--- a/include/canvaswick/Daemon/PeerMessage.h
+++ b/include/canvaswick/Daemon/PeerMessage.h
@@ -15,7 +15,7 @@
 #define CANVASWICK_DAEMON_PEERMESSAGE_H
 
 #include "canvaswick/Admission/FleetAllowance.h"
-#include "canvaswick/Daemon/SuspectReport.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
 #include "canvaswick/Directory/StorePosition.h"
 #include "canvaswick/Health/SpellPolicy.h"
 #include "canvaswick/Routing/ServerNotices.h"
@@ -31,12 +31,12 @@
 
 /// A daemon that has used up its part of a service's repeats asks a peer for
 /// the right to one, or a peer answers that it gives it.
-struct RepeatLoan {
+struct RetryLoan {
   ServerId Service = 0;
   /// The asking daemon's own number for it, so that each answer counts once.
   uint64_t Number = 0;
 
-  bool operator==(const RepeatLoan &) const = default;
+  bool operator==(const RetryLoan &) const = default;
 };
 
 /// One datagram.
@@ -49,27 +49,27 @@
   /// How long ago the store last answered the source, in whole milliseconds, if
   /// the source watches the store itself. That it watches proves nothing: the
   /// store may have been silent ever since.
-  std::optional<Duration> StoreHeardAgo;
+  std::optional<Duration> SinceStoreAnswer;
   /// Whether a daemon of the receiver's hall has passed it on.
   bool IsRelayed = false;
   /// Grows with each message of a source; starts at its calendar time.
   uint64_t Sequence = 0;
-  std::vector<Observation> Seen;
+  std::vector<Observation> Observations;
   std::vector<Estimate> Estimates;
   std::vector<HallRate> Rates;
   /// All that the source has in flight, if the message speaks of it.
   std::optional<std::vector<InFlightReport>> InFlight;
   /// Rights to repeats that are asked for, and that are given.
-  std::vector<RepeatLoan> Asked;
-  std::vector<RepeatLoan> Lent;
+  std::vector<RetryLoan> LoanRequests;
+  std::vector<RetryLoan> LoanGrants;
   /// What organisations asked of the source.
-  std::vector<AllowanceLevel> Levels;
+  std::vector<AllowanceLevel> Usages;
   /// What they asked of its whole hall, if the message speaks of that.
-  std::optional<std::vector<AllowanceLevel>> HallLevels;
+  std::optional<std::vector<AllowanceLevel>> HallUsages;
   /// Limits that servers have named or taken back.
   std::vector<LimitReport> Limits;
   /// Requests under which servers ended, and what speaks for them.
-  SuspectReport Suspects;
+  PoisonRequestReport PoisonRequests;
 
   bool operator==(const PeerMessage &) const = default;
 };
--- a/include/canvaswick/Daemon/SuspectAgent.h
+++ b/include/canvaswick/Daemon/PoisonRequestAgent.h
@@ -1,4 +1,4 @@
-//===- SuspectAgent.h - Fatal requests among signed peers -------*- C++ -*-===//
+//===- PoisonRequestAgent.h - Fatal requests among signed peers -*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,19 +13,19 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DAEMON_SUSPECTAGENT_H
-#define CANVASWICK_DAEMON_SUSPECTAGENT_H
+#ifndef CANVASWICK_DAEMON_POISONREQUESTAGENT_H
+#define CANVASWICK_DAEMON_POISONREQUESTAGENT_H
 
 #include "canvaswick/Daemon/MembershipAgent.h"
-#include "canvaswick/Daemon/SuspectBook.h"
+#include "canvaswick/Daemon/PoisonRequestStore.h"
 
 namespace canvaswick {
 
 /// Thread-safe.
-class SuspectAgent {
+class PoisonRequestAgent {
 public:
-  SuspectAgent(const ControlContext &Context, MembershipAgent &Members,
-               RequestGuard &Guard);
+  PoisonRequestAgent(const ControlContext &Context, MembershipAgent &Members,
+                     RequestGuard &Guard);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
@@ -34,20 +34,20 @@
   void runRound(const Instant &Now);
 
   /// Takes part in pings.
-  void writeNews(Json::Value &Message, TimePoint Now) const;
-  void readNews(const Json::Value &Message, TimePoint Now);
+  void writeUpdate(Json::Value &Message, TimePoint Now) const;
+  void readUpdate(const Json::Value &Message, TimePoint Now);
 
 private:
   void spread(const SuspectNews &News, TimePoint Now);
   Json::Value answerNews(const Json::Value &Params);
-  Result<BookPage> readPage() const;
+  Result<StoredRecords> readPage() const;
   Result<StorePosition> writePage(const std::string &Text,
                                   const StorePosition &Expected) const;
 
   const ControlContext &Context;
   MembershipAgent &Members;
   RequestGuard &Guard;
-  SuspectBook Book;
+  PoisonRequestStore Book;
   /// Used by runRound only.
   TimePoint ReadAt{};
   bool HasRead = false;
@@ -55,4 +55,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DAEMON_SUSPECTAGENT_H
+#endif // CANVASWICK_DAEMON_POISONREQUESTAGENT_H
--- a/include/canvaswick/Daemon/SuspectReport.h
+++ b/include/canvaswick/Daemon/PoisonRequestReport.h
@@ -1,4 +1,4 @@
-//===- SuspectReport.h - What daemons tell of fatal requests ----*- C++ -*-===//
+//===- PoisonRequestReport.h - What daemons tell of fatal -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DAEMON_SUSPECTREPORT_H
-#define CANVASWICK_DAEMON_SUSPECTREPORT_H
+#ifndef CANVASWICK_DAEMON_POISONREQUESTREPORT_H
+#define CANVASWICK_DAEMON_POISONREQUESTREPORT_H
 
 #include "canvaswick/Admission/SuspectTable.h"
 #include "canvaswick/Support/Error.h"
@@ -46,23 +46,24 @@
 };
 
 /// News as a message carries it.
-struct SuspectReport {
+struct PoisonRequestReport {
   std::vector<EndReport> Ends;
   std::vector<AnswerReport> Answers;
 
   bool isEmpty() const { return this->Ends.empty() && this->Answers.empty(); }
-  bool operator==(const SuspectReport &) const = default;
+  bool operator==(const PoisonRequestReport &) const = default;
 };
 
 /// Returns news as a message that leaves now carries it, and back.
-SuspectReport makeReport(const SuspectNews &News, TimePoint Now);
-SuspectNews readReport(const SuspectReport &Report, TimePoint Now);
+PoisonRequestReport makePoisonReport(const SuspectNews &News, TimePoint Now);
+SuspectNews readPoisonReport(const PoisonRequestReport &Report, TimePoint Now);
 
 /// Writes a report into a message: "ends" and "answers", if there are any.
-void encodeSuspects(const SuspectReport &Report, Json::Value &Message);
+void encodePoisonReport(const PoisonRequestReport &Report,
+                        Json::Value &Message);
 
 /// Reads a report from a message. Fails with InvalidArgument.
-Result<SuspectReport> decodeSuspects(const Json::Value &Message);
+Result<PoisonRequestReport> decodePoisonReport(const Json::Value &Message);
 
 /// Writes and reads the records as one text, which holds calendar times: it is
 /// as right as the clocks of its writer and reader agree. Fails with
@@ -82,4 +83,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DAEMON_SUSPECTREPORT_H
+#endif // CANVASWICK_DAEMON_POISONREQUESTREPORT_H
--- a/include/canvaswick/Daemon/SuspectBook.h
+++ b/include/canvaswick/Daemon/PoisonRequestStore.h
@@ -1,4 +1,4 @@
-//===- SuspectBook.h - Records of fatal requests, kept outside --*- C++ -*-===//
+//===- PoisonRequestStore.h - Records of fatal requests, kept ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -14,10 +14,10 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DAEMON_SUSPECTBOOK_H
-#define CANVASWICK_DAEMON_SUSPECTBOOK_H
+#ifndef CANVASWICK_DAEMON_POISONREQUESTSTORE_H
+#define CANVASWICK_DAEMON_POISONREQUESTSTORE_H
 
-#include "canvaswick/Daemon/SuspectReport.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
 #include "canvaswick/Directory/StorePosition.h"
 #include "canvaswick/Proxy/RequestGuard.h"
 
@@ -28,21 +28,21 @@
 namespace canvaswick {
 
 /// The value as it was last read, and where. Revision 0: there is none.
-struct BookPage {
+struct StoredRecords {
   std::string Text;
   StorePosition At;
 };
 
 /// Thread-safe. Its mutex guards what it last took; no call is made under it.
-class SuspectBook {
+class PoisonRequestStore {
 public:
   /// Reads the value, or returns the last known copy of it.
-  using Reader = std::function<Result<BookPage>()>;
+  using Reader = std::function<Result<StoredRecords>()>;
   /// Writes the value if it is still where it was.
   using Writer = std::function<Result<StorePosition>(const std::string &,
                                                      const StorePosition &)>;
 
-  SuspectBook(RequestGuard &Guard, Reader Read, Writer Write)
+  PoisonRequestStore(RequestGuard &Guard, Reader Read, Writer Write)
       : Guard(Guard), Read(std::move(Read)), Write(std::move(Write)) {}
 
   /// Gives the guard what is written, if it has changed. Fails as Read does.
@@ -53,7 +53,7 @@
   void runRound(const Instant &Now);
 
   /// Takes the right to the next try of a request.
-  bool claimTry(const SuspectRecord &Record, const Instant &Now);
+  bool claimProbe(const SuspectRecord &Record, const Instant &Now);
 
 private:
   bool change(std::vector<SuspectRecord> &Records, const Instant &Now) const;
@@ -71,4 +71,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DAEMON_SUSPECTBOOK_H
+#endif // CANVASWICK_DAEMON_POISONREQUESTSTORE_H
--- a/include/canvaswick/Daemon/AllowanceAgent.h
+++ b/include/canvaswick/Daemon/QuotaAgent.h
@@ -1,4 +1,4 @@
-//===- AllowanceAgent.h - Daemons tell what organisations ask ---*- C++ -*-===//
+//===- QuotaAgent.h - Daemons tell what organisations ask -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -17,8 +17,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DAEMON_ALLOWANCEAGENT_H
-#define CANVASWICK_DAEMON_ALLOWANCEAGENT_H
+#ifndef CANVASWICK_DAEMON_QUOTAAGENT_H
+#define CANVASWICK_DAEMON_QUOTAAGENT_H
 
 #include "canvaswick/Daemon/MembershipAgent.h"
 #include "canvaswick/Proxy/OrganisationGate.h"
@@ -33,18 +33,18 @@
 namespace canvaswick {
 
 /// What a hall's teller says of its hall.
-struct HallWord {
+struct HallUsage {
   std::string Hall;
-  std::string Teller;
+  std::string Reporter;
   /// Of the teller's messages.
   uint64_t Sequence = 0;
-  std::vector<AllowanceLevel> Levels;
+  std::vector<AllowanceLevel> Usages;
 
-  bool operator==(const HallWord &) const = default;
+  bool operator==(const HallUsage &) const = default;
 };
 
 /// One message of a daemon.
-struct AllowanceMessage {
+struct QuotaMessage {
   std::string Source;
   std::string Hall;
   /// Begins at the calendar time of the process's start, in milliseconds, and
@@ -52,24 +52,23 @@
   uint64_t Sequence = 0;
   /// To daemons of the same hall: of the source itself, and what other halls
   /// told it since its last message.
-  std::vector<AllowanceLevel> Levels;
-  std::vector<HallWord> Passed;
+  std::vector<AllowanceLevel> Usages;
+  std::vector<HallUsage> RelayedHalls;
   /// To a daemon of another hall: of the source's whole hall.
-  std::vector<AllowanceLevel> HallLevels;
+  std::vector<AllowanceLevel> HallUsages;
 
-  bool operator==(const AllowanceMessage &) const = default;
+  bool operator==(const QuotaMessage &) const = default;
 };
 
 /// Writes a message, and reads it. Returns false if it is malformed.
-Json::Value encodeAllowanceMessage(const AllowanceMessage &Message);
-bool decodeAllowanceMessage(const Json::Value &Value,
-                            AllowanceMessage &Message);
+Json::Value encodeQuotaMessage(const QuotaMessage &Message);
+bool decodeQuotaMessage(const Json::Value &Value, QuotaMessage &Message);
 
 /// Moves levels between daemons. Thread-safe.
-class AllowanceAgent {
+class QuotaAgent {
 public:
-  AllowanceAgent(const ControlContext &Context, MembershipAgent &Members,
-                 OrganisationGate &Organisations);
+  QuotaAgent(const ControlContext &Context, MembershipAgent &Members,
+             OrganisationGate &Organisations);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
@@ -77,11 +76,11 @@
   void runRound(TimePoint Now);
 
   /// Takes what a daemon told, unless something later came from it before.
-  void take(const AllowanceMessage &Message, TimePoint Now);
+  void applyMessage(const QuotaMessage &Message, TimePoint Now);
 
   /// Makes the next message to this hall: what this daemon was asked and what
   /// other halls told it since the last one.
-  AllowanceMessage makeMessage(TimePoint Now);
+  QuotaMessage makeMessage(TimePoint Now);
 
   /// Ends the calls under way.
   void stop();
@@ -89,10 +88,10 @@
 private:
   void updateFleet(TimePoint Now);
   bool isHallDue(TimePoint Now);
-  void tellHalls(const AllowanceMessage &Base, TimePoint Now);
+  void tellHalls(const QuotaMessage &Base, TimePoint Now);
   void tell(const MemberRecord &Peer, const Json::Value &Message);
   bool isLater(const std::string &Source, uint64_t Sequence);
-  void takeHall(const HallWord &Word, TimePoint Now);
+  void takeHall(const HallUsage &Word, TimePoint Now);
   Json::Value answerTell(const Json::Value &Params);
 
   const ControlContext &Context;
@@ -116,9 +115,9 @@
   std::map<std::string, uint64_t> Taken;
   std::map<std::string, uint64_t> TakenAsTeller;
   /// What other halls told this daemon since its last message.
-  std::map<std::string, HallWord> ToPass;
+  std::map<std::string, HallUsage> ToPass;
 };
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DAEMON_ALLOWANCEAGENT_H
+#endif // CANVASWICK_DAEMON_QUOTAAGENT_H
--- a/include/canvaswick/Daemon/AllowanceWire.h
+++ b/include/canvaswick/Daemon/QuotaEncoding.h
@@ -1,4 +1,4 @@
-//===- AllowanceWire.h - Levels of organisations in messages ----*- C++ -*-===//
+//===- QuotaEncoding.h - Levels of organisations in messages ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -14,8 +14,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DAEMON_ALLOWANCEWIRE_H
-#define CANVASWICK_DAEMON_ALLOWANCEWIRE_H
+#ifndef CANVASWICK_DAEMON_QUOTAENCODING_H
+#define CANVASWICK_DAEMON_QUOTAENCODING_H
 
 #include "canvaswick/Admission/FleetAllowance.h"
 
@@ -26,14 +26,14 @@
 namespace canvaswick {
 
 /// Writes levels into a message.
-Json::Value encodeLevels(const std::vector<AllowanceLevel> &Levels);
+Json::Value encodeUsages(const std::vector<AllowanceLevel> &Usages);
 
 /// Reads one level. Returns false if it is malformed.
-bool decodeLevel(const Json::Value &Row, AllowanceLevel &Level);
+bool decodeUsage(const Json::Value &Row, AllowanceLevel &Level);
 
 /// Reads a list of levels. Returns false if it is none, or one is malformed.
-bool decodeLevels(const Json::Value &Rows, std::vector<AllowanceLevel> &Levels);
+bool decodeUsages(const Json::Value &Rows, std::vector<AllowanceLevel> &Usages);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DAEMON_ALLOWANCEWIRE_H
+#endif // CANVASWICK_DAEMON_QUOTAENCODING_H
--- a/include/canvaswick/Daemon/RepeatLoans.h
+++ b/include/canvaswick/Daemon/RetryBorrower.h
@@ -1,4 +1,4 @@
-//===- RepeatLoans.h - Rights to repeats, lent between daemons  -*- C++ -*-===//
+//===- RetryBorrower.h - Rights to repeats, lent between --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -19,8 +19,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DAEMON_REPEATLOANS_H
-#define CANVASWICK_DAEMON_REPEATLOANS_H
+#ifndef CANVASWICK_DAEMON_RETRYBORROWER_H
+#define CANVASWICK_DAEMON_RETRYBORROWER_H
 
 #include "canvaswick/Daemon/PeerMessage.h"
 #include "canvaswick/Metrics/Counters.h"
@@ -35,21 +35,22 @@
 
 /// Borrows for this daemon's requests. Thread-safe; its mutex is taken before
 /// that of a service.
-class RepeatLoans {
+class RetryBorrower {
 public:
-  /// Sends a question to some peers, others each time. AsksFar: to one of
-  /// another hall too.
-  using Sender = std::function<void(const RepeatLoan &Loan, bool AsksFar)>;
+  /// Sends a question to some peers, others each time. AsksRemoteHall: to one
+  /// of another hall too.
+  using Sender =
+      std::function<void(const RetryLoan &Loan, bool AsksRemoteHall)>;
 
   /// FirstNumber must differ from that of earlier processes of this daemon.
-  RepeatLoans(uint64_t FirstNumber, CounterTable &Counters, Sender Ask);
+  RetryBorrower(uint64_t FirstNumber, CounterTable &Counters, Sender Ask);
 
   /// Asks peers for the right to one repeat of a service and takes it. Returns
   /// false if none came within some tens of milliseconds.
   bool borrow(ServiceRuntime &Service, TimePoint Now);
 
   /// Takes a peer's answer. One that nobody waits for any more is dropped.
-  void takeLent(const RepeatLoan &Loan);
+  void handleGrant(const RetryLoan &Loan);
 
 private:
   struct Question {
@@ -58,8 +59,8 @@
     bool IsAnswered = false;
   };
 
-  bool waitForAnswer(const RepeatLoan &Loan);
-  bool isWorthAsking(const RepeatLoan &Loan, TimePoint Now);
+  bool waitForAnswer(const RetryLoan &Loan);
+  bool isWorthAsking(const RetryLoan &Loan, TimePoint Now);
 
   CounterTable &Counters;
   const Sender Ask;
@@ -73,4 +74,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DAEMON_REPEATLOANS_H
+#endif // CANVASWICK_DAEMON_RETRYBORROWER_H
--- a/lib/Bench/BenchExchange.cpp
+++ b/lib/Bench/BenchExchange.cpp
@@ -66,7 +66,7 @@
     return;
   }
   this->ControlBytes -= CallOverheadBytes;
-  this->send(encodeDigest(Digest),
+  this->send(encodeSummary(Digest),
              [this, &Source, Digest] { this->deliverDigest(Source, Digest); });
 }
 
@@ -89,7 +89,7 @@
         this->deliverDigest(Reader, Digest);
         continue;
       }
-      this->send(encodeDigest(Digest), [this, &Reader, Digest] {
+      this->send(encodeSummary(Digest), [this, &Reader, Digest] {
         this->deliverDigest(Reader, Digest);
       });
     }
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -15,13 +15,13 @@
 
 #include "canvaswick/Daemon/Daemon.h"
 #include "CallerServer.h"
-#include "canvaswick/Daemon/AllowanceAgent.h"
 #include "canvaswick/Daemon/ClaimAgent.h"
 #include "canvaswick/Daemon/ConfigAgent.h"
 #include "canvaswick/Daemon/EvidenceAgent.h"
 #include "canvaswick/Daemon/LeavingAgent.h"
 #include "canvaswick/Daemon/OperatorApi.h"
-#include "canvaswick/Daemon/SuspectAgent.h"
+#include "canvaswick/Daemon/PoisonRequestAgent.h"
+#include "canvaswick/Daemon/QuotaAgent.h"
 #include "canvaswick/Proxy/RequestProxy.h"
 #include "canvaswick/Support/Log.h"
 #include "canvaswick/Support/RoundThread.h"
@@ -77,8 +77,8 @@
   std::unique_ptr<ClaimAgent> Claims;
   std::unique_ptr<OperatorApi> Operators;
   std::unique_ptr<RequestProxy> Proxy;
-  std::unique_ptr<SuspectAgent> Suspects;
-  std::unique_ptr<AllowanceAgent> Allowances;
+  std::unique_ptr<PoisonRequestAgent> Suspects;
+  std::unique_ptr<QuotaAgent> Allowances;
   ConnectionPool Upstreams;
   JsonRpcDispatcher Dispatcher;
   std::mutex VerifierMutex;
@@ -132,9 +132,9 @@
   this->Proxy = std::make_unique<RequestProxy>(this->Config.Name, this->Fleet,
                                                this->Upstreams, this->Counters,
                                                this->Claims.get());
-  this->Suspects = std::make_unique<SuspectAgent>(
+  this->Suspects = std::make_unique<PoisonRequestAgent>(
       *this->Context, *this->Members, this->Proxy->getGuard());
-  this->Allowances = std::make_unique<AllowanceAgent>(
+  this->Allowances = std::make_unique<QuotaAgent>(
       *this->Context, *this->Members, this->Proxy->getOrganisations());
   this->Operators = std::make_unique<OperatorApi>(
       *this->Context, *this->Members, *this->Configs, this->Proxy->getGuard(),
@@ -143,12 +143,12 @@
       [this](Json::Value &Message) {
         this->Configs->writeVersions(Message);
         this->Leaving->writeVersions(Message);
-        this->Suspects->writeNews(Message, readSteadyClock());
+        this->Suspects->writeUpdate(Message, readSteadyClock());
       },
       [this](const MemberRecord &Peer, const Json::Value &Message) {
         this->Configs->readVersions(Peer, Message);
         this->Leaving->readVersions(Peer, Message);
-        this->Suspects->readNews(Message, readSteadyClock());
+        this->Suspects->readUpdate(Message, readSteadyClock());
       });
   this->Members->addMethods(this->Dispatcher);
   this->Configs->addMethods(this->Dispatcher);
--- a/lib/Daemon/DirectoryCalls.cpp
+++ b/lib/Daemon/DirectoryCalls.cpp
@@ -57,10 +57,10 @@
   Json::Value Row(Json::arrayValue);
   Row.append(Item.Key);
   Row.append(static_cast<Json::UInt64>(Item.At.Revision));
-  const bool NamesEpoch = Item.At.Epoch != EpochOfAll;
-  if (!Item.IsGone || NamesEpoch)
+  const bool HasEpoch = Item.At.Epoch != EpochOfAll;
+  if (!Item.IsGone || HasEpoch)
     Row.append(Item.IsGone ? Json::Value() : Json::Value(Item.Value));
-  if (NamesEpoch)
+  if (HasEpoch)
     Row.append(static_cast<Json::UInt64>(Item.At.Epoch));
   return Row;
 }
@@ -115,12 +115,12 @@
   if (!Row.isArray() || Row.size() < 2 || Row.size() > 4 ||
       !Row[0].isString() || !Row[1].isUInt64())
     return false;
-  const bool NamesEpoch = Row.size() == 4;
-  if (NamesEpoch && !Row[3].isUInt64())
+  const bool HasEpoch = Row.size() == 4;
+  if (HasEpoch && !Row[3].isUInt64())
     return false;
   Item.Key = Row[0].asString();
-  Item.At = {NamesEpoch ? Row[3].asUInt64() : EpochOfAll, Row[1].asUInt64()};
-  Item.IsGone = Row.size() == 2 || (NamesEpoch && Row[2].isNull());
+  Item.At = {HasEpoch ? Row[3].asUInt64() : EpochOfAll, Row[1].asUInt64()};
+  Item.IsGone = Row.size() == 2 || (HasEpoch && Row[2].isNull());
   if (Item.IsGone)
     return true;
   if (!Row[2].isString())
@@ -182,14 +182,14 @@
   return Changes;
 }
 
-ChangesAnswerer::ChangesAnswerer(ChangesSource Source,
-                                 std::function<bool()> HasRoom)
+ChangesResponder::ChangesResponder(ChangesSource Source,
+                                   std::function<bool()> HasRoom)
     : Source(std::move(Source)), HasRoom(std::move(HasRoom)) {}
 
-Json::Value ChangesAnswerer::answer(const ChangesRequest &Request) {
+Json::Value ChangesResponder::answer(const ChangesRequest &Request) {
   ItemChanges Changes = this->Source(Request);
   StorePosition After = Request.After;
-  if (!Request.NamesEpoch)
+  if (!Request.HasEpoch)
     After.Epoch = Changes.AsOf.Epoch;
   const bool IsWhole = After.isNone() || After.Epoch != Changes.AsOf.Epoch;
   if (IsWhole && !this->HasRoom())
@@ -208,8 +208,8 @@
 }
 
 /// Encodes and packs, or returns what was packed for the same question before.
-Json::Value ChangesAnswerer::packOnce(const ItemChanges &Changes,
-                                      const StorePosition &After) {
+Json::Value ChangesResponder::packOnce(const ItemChanges &Changes,
+                                       const StorePosition &After) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     const auto Found = this->Recent.find(After);
@@ -228,7 +228,7 @@
 }
 
 void addDirectoryMethod(JsonRpcDispatcher &Dispatcher,
-                        ChangesAnswerer &Answerer) {
+                        ChangesResponder &Answerer) {
   Dispatcher.add(MethodName, [&Answerer](const Json::Value &Params) {
     const Result<ChangesRequest> Request = decodeRequest(Params);
     return Request ? Answerer.answer(Request.value())
@@ -255,7 +255,7 @@
       (Params.isMember("large") && !Params["large"].isBool()) ||
       (Params.isMember("held") && !Params["held"].isObject()))
     return makeError(ErrorKind::InvalidArgument, "not a request for changes");
-  Request.NamesEpoch = Params.isMember("epoch");
+  Request.HasEpoch = Params.isMember("epoch");
   Request.After = {Params["epoch"].asUInt64(), Params["after"].asUInt64()};
   Request.WantsLarge = !Params.isMember("large") || Params["large"].asBool();
   const Json::Value &Held = Params["held"];
--- a/lib/Daemon/EvidenceAgent.cpp
+++ b/lib/Daemon/EvidenceAgent.cpp
@@ -69,7 +69,7 @@
   return true;
 }
 
-Json::Value encodeDigest(const EvidenceDigest &Digest) {
+Json::Value encodeSummary(const EvidenceDigest &Digest) {
   Json::Value Value;
   Value["s"] = Digest.Service;
   Value["o"] = Digest.Owner;
@@ -88,7 +88,7 @@
   return Value;
 }
 
-bool decodeDigest(const Json::Value &Value, EvidenceDigest &Digest) {
+bool decodeSummary(const Json::Value &Value, EvidenceDigest &Digest) {
   if (!Value.isObject() || !Value["s"].isString() || !Value["o"].isString() ||
       !Value["r"].isUInt() || !Value["n"].isUInt64() || !Value["e"].isArray())
     return false;
@@ -271,7 +271,7 @@
     this->Context.Calls.trySubmit([this, Peer = *Peer, Made = Made] {
       Json::Value Params;
       for (const EvidenceDigest &Digest : Made)
-        Params["digests"].append(encodeDigest(Digest));
+        Params["digests"].append(encodeSummary(Digest));
       (void)this->Context.Caller.call(Peer.Control, "evidence.digest", Params,
                                       ReportTimeout);
     });
@@ -288,7 +288,7 @@
   Json::Value Answer(Json::objectValue);
   for (const EvidenceDigest &Digest :
        this->takeReports(Reports, readSteadyClock()))
-    Answer["digests"].append(encodeDigest(Digest));
+    Answer["digests"].append(encodeSummary(Digest));
   return Answer;
 }
 
@@ -296,7 +296,7 @@
   Digests Taken;
   for (const Json::Value &Value : Params["digests"]) {
     EvidenceDigest Digest;
-    if (decodeDigest(Value, Digest))
+    if (decodeSummary(Value, Digest))
       Taken.push_back(std::move(Digest));
   }
   this->takeDigests(Taken, readSteadyClock());
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -104,8 +104,8 @@
   Limits.Workers.Most = ReadyWorkers;
   this->Ready =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
-        answerCheck(Exchange, this->IsStopping, this->getOwnFigures(),
-                    this->Fleet.get().get());
+        answerHealthCheck(Exchange, this->IsStopping, this->getOwnFigures(),
+                          this->Fleet.get().get());
       });
   return this->Ready->start(this->Config.Ready);
 }
@@ -137,10 +137,10 @@
       this->Heard, this->Config.Policy);
   this->Proxy.getGuard().setNewsListener(
       [this](const SuspectNews &News, TimePoint Now) {
-        this->Peers->tellSuspects(News, Now);
+        this->Peers->reportPoisonRequests(News, Now);
       });
   this->Proxy.setChangeListener(
-      [this](TimePoint Now) { this->Peers->tellChange(Now); });
+      [this](TimePoint Now) { this->Peers->notifyRequestChange(Now); });
   this->Proxy.setRepeatSource([this](ServiceRuntime &Service, TimePoint Now) {
     return this->Peers->borrowRepeat(Service, Now);
   });
@@ -151,7 +151,7 @@
 Result<void> Gateway::Impl::startControl() {
   if (this->Config.Control.Port == 0 || !this->Source)
     return outcome::success();
-  this->Answerer = std::make_unique<ChangesAnswerer>(this->Source, [this] {
+  this->Answerer = std::make_unique<ChangesResponder>(this->Source, [this] {
     return this->Control->countInFlight() <= LargeAtOnce;
   });
   addDirectoryMethod(this->Dispatcher, *this->Answerer);
@@ -169,21 +169,23 @@
   return this->Control->start(this->Config.Control);
 }
 
-void Gateway::Impl::endStart() { this->Callers->beginAccepting(); }
+void Gateway::Impl::stopWaitingForSettings() {
+  this->Callers->beginAccepting();
+}
 
 StoreState Gateway::Impl::getStoreState() {
   std::lock_guard<std::mutex> Lock(this->StoreMutex);
   return this->Store;
 }
 
-OwnFigures Gateway::Impl::getOwnFigures() {
+DaemonMetrics Gateway::Impl::getOwnFigures() {
   const TimePoint Now = readSteadyClock();
   return {this->Counters,
           this->getStoreState(),
           this->Callers->countThreads(),
           this->getGuard().describe(),
           this->Proxy.getOrganisations().with([Now](FleetAllowance &All) {
-            return All.describe(MostOrganisations, Now);
+            return All.describe(MaxListedOrganisations, Now);
           }),
           this->Notices->with(
               [Now](const ServerNotices &All) { return All.count(Now); })};
@@ -198,8 +200,8 @@
   this->Counters.add(Counter::Standstills);
   logWarning("stood-still", "ms={}", toMillis(Stood));
   this->Upstreams.closeIdle(Now, Now);
-  if (this->StoodStill)
-    this->StoodStill();
+  if (this->OnPause)
+    this->OnPause();
 }
 
 /// Looks for late requests and tells peers what was seen since the last round.
@@ -277,17 +279,19 @@
 }
 
 void Gateway::setHooks(ChangesSource Source, PeerLink::Handler Heard,
-                       std::function<void()> StoodStill) {
+                       std::function<void()> OnPause) {
   this->Implementation->Source = std::move(Source);
   this->Implementation->Heard = std::move(Heard);
-  this->Implementation->StoodStill = std::move(StoodStill);
+  this->Implementation->OnPause = std::move(OnPause);
 }
 
 void Gateway::setStoreState(const StoreState &State, bool IsNews) {
   this->Implementation->setStoreState(State, IsNews);
 }
 
-void Gateway::endStart() { this->Implementation->endStart(); }
+void Gateway::stopWaitingForSettings() {
+  this->Implementation->stopWaitingForSettings();
+}
 
 void Gateway::beginStop() { this->Implementation->beginStop(); }
 
--- a/lib/Daemon/GatewayImpl.h
+++ b/lib/Daemon/GatewayImpl.h
@@ -15,7 +15,7 @@
 #ifndef CANVASWICK_LIB_DAEMON_GATEWAYIMPL_H
 #define CANVASWICK_LIB_DAEMON_GATEWAYIMPL_H
 
-#include "CheckAnswers.h"
+#include "HealthEndpoints.h"
 #include "PeerExchange.h"
 #include "canvaswick/Daemon/DirectoryCalls.h"
 #include "canvaswick/Daemon/Gateway.h"
@@ -43,13 +43,13 @@
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
   void setRepeats(const RepeatAllowance &Allowance);
   void setStoreState(const StoreState &State, bool IsNews);
-  void endStart();
+  void stopWaitingForSettings();
   void beginStop();
   bool finishStop(TimePoint Deadline);
 
   ChangesSource Source;
   PeerLink::Handler Heard;
-  std::function<void()> StoodStill;
+  std::function<void()> OnPause;
   const DaemonConfig Config;
   DaemonRecord Self;
   CounterTable Counters;
@@ -62,7 +62,7 @@
   void noteStandstill(TimePoint Now);
   void housekeep();
   StoreState getStoreState();
-  OwnFigures getOwnFigures();
+  DaemonMetrics getOwnFigures();
   Result<void> startPeers();
   Result<void> startReady();
   void startMetrics();
@@ -80,7 +80,7 @@
   std::unique_ptr<HttpServer> Ready;
   std::unique_ptr<HttpServer> Metrics;
   JsonRpcDispatcher Dispatcher;
-  std::unique_ptr<ChangesAnswerer> Answerer;
+  std::unique_ptr<ChangesResponder> Answerer;
   std::unique_ptr<HttpServer> Control;
   /// Guards the building of a new FleetRuntime and the names.
   std::mutex BuildMutex;
--- a/lib/Daemon/CheckAnswers.cpp
+++ b/lib/Daemon/HealthEndpoints.cpp
@@ -1,4 +1,4 @@
-//===- CheckAnswers.cpp - Answers to the balancer's checks ----------------===//
+//===- HealthEndpoints.cpp - Answers to the balancer's checks -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "CheckAnswers.h"
+#include "HealthEndpoints.h"
 #include "canvaswick/Support/Log.h"
 
 #include <fmt/format.h>
@@ -57,10 +57,11 @@
                      Workers.Running, Workers.Idle, Workers.Most);
 }
 
-std::string formatSuspects(const std::vector<SuspectStatus> &Suspects) {
+std::string
+formatPoisonRequests(const std::vector<SuspectStatus> &PoisonRequests) {
   std::string Rows;
   size_t Held = 0;
-  for (const SuspectStatus &Each : Suspects) {
+  for (const SuspectStatus &Each : PoisonRequests) {
     if (!Each.IsHeld)
       continue;
     ++Held;
@@ -70,7 +71,7 @@
   }
   return fmt::format("canvaswick_suspect_requests {}\n"
                      "canvaswick_held_requests {}\n{}",
-                     Suspects.size(), Held, Rows);
+                     PoisonRequests.size(), Held, Rows);
 }
 
 std::string
@@ -105,12 +106,12 @@
   return Text;
 }
 
-static std::string formatMetrics(const OwnFigures &Own,
+static std::string formatMetrics(const DaemonMetrics &Own,
                                  const FleetRuntime *Current) {
   std::string Text = Own.Counters.format();
   Text += formatStoreState(Own.Store, readSteadyClock());
   Text += formatWorkers(Own.Workers);
-  Text += formatSuspects(Own.Suspects);
+  Text += formatPoisonRequests(Own.PoisonRequests);
   Text += formatOrganisations(Own.Organisations);
   Text += formatNotices(Own.Notices);
   Text +=
@@ -124,7 +125,7 @@
   return Text;
 }
 
-void answerMetrics(HttpExchange &Exchange, const OwnFigures &Own,
+void answerMetrics(HttpExchange &Exchange, const DaemonMetrics &Own,
                    const FleetRuntime *Current) {
   Exchange.Stream.setDeadline(readSteadyClock() + CheckTimeLimit);
   if (Exchange.Request.target != "/metrics") {
@@ -134,8 +135,8 @@
   Exchange.Response.set_content(formatMetrics(Own, Current), "text/plain");
 }
 
-void answerCheck(HttpExchange &Exchange, bool IsStopping, const OwnFigures &Own,
-                 const FleetRuntime *Current) {
+void answerHealthCheck(HttpExchange &Exchange, bool IsStopping,
+                       const DaemonMetrics &Own, const FleetRuntime *Current) {
   const std::string &Target = Exchange.Request.target;
   Exchange.Stream.setDeadline(readSteadyClock() + CheckTimeLimit);
   if (Target == "/ready") {
--- a/lib/Daemon/CheckAnswers.h
+++ b/lib/Daemon/HealthEndpoints.h
@@ -1,4 +1,4 @@
-//===- CheckAnswers.h - Answers to the balancer's checks --------*- C++ -*-===//
+//===- HealthEndpoints.h - Answers to the balancer's checks -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_LIB_DAEMON_CHECKANSWERS_H
-#define CANVASWICK_LIB_DAEMON_CHECKANSWERS_H
+#ifndef CANVASWICK_LIB_DAEMON_HEALTHENDPOINTS_H
+#define CANVASWICK_LIB_DAEMON_HEALTHENDPOINTS_H
 
 #include "canvaswick/Admission/FleetAllowance.h"
 #include "canvaswick/Admission/SuspectTable.h"
@@ -26,14 +26,14 @@
 namespace canvaswick {
 
 /// What a daemon tells of itself beside its services.
-struct OwnFigures {
+struct DaemonMetrics {
   const CounterTable &Counters;
   StoreState Store;
   /// Those that serve callers.
   WorkerPoolThreads Workers;
   /// Requests under which servers ended.
-  std::vector<SuspectStatus> Suspects;
-  /// The busiest organisations, at most MostOrganisations.
+  std::vector<SuspectStatus> PoisonRequests;
+  /// The busiest organisations, at most MaxListedOrganisations.
   std::vector<AllowanceStatus> Organisations;
   /// How many servers say what of themselves.
   NoticeCounts Notices;
@@ -41,7 +41,7 @@
 
 /// Organisations that metrics and tools name: enough to see who sends much, and
 /// few beside 69,000.
-inline constexpr size_t MostOrganisations = 20;
+inline constexpr size_t MaxListedOrganisations = 20;
 
 /// Writes organisations as metrics.
 std::string
@@ -51,17 +51,18 @@
 std::string formatNotices(const NoticeCounts &Notices);
 
 /// Writes the suspects as metrics.
-std::string formatSuspects(const std::vector<SuspectStatus> &Suspects);
+std::string
+formatPoisonRequests(const std::vector<SuspectStatus> &PoisonRequests);
 
 /// Answers one check. Current is what the daemon serves by, null before its
 /// first settings.
-void answerCheck(HttpExchange &Exchange, bool IsStopping, const OwnFigures &Own,
-                 const FleetRuntime *Current);
+void answerHealthCheck(HttpExchange &Exchange, bool IsStopping,
+                       const DaemonMetrics &Own, const FleetRuntime *Current);
 
 /// Answers who reads metrics, and nobody else.
-void answerMetrics(HttpExchange &Exchange, const OwnFigures &Own,
+void answerMetrics(HttpExchange &Exchange, const DaemonMetrics &Own,
                    const FleetRuntime *Current);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_LIB_DAEMON_CHECKANSWERS_H
+#endif // CANVASWICK_LIB_DAEMON_HEALTHENDPOINTS_H
--- a/lib/Daemon/LeavingAgent.cpp
+++ b/lib/Daemon/LeavingAgent.cpp
@@ -36,9 +36,9 @@
 static constexpr Duration ProbeTimeout = fromMillis(500);
 static constexpr Duration NewsTimeout = fromSeconds(1);
 
-bool LeavingBoard::takeSign(const std::string &Address,
-                            const LeavingSign &Sign) {
-  LeavingSign &Known = this->Signs[Address];
+bool LeavingServerTable::mergeStatus(const std::string &Address,
+                                     const LeavingStatus &Sign) {
+  LeavingStatus &Known = this->Signs[Address];
   if (Sign.AtMillis <= Known.AtMillis)
     return false;
   const bool IsNews =
@@ -49,8 +49,8 @@
   return IsNews;
 }
 
-bool LeavingBoard::takeList(uint64_t Revision,
-                            std::set<std::string> Addresses) {
+bool LeavingServerTable::mergeList(uint64_t Revision,
+                                   std::set<std::string> Addresses) {
   if (Revision <= this->ListRevision)
     return false;
   this->ListRevision = Revision;
@@ -58,7 +58,7 @@
   return true;
 }
 
-std::set<std::string> LeavingBoard::getLeaving(int64_t NowMillis) const {
+std::set<std::string> LeavingServerTable::getLeaving(int64_t NowMillis) const {
   std::set<std::string> Leaving = this->List;
   for (const auto &[Address, Sign] : this->Signs)
     if (Sign.IsLeaving && NowMillis - Sign.AtMillis < SignLifeMillis)
@@ -115,7 +115,7 @@
   bool IsNews = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    IsNews = this->Board.takeList(List.value().Revision, std::move(Leaving));
+    IsNews = this->Board.mergeList(List.value().Revision, std::move(Leaving));
   }
   if (IsNews)
     this->spread(this->makeListNews(), "");
@@ -170,12 +170,12 @@
     return;
   if (State["load"].isNumeric())
     Service->noteLoad(Server, State["load"].asDouble(), readSteadyClock());
-  const LeavingSign Sign{State.get("state", "").asString() == "leaving",
-                         readCalendarMillis()};
+  const LeavingStatus Sign{State.get("state", "").asString() == "leaving",
+                           readCalendarMillis()};
   bool IsNews = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    IsNews = this->Board.takeSign(Address.format(), Sign);
+    IsNews = this->Board.mergeStatus(Address.format(), Sign);
   }
   if (!IsNews)
     return;
@@ -225,10 +225,10 @@
       std::set<std::string> Addresses;
       for (const Json::Value &Address : Params["list"])
         Addresses.insert(Address.asString());
-      IsNews = this->Board.takeList(Params["revision"].asUInt64(),
-                                    std::move(Addresses));
+      IsNews = this->Board.mergeList(Params["revision"].asUInt64(),
+                                     std::move(Addresses));
     } else {
-      IsNews = this->Board.takeSign(
+      IsNews = this->Board.mergeStatus(
           Params["address"].asString(),
           {Params["leaving"].asBool(), Params["at"].asInt64()});
     }
--- a/lib/Daemon/OperatorApi.cpp
+++ b/lib/Daemon/OperatorApi.cpp
@@ -12,7 +12,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Daemon/OperatorApi.h"
-#include "CheckAnswers.h"
+#include "HealthEndpoints.h"
 #include "canvaswick/Metrics/BurnReport.h"
 
 #include <fmt/format.h>
@@ -158,7 +158,7 @@
 std::vector<AllowanceStatus> OperatorApi::listOrganisations() const {
   const TimePoint Now = readSteadyClock();
   return this->Organisations.with([Now](FleetAllowance &All) {
-    return All.describe(MostOrganisations, Now);
+    return All.describe(MaxListedOrganisations, Now);
   });
 }
 
@@ -188,7 +188,7 @@
                       this->Config.getConfirmedAgeMillis());
   Text +=
       fmt::format("canvaswick_members {}\n", this->Members.getWorking().size());
-  Text += formatSuspects(this->Guard.describe());
+  Text += formatPoisonRequests(this->Guard.describe());
   Text += formatOrganisations(this->listOrganisations());
   Text += formatNotices(this->Context.Notices.with(
       [](const ServerNotices &All) { return All.count(readSteadyClock()); }));
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -70,8 +70,8 @@
       Organisations(Organisations), Notices(Notices), Counters(Counters),
       Heard(std::move(Heard)), Switches(Switches), Rights(MostRights),
       Loans(std::random_device()(), Counters,
-            [this](const RepeatLoan &Loan, bool AsksFar) {
-              this->Link.askForRepeat(Loan, AsksFar);
+            [this](const RetryLoan &Loan, bool AsksRemoteHall) {
+              this->Link.sendLoanRequest(Loan, AsksRemoteHall);
             }),
       Link(Self, static_cast<uint64_t>(readCalendarMillis()), Counters,
            [this](const PeerMessage &Message) { this->takeMessage(Message); }) {
@@ -100,13 +100,13 @@
   this->IsWatching = State.IsWatching;
   this->Link.setStoreState(State);
   if (IsNews)
-    this->Link.sendWatcherNews(Now);
+    this->Link.sendStoreState(Now);
 }
 
 /// Takes the right to one message now. The caller holds NewsMutex.
 bool PeerExchange::takeRight(TimePoint Now) {
-  const double Each =
-      toSeconds(TimeOfMessage) * static_cast<double>(this->Link.countNear());
+  const double Each = toSeconds(TimeOfMessage) *
+                      static_cast<double>(this->Link.countHallDaemons());
   const double Grown = toSeconds(Now - this->RightsAt) / Each;
   this->Rights = std::min(MostRights, this->Rights + std::max(0.0, Grown));
   this->RightsAt = std::max(this->RightsAt, Now);
@@ -119,32 +119,32 @@
 /// Sends what was seen since the last message and all that is in flight. The
 /// caller holds NewsMutex, so that messages leave in the order of their counts.
 void PeerExchange::sendNews(const FleetRuntime &Current, TimePoint Now) {
-  std::vector<Observation> Seen;
+  std::vector<Observation> Observations;
   std::vector<InFlightReport> InFlight;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
     const std::vector<Observation> More = Service->takeObservations();
-    Seen.insert(Seen.end(), More.begin(), More.end());
+    Observations.insert(Observations.end(), More.begin(), More.end());
     if (this->Switches.isOn(Mechanism::SharedInFlight))
       Service->addInFlight(InFlight, Now);
   }
   this->HasNews = false;
   this->HadInFlight = !InFlight.empty();
   this->NewsAt = Now;
-  std::vector<AllowanceLevel> Levels =
+  std::vector<AllowanceLevel> Usages =
       this->Organisations.with([Now](FleetAllowance &All) {
-        return All.takeNews(PeerLink::MostLevelsBesides, Now);
+        return All.takeNews(PeerLink::MaxPiggybackedUsages, Now);
       });
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](ServerNotices &All) {
-      return All.takeNews(PeerLink::MostLimitsBesides, Now);
+      return All.takeNews(PeerLink::MaxPiggybackedLimits, Now);
     });
   if (this->Switches.isOn(Mechanism::PooledObservations))
-    this->Link.sendObservations(std::move(Seen), InFlight, std::move(Levels),
-                                std::move(Limits));
+    this->Link.sendObservations(std::move(Observations), InFlight,
+                                std::move(Usages), std::move(Limits));
 }
 
-void PeerExchange::tellChange(TimePoint Now) {
+void PeerExchange::notifyRequestChange(TimePoint Now) {
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
@@ -201,7 +201,7 @@
       this->sendNews(Current, Now);
   }
   if (const auto News = this->takeHallNews(Now))
-    this->Link.sendHallLevels(*News);
+    this->Link.sendHallUsages(*News);
 }
 
 void PeerExchange::runRound(const FleetRuntime &Current, Duration Interval,
@@ -210,7 +210,7 @@
   this->tellOrganisations(Current, Now);
   if (this->IsWatching && Now - this->WatcherNewsAt >= WatcherInterval) {
     this->WatcherNewsAt = Now;
-    this->Link.sendWatcherNews(Now);
+    this->Link.sendStoreState(Now);
   }
   if (this->isMyTurn(SuspectInterval, Interval))
     this->retellSuspects(Now);
@@ -222,8 +222,9 @@
     this->sendUsedEstimates(Current, Now);
 }
 
-void PeerExchange::tellSuspects(const SuspectNews &News, TimePoint Now) {
-  this->Link.sendSuspects(makeReport(News, Now));
+void PeerExchange::reportPoisonRequests(const SuspectNews &News,
+                                        TimePoint Now) {
+  this->Link.sendPoisonReport(makePoisonReport(News, Now));
 }
 
 /// Says again what the hall knows of requests under which servers ended, for
@@ -231,14 +232,14 @@
 void PeerExchange::retellSuspects(TimePoint Now) {
   const SuspectNews News = this->Guard.makeNews(MostSuspectRows, Now);
   if (!News.isEmpty())
-    this->tellSuspects(News, Now);
+    this->reportPoisonRequests(News, Now);
 }
 
 /// Draws whether this daemon is the one of its hall to speak in this round, so
 /// that together they do once in Wanted. All think nearly the same.
 bool PeerExchange::isMyTurn(Duration Wanted, Duration Interval) {
   const double Rounds = toSeconds(Wanted) / toSeconds(Interval);
-  const double Daemons = static_cast<double>(this->Link.countNear());
+  const double Daemons = static_cast<double>(this->Link.countHallDaemons());
   std::bernoulli_distribution IsDue(std::min(1.0, 1 / (Rounds * Daemons)));
   return IsDue(this->Random);
 }
@@ -256,7 +257,7 @@
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](const ServerNotices &All) {
-      return All.listLimits(PeerLink::MostLimitsBesides, Now);
+      return All.listLimits(PeerLink::MaxPiggybackedLimits, Now);
     });
   this->Link.sendEstimates(std::move(Estimates), std::move(Rates),
                            std::move(Limits));
@@ -271,7 +272,7 @@
     const std::vector<Estimate> More = Service->getUsedEstimates(Now);
     Estimates.insert(Estimates.end(), More.begin(), More.end());
   }
-  this->Link.sendNearEstimates(std::move(Estimates));
+  this->Link.sendLocalEstimates(std::move(Estimates));
 }
 
 bool PeerExchange::borrowRepeat(ServiceRuntime &Service, TimePoint Now) {
@@ -282,20 +283,20 @@
 /// Lends to a peer that asks, and takes what one lends.
 void PeerExchange::takeLoans(const FleetRuntime &Current,
                              const PeerMessage &Message, TimePoint Now) {
-  for (const RepeatLoan &Loan : Message.Asked)
+  for (const RetryLoan &Loan : Message.LoanRequests)
     for (const ServiceRuntimeRef &Service : Current.getServices())
       if (Service->getId() == Loan.Service && Service->tryLendRepeat(Now)) {
         this->Counters.add(Counter::RepeatsLent);
-        this->Link.lendRepeat(Message.Source, Loan);
+        this->Link.sendLoanGrant(Message.Source, Loan);
       }
-  for (const RepeatLoan &Loan : Message.Lent)
-    this->Loans.takeLent(Loan);
+  for (const RetryLoan &Loan : Message.LoanGrants)
+    this->Loans.handleGrant(Loan);
 }
 
 /// Takes what a peer saw and thinks, for one service.
 void PeerExchange::takeEvidence(ServiceRuntime &Service,
                                 const PeerMessage &Message, TimePoint Now) {
-  for (const Observation &Each : Message.Seen)
+  for (const Observation &Each : Message.Observations)
     Service.takeObservation(Each, Now);
   if (Message.InFlight && Message.Hall == this->Hall)
     Service.takeInFlight(Message.Source, Message.Sequence, *Message.InFlight,
@@ -317,9 +318,9 @@
 void PeerExchange::takeLevels(const PeerMessage &Message, TimePoint Now) {
   this->Organisations.with([&](FleetAllowance &All) {
     if (Message.Hall == this->Hall)
-      All.takePeerLevels(Message.Source, Message.Levels, Now);
-    else if (Message.HallLevels)
-      All.takeHallLevels(Message.Hall, Message.Source, *Message.HallLevels,
+      All.takePeerLevels(Message.Source, Message.Usages, Now);
+    else if (Message.HallUsages)
+      All.takeHallLevels(Message.Hall, Message.Source, *Message.HallUsages,
                          Now);
   });
 }
@@ -330,8 +331,8 @@
     this->Heard(Message);
   const TimePoint Now = readSteadyClock();
   this->takeLevels(Message, Now);
-  if (!Message.Suspects.isEmpty())
-    this->Guard.takeNews(readReport(Message.Suspects, Now), Now);
+  if (!Message.PoisonRequests.isEmpty())
+    this->Guard.takeNews(readPoisonReport(Message.PoisonRequests, Now), Now);
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
--- a/lib/Daemon/PeerExchange.h
+++ b/lib/Daemon/PeerExchange.h
@@ -18,7 +18,7 @@
 #define CANVASWICK_LIB_DAEMON_PEEREXCHANGE_H
 
 #include "canvaswick/Daemon/PeerLink.h"
-#include "canvaswick/Daemon/RepeatLoans.h"
+#include "canvaswick/Daemon/RetryBorrower.h"
 #include "canvaswick/Proxy/FleetRuntime.h"
 #include "canvaswick/Proxy/OrganisationGate.h"
 #include "canvaswick/Proxy/RequestGuard.h"
@@ -61,11 +61,11 @@
 
   /// Tells peers that a request has begun or ended, at once unless this daemon
   /// has said much of late: then the next round does.
-  void tellChange(TimePoint Now);
+  void notifyRequestChange(TimePoint Now);
 
   /// Tells peers at once under which request a server ended, or that one was
   /// answered.
-  void tellSuspects(const SuspectNews &News, TimePoint Now);
+  void reportPoisonRequests(const SuspectNews &News, TimePoint Now);
 
   /// Borrows the right to one repeat of a service from peers.
   bool borrowRepeat(ServiceRuntime &Service, TimePoint Now);
@@ -110,7 +110,7 @@
   TimePoint NewsAt{};
   bool HasNews = false;
   bool HadInFlight = false;
-  RepeatLoans Loans;
+  RetryBorrower Loans;
   /// Last: its thread reaches all others.
   PeerLink Link;
 };
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -155,34 +155,35 @@
   return Some;
 }
 
-void PeerLink::sendObservations(std::vector<Observation> Seen,
+void PeerLink::sendObservations(std::vector<Observation> Observations,
                                 const std::vector<InFlightReport> &InFlight,
-                                std::vector<AllowanceLevel> Levels,
+                                std::vector<AllowanceLevel> Usages,
                                 std::vector<LimitReport> Limits) {
   PeerMessage First = this->makeMessage();
-  First.Levels = std::move(Levels);
+  First.Usages = std::move(Usages);
   First.Limits = std::move(Limits);
   First.InFlight = InFlight;
   // One that has more than this out says little by each of them.
   if (First.InFlight->size() > MaxInFlight)
     First.InFlight->resize(MaxInFlight);
   const size_t Taken =
-      First.InFlight->size() + First.Levels.size() + First.Limits.size();
-  First.Seen = takeSome(Seen, MaxListed - std::min(MaxListed, Taken));
+      First.InFlight->size() + First.Usages.size() + First.Limits.size();
+  First.Observations =
+      takeSome(Observations, MaxListed - std::min(MaxListed, Taken));
   this->sendWithinHall(encodePeerMessage(First));
-  while (!Seen.empty()) {
+  while (!Observations.empty()) {
     PeerMessage Message = this->makeMessage();
-    Message.Seen = takeSome(Seen, MaxListed);
+    Message.Observations = takeSome(Observations, MaxListed);
     this->sendWithinHall(encodePeerMessage(Message));
   }
 }
 
-void PeerLink::sendHallLevels(std::vector<AllowanceLevel> Levels) {
+void PeerLink::sendHallUsages(std::vector<AllowanceLevel> Usages) {
   do {
     PeerMessage Message = this->makeMessage();
-    Message.HallLevels = takeSome(Levels, MaxLevels);
+    Message.HallUsages = takeSome(Usages, MaxLevels);
     this->sendToOtherHalls(encodePeerMessage(Message));
-  } while (!Levels.empty());
+  } while (!Usages.empty());
 }
 
 void PeerLink::sendEstimates(std::vector<Estimate> Estimates,
@@ -197,7 +198,7 @@
   }
 }
 
-void PeerLink::sendNearEstimates(std::vector<Estimate> Estimates) {
+void PeerLink::sendLocalEstimates(std::vector<Estimate> Estimates) {
   while (!Estimates.empty()) {
     PeerMessage Message = this->makeMessage();
     Message.Estimates = takeSome(Estimates, MaxListed);
@@ -205,28 +206,28 @@
   }
 }
 
-void PeerLink::sendWatcherNews(TimePoint Now) {
+void PeerLink::sendStoreState(TimePoint Now) {
   PeerMessage Message = this->makeMessage();
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (this->Store.IsWatching)
-      Message.StoreHeardAgo =
+      Message.SinceStoreAnswer =
           std::max(Duration::zero(), Now - this->Store.HeardAt);
   }
   this->sendWithinHall(encodePeerMessage(Message));
 }
 
-void PeerLink::sendSuspects(const SuspectReport &Report) {
+void PeerLink::sendPoisonReport(const PoisonRequestReport &Report) {
   PeerMessage Message = this->makeMessage();
-  Message.Suspects = Report;
+  Message.PoisonRequests = Report;
   const std::string Text = encodePeerMessage(Message);
   this->sendWithinHall(Text);
   this->sendToOtherHalls(Text);
 }
 
 /// Draws whom to ask for a repeat. The caller holds the mutex.
-std::vector<DaemonRecord> PeerLink::drawAsked(bool AsksFar) {
-  const size_t FarCount = AsksFar && !this->Far.empty() ? 1 : 0;
+std::vector<DaemonRecord> PeerLink::drawAsked(bool AsksRemoteHall) {
+  const size_t FarCount = AsksRemoteHall && !this->Far.empty() ? 1 : 0;
   std::vector<DaemonRecord> Drawn;
   std::sample(this->Near.begin(), this->Near.end(), std::back_inserter(Drawn),
               AskedAtOnce - FarCount, this->Random);
@@ -240,18 +241,18 @@
   return Drawn;
 }
 
-void PeerLink::askForRepeat(const RepeatLoan &Loan, bool AsksFar) {
+void PeerLink::sendLoanRequest(const RetryLoan &Loan, bool AsksRemoteHall) {
   PeerMessage Message = this->makeMessage();
-  Message.Asked.push_back(Loan);
+  Message.LoanRequests.push_back(Loan);
   const std::string Text = encodePeerMessage(Message);
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const DaemonRecord &Peer : this->drawAsked(AsksFar))
+  for (const DaemonRecord &Peer : this->drawAsked(AsksRemoteHall))
     this->sendTo(Peer.Peer, Text);
 }
 
-void PeerLink::lendRepeat(const std::string &Daemon, const RepeatLoan &Loan) {
+void PeerLink::sendLoanGrant(const std::string &Daemon, const RetryLoan &Loan) {
   PeerMessage Message = this->makeMessage();
-  Message.Lent.push_back(Loan);
+  Message.LoanGrants.push_back(Loan);
   const std::string Text = encodePeerMessage(Message);
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto SendToAsker = [&](const std::vector<DaemonRecord> &Peers) {
@@ -269,7 +270,7 @@
   this->Store = State;
 }
 
-size_t PeerLink::countNear() {
+size_t PeerLink::countHallDaemons() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Near.size() + 1;
 }
@@ -299,7 +300,7 @@
     return;
   this->Counters.add(Counter::PeerDatagramsTaken);
   // What is asked of this daemon, or lent to it, is for nobody else.
-  const bool IsForAll = Taken.Asked.empty() && Taken.Lent.empty();
+  const bool IsForAll = Taken.LoanRequests.empty() && Taken.LoanGrants.empty();
   if (Taken.Hall != this->Self.Hall && !Taken.IsRelayed && IsForAll) {
     Taken.IsRelayed = true;
     this->sendWithinHall(encodePeerMessage(Taken));
--- a/lib/Daemon/PeerMessage.cpp
+++ b/lib/Daemon/PeerMessage.cpp
@@ -14,7 +14,7 @@
 
 #include "canvaswick/Daemon/PeerMessage.h"
 #include "HexNumber.h"
-#include "canvaswick/Daemon/AllowanceWire.h"
+#include "canvaswick/Daemon/QuotaEncoding.h"
 #include "canvaswick/Json/JsonText.h"
 
 #include <fmt/format.h>
@@ -30,9 +30,9 @@
 /// any other message of a wrong shape.
 static constexpr uint64_t MostHeardMillis = 24 * 3600 * 1000;
 
-static Json::Value encodeLoans(const std::vector<RepeatLoan> &Loans) {
+static Json::Value encodeLoans(const std::vector<RetryLoan> &Loans) {
   Json::Value Rows(Json::arrayValue);
-  for (const RepeatLoan &Each : Loans) {
+  for (const RetryLoan &Each : Loans) {
     Json::Value Row(Json::arrayValue);
     Row.append(fmt::format("{:x}", Each.Service));
     Row.append(static_cast<Json::UInt64>(Each.Number));
@@ -73,14 +73,14 @@
   Value["hall"] = Message.Hall;
   if (Message.IsRelayed)
     Value["relayed"] = true;
-  if (Message.StoreHeardAgo)
+  if (Message.SinceStoreAnswer)
     Value["heard-ms"] =
-        static_cast<Json::UInt64>(toMillis(*Message.StoreHeardAgo));
+        static_cast<Json::UInt64>(toMillis(*Message.SinceStoreAnswer));
   Value["as-of"] = static_cast<Json::UInt64>(Message.AsOf.Revision);
   Value["epoch"] = static_cast<Json::UInt64>(Message.AsOf.Epoch);
   Value["seq"] = static_cast<Json::UInt64>(Message.Sequence);
   Value["seen"] = Json::arrayValue;
-  for (const Observation &Each : Message.Seen) {
+  for (const Observation &Each : Message.Observations) {
     Json::Value Pair(Json::arrayValue);
     Pair.append(fmt::format("{:x}", Each.Server));
     Pair.append(static_cast<int>(Each.Outcome));
@@ -106,17 +106,17 @@
     Row.append(Each.Bad);
     Value["rates"].append(Row);
   }
-  if (!Message.Asked.empty())
-    Value["asks"] = encodeLoans(Message.Asked);
-  if (!Message.Lent.empty())
-    Value["lends"] = encodeLoans(Message.Lent);
-  if (!Message.Levels.empty())
-    Value["orgs"] = encodeLevels(Message.Levels);
-  if (Message.HallLevels)
-    Value["hall-orgs"] = encodeLevels(*Message.HallLevels);
+  if (!Message.LoanRequests.empty())
+    Value["asks"] = encodeLoans(Message.LoanRequests);
+  if (!Message.LoanGrants.empty())
+    Value["lends"] = encodeLoans(Message.LoanGrants);
+  if (!Message.Usages.empty())
+    Value["orgs"] = encodeUsages(Message.Usages);
+  if (Message.HallUsages)
+    Value["hall-orgs"] = encodeUsages(*Message.HallUsages);
   if (!Message.Limits.empty())
     Value["limits"] = encodeLimits(Message.Limits);
-  encodeSuspects(Message.Suspects, Value);
+  encodePoisonReport(Message.PoisonRequests, Value);
   return writeJson(Value);
 }
 
@@ -138,7 +138,7 @@
   return decodeHex(Row[0], Limit.Server);
 }
 
-static bool decodeLoan(const Json::Value &Row, RepeatLoan &Loan) {
+static bool decodeLoan(const Json::Value &Row, RetryLoan &Loan) {
   if (!Row.isArray() || Row.size() != 2 || !Row[1].isUInt64())
     return false;
   Loan.Number = Row[1].asUInt64();
@@ -177,17 +177,17 @@
   return true;
 }
 
-static bool decodeObservation(const Json::Value &Pair, Observation &Seen) {
+static bool decodeObservation(const Json::Value &Pair, Observation &Parsed) {
   if (!Pair.isArray() || Pair.size() < 2 || Pair.size() > 4 || !Pair[1].isInt())
     return false;
-  if (!decodeOptionalCount(Pair, 2, Seen.Load) ||
-      !decodeOptionalCount(Pair, 3, Seen.PacePercent))
+  if (!decodeOptionalCount(Pair, 2, Parsed.Load) ||
+      !decodeOptionalCount(Pair, 3, Parsed.PacePercent))
     return false;
   const int Outcome = Pair[1].asInt();
-  if (!decodeHex(Pair[0], Seen.Server) || Outcome < 0 ||
+  if (!decodeHex(Pair[0], Parsed.Server) || Outcome < 0 ||
       Outcome >= OutcomeCount)
     return false;
-  Seen.Outcome = static_cast<RequestOutcome>(Outcome);
+  Parsed.Outcome = static_cast<RequestOutcome>(Outcome);
   return true;
 }
 
@@ -252,10 +252,11 @@
     return makeError(ErrorKind::InvalidArgument, "no revision");
   Message.AsOf.Revision = Value["as-of"].asUInt64();
   BOOST_OUTCOME_TRY(Message.AsOf.Epoch, decodeEpoch(Value["epoch"]));
-  BOOST_OUTCOME_TRY(Message.StoreHeardAgo, decodeHeardAgo(Value["heard-ms"]));
+  BOOST_OUTCOME_TRY(Message.SinceStoreAnswer,
+                    decodeHeardAgo(Value["heard-ms"]));
   Message.IsRelayed = Value["relayed"].isBool() && Value["relayed"].asBool();
   BOOST_OUTCOME_TRY(decodeList(Value["seen"], decodeObservation,
-                               "not an observation", Message.Seen));
+                               "not an observation", Message.Observations));
   if (!Value["out"].isNull()) {
     Message.InFlight.emplace();
     BOOST_OUTCOME_TRY(decodeOptionalList(Value["out"], decodeInFlight,
@@ -267,20 +268,21 @@
   BOOST_OUTCOME_TRY(decodeOptionalList(Value["thinks"], decodeEstimate,
                                        "not an estimate", Message.Estimates));
   BOOST_OUTCOME_TRY(decodeOptionalList(Value["asks"], decodeLoan,
-                                       "not a right asked for", Message.Asked));
-  BOOST_OUTCOME_TRY(decodeOptionalList(Value["lends"], decodeLoan,
-                                       "not a right given", Message.Lent));
-  BOOST_OUTCOME_TRY(decodeOptionalList(Value["orgs"], decodeLevel,
-                                       "not a level", Message.Levels));
+                                       "not a right asked for",
+                                       Message.LoanRequests));
+  BOOST_OUTCOME_TRY(decodeOptionalList(
+      Value["lends"], decodeLoan, "not a right given", Message.LoanGrants));
+  BOOST_OUTCOME_TRY(decodeOptionalList(Value["orgs"], decodeUsage,
+                                       "not a level", Message.Usages));
   BOOST_OUTCOME_TRY(decodeOptionalList(
       Value["limits"], decodeLimit, "not a limit of a server", Message.Limits));
   if (!Value["hall-orgs"].isNull()) {
-    Message.HallLevels.emplace();
-    BOOST_OUTCOME_TRY(decodeOptionalList(Value["hall-orgs"], decodeLevel,
+    Message.HallUsages.emplace();
+    BOOST_OUTCOME_TRY(decodeOptionalList(Value["hall-orgs"], decodeUsage,
                                          "not a level of a hall",
-                                         *Message.HallLevels));
+                                         *Message.HallUsages));
   }
-  BOOST_OUTCOME_TRY(Message.Suspects, decodeSuspects(Value));
+  BOOST_OUTCOME_TRY(Message.PoisonRequests, decodePoisonReport(Value));
   return Message;
 }
 
--- a/lib/Daemon/SuspectAgent.cpp
+++ b/lib/Daemon/PoisonRequestAgent.cpp
@@ -1,4 +1,4 @@
-//===- SuspectAgent.cpp - Fatal requests among signed peers ---------------===//
+//===- PoisonRequestAgent.cpp - Fatal requests among signed peers ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/SuspectAgent.h"
+#include "canvaswick/Daemon/PoisonRequestAgent.h"
 #include "canvaswick/Support/Log.h"
 
 namespace canvaswick {
@@ -32,8 +32,9 @@
 /// are read once, at the start.
 static constexpr Duration ReadInterval = fromSeconds(5);
 
-SuspectAgent::SuspectAgent(const ControlContext &Context,
-                           MembershipAgent &Members, RequestGuard &Guard)
+PoisonRequestAgent::PoisonRequestAgent(const ControlContext &Context,
+                                       MembershipAgent &Members,
+                                       RequestGuard &Guard)
     : Context(Context), Members(Members), Guard(Guard),
       Book(
           Guard, [this] { return this->readPage(); },
@@ -44,36 +45,36 @@
     this->spread(News, Now);
   });
   Guard.setTryClaim([this](const SuspectRecord &Record) {
-    return this->Book.claimTry(Record, readInstant());
+    return this->Book.claimProbe(Record, readInstant());
   });
 }
 
-void SuspectAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
+void PoisonRequestAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("suspects.news", [this](const Json::Value &Params) {
     return this->answerNews(Params);
   });
 }
 
-Result<BookPage> SuspectAgent::readPage() const {
+Result<StoredRecords> PoisonRequestAgent::readPage() const {
   Result<PlatformValue> Value = this->Context.Platform.get(RecordsKey);
   if (Value)
-    return BookPage{std::move(Value.value().Value),
-                    {0, Value.value().Revision}};
+    return StoredRecords{std::move(Value.value().Value),
+                         {0, Value.value().Revision}};
   if (Value.error().Kind == ErrorKind::NotFound)
-    return BookPage{};
+    return StoredRecords{};
   return outcome::failure(Value.error());
 }
 
 Result<StorePosition>
-SuspectAgent::writePage(const std::string &Text,
-                        const StorePosition &Expected) const {
+PoisonRequestAgent::writePage(const std::string &Text,
+                              const StorePosition &Expected) const {
   BOOST_OUTCOME_TRY(
       uint64_t Revision,
       this->Context.Platform.put(RecordsKey, Text, Expected.Revision));
   return StorePosition{0, Revision};
 }
 
-void SuspectAgent::runRound(const Instant &Now) {
+void PoisonRequestAgent::runRound(const Instant &Now) {
   this->Guard.forgetOld(Now.Steady);
   const bool IsDue = !this->HasRead || !this->Guard.describe().empty();
   if (IsDue && Now.Steady - this->ReadAt >= ReadInterval) {
@@ -87,9 +88,9 @@
   this->Book.runRound(Now);
 }
 
-void SuspectAgent::spread(const SuspectNews &News, TimePoint Now) {
+void PoisonRequestAgent::spread(const SuspectNews &News, TimePoint Now) {
   Json::Value Message(Json::objectValue);
-  encodeSuspects(makeReport(News, Now), Message);
+  encodePoisonReport(makePoisonReport(News, Now), Message);
   for (const MemberRecord &Peer : this->Members.choose(NewsFanOut, ""))
     this->Context.Calls.trySubmit([this, Peer, Message] {
       (void)this->Context.Caller.call(Peer.Control, "suspects.news", Message,
@@ -97,27 +98,28 @@
     });
 }
 
-Json::Value SuspectAgent::answerNews(const Json::Value &Params) {
+Json::Value PoisonRequestAgent::answerNews(const Json::Value &Params) {
   const TimePoint Now = readSteadyClock();
-  const Result<SuspectReport> Report = decodeSuspects(Params);
+  const Result<PoisonRequestReport> Report = decodePoisonReport(Params);
   if (!Report)
     return makeCallError(Report.error());
   const SuspectNews Taken =
-      this->Guard.takeNews(readReport(Report.value(), Now), Now);
+      this->Guard.takeNews(readPoisonReport(Report.value(), Now), Now);
   if (!Taken.isEmpty())
     this->spread(Taken, Now);
   return Json::Value(Json::objectValue);
 }
 
-void SuspectAgent::writeNews(Json::Value &Message, TimePoint Now) const {
-  encodeSuspects(makeReport(this->Guard.makeNews(MostPingRows, Now), Now),
-                 Message);
+void PoisonRequestAgent::writeUpdate(Json::Value &Message,
+                                     TimePoint Now) const {
+  encodePoisonReport(
+      makePoisonReport(this->Guard.makeNews(MostPingRows, Now), Now), Message);
 }
 
-void SuspectAgent::readNews(const Json::Value &Message, TimePoint Now) {
-  const Result<SuspectReport> Report = decodeSuspects(Message);
+void PoisonRequestAgent::readUpdate(const Json::Value &Message, TimePoint Now) {
+  const Result<PoisonRequestReport> Report = decodePoisonReport(Message);
   if (Report)
-    (void)this->Guard.takeNews(readReport(Report.value(), Now), Now);
+    (void)this->Guard.takeNews(readPoisonReport(Report.value(), Now), Now);
   else
     logWarning("peer-message-refused", "what={:?}", Report.error().Message);
 }
--- a/lib/Daemon/SuspectReport.cpp
+++ b/lib/Daemon/PoisonRequestReport.cpp
@@ -1,4 +1,4 @@
-//===- SuspectReport.cpp - What daemons tell of fatal requests ------------===//
+//===- PoisonRequestReport.cpp - What daemons tell of fatal requests ------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/SuspectReport.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
 #include "HexNumber.h"
 #include "canvaswick/Json/JsonText.h"
 
@@ -39,11 +39,11 @@
 /// Records that are kept; the oldest go.
 static constexpr size_t MostRecords = 64;
 
-SuspectReport makeReport(const SuspectNews &News, TimePoint Now) {
+PoisonRequestReport makePoisonReport(const SuspectNews &News, TimePoint Now) {
   const auto GetAge = [Now](TimePoint At) {
     return std::clamp<int64_t>(toMillis(Now - At), 0, MostMillis);
   };
-  SuspectReport Report;
+  PoisonRequestReport Report;
   for (const RequestEnd &Each : News.Ends)
     Report.Ends.push_back(
         {Each.Request, Each.Server,
@@ -54,7 +54,7 @@
   return Report;
 }
 
-SuspectNews readReport(const SuspectReport &Report, TimePoint Now) {
+SuspectNews readPoisonReport(const PoisonRequestReport &Report, TimePoint Now) {
   SuspectNews News;
   for (const EndReport &Each : Report.Ends) {
     const TimePoint Ended = Now - fromMillis(Each.AgoMs);
@@ -76,7 +76,8 @@
   return Row;
 }
 
-void encodeSuspects(const SuspectReport &Report, Json::Value &Message) {
+void encodePoisonReport(const PoisonRequestReport &Report,
+                        Json::Value &Message) {
   for (const EndReport &Each : Report.Ends)
     Message["ends"].append(encodeEnd(Each));
   for (const AnswerReport &Each : Report.Answers) {
@@ -124,8 +125,8 @@
   return Rows;
 }
 
-Result<SuspectReport> decodeSuspects(const Json::Value &Message) {
-  SuspectReport Report;
+Result<PoisonRequestReport> decodePoisonReport(const Json::Value &Message) {
+  PoisonRequestReport Report;
   if (!Message.isObject())
     return makeError(ErrorKind::InvalidArgument, "not an object");
   BOOST_OUTCOME_TRY(Report.Ends,
@@ -149,7 +150,7 @@
     const TimePoint Last = Record.Ends.back().Ended;
     Entry["ended-ms"] = static_cast<Json::Int64>(Now.CalendarMillis -
                                                  toMillis(Now.Steady - Last));
-    for (const EndReport &Each : makeReport({Record.Ends, {}}, Last).Ends)
+    for (const EndReport &Each : makePoisonReport({Record.Ends, {}}, Last).Ends)
       Entry["ends"].append(encodeEnd(Each));
     Value["requests"].append(Entry);
   }
@@ -165,7 +166,7 @@
     return false;
   Record.Tries = Entry["tries"].asInt();
   Record.ChangedMillis = Entry["changed-ms"].asInt64();
-  SuspectReport Report;
+  PoisonRequestReport Report;
   for (const Json::Value &Row : Entry["ends"]) {
     EndReport Each;
     if (!decodeEnd(Row, Each) || Each.Request != Record.Request)
@@ -178,7 +179,7 @@
                  Now.CalendarMillis);
   const TimePoint Last =
       Now.Steady - fromMillis(Now.CalendarMillis - EndedMillis);
-  Record.Ends = readReport(Report, Last).Ends;
+  Record.Ends = readPoisonReport(Report, Last).Ends;
   return Record.Tries >= 0 && Record.Tries <= MostTries &&
          std::is_sorted(Record.Ends.begin(), Record.Ends.end(),
                         [](const RequestEnd &Left, const RequestEnd &Right) {
--- a/lib/Daemon/SuspectBook.cpp
+++ b/lib/Daemon/PoisonRequestStore.cpp
@@ -1,4 +1,4 @@
-//===- SuspectBook.cpp - Records of fatal requests, kept outside ----------===//
+//===- PoisonRequestStore.cpp - Records of fatal requests, kept outside ---===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/SuspectBook.h"
+#include "canvaswick/Daemon/PoisonRequestStore.h"
 #include "canvaswick/Support/Log.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 static constexpr Duration RetryWait = fromSeconds(2);
 
 /// Decodes a page. No page is one without records.
-static Result<std::vector<SuspectRecord>> decodePage(const BookPage &Page,
+static Result<std::vector<SuspectRecord>> decodePage(const StoredRecords &Page,
                                                      const Instant &Now) {
   if (Page.At.isNone())
     return std::vector<SuspectRecord>();
@@ -32,7 +32,7 @@
 
 /// Decodes a page that is about to be replaced. What cannot be read names no
 /// request.
-static std::vector<SuspectRecord> decodeOldPage(const BookPage &Page,
+static std::vector<SuspectRecord> decodeOldPage(const StoredRecords &Page,
                                                 const Instant &Now) {
   Result<std::vector<SuspectRecord>> Records = decodePage(Page, Now);
   if (Records)
@@ -42,8 +42,8 @@
   return {};
 }
 
-Result<void> SuspectBook::refresh(const Instant &Now) {
-  BOOST_OUTCOME_TRY(BookPage Page, this->Read());
+Result<void> PoisonRequestStore::refresh(const Instant &Now) {
+  BOOST_OUTCOME_TRY(StoredRecords Page, this->Read());
   bool IsOfNewEpoch = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -68,8 +68,8 @@
 }
 
 /// Brings records up to what this daemon knows. Returns whether any changed.
-bool SuspectBook::change(std::vector<SuspectRecord> &Records,
-                         const Instant &Now) const {
+bool PoisonRequestStore::change(std::vector<SuspectRecord> &Records,
+                                const Instant &Now) const {
   bool IsChanged = false;
   for (SuspectRecord &Record : this->Guard.listUnrecorded()) {
     mergeRecord(Records, std::move(Record), Now.CalendarMillis);
@@ -80,8 +80,9 @@
   return IsChanged;
 }
 
-bool SuspectBook::writeAll(const std::vector<SuspectRecord> &Records,
-                           const StorePosition &Expected, const Instant &Now) {
+bool PoisonRequestStore::writeAll(const std::vector<SuspectRecord> &Records,
+                                  const StorePosition &Expected,
+                                  const Instant &Now) {
   Result<StorePosition> Written =
       this->Write(encodeRecords(Records, Now), Expected);
   if (Written) {
@@ -94,13 +95,13 @@
   return false;
 }
 
-void SuspectBook::runRound(const Instant &Now) {
+void PoisonRequestStore::runRound(const Instant &Now) {
   const bool HasNews = !this->Guard.listUnrecorded().empty() ||
                        !this->Guard.listCleared().empty();
   if (!HasNews || Now.Steady < this->RetryAt)
     return;
   this->RetryAt = Now.Steady + RetryWait;
-  const Result<BookPage> Page = this->Read();
+  const Result<StoredRecords> Page = this->Read();
   if (!Page)
     return;
   std::vector<SuspectRecord> Records = decodeOldPage(Page.value(), Now);
@@ -108,8 +109,9 @@
     this->writeAll(Records, Page.value().At, Now);
 }
 
-bool SuspectBook::claimTry(const SuspectRecord &Record, const Instant &Now) {
-  const Result<BookPage> Page = this->Read();
+bool PoisonRequestStore::claimProbe(const SuspectRecord &Record,
+                                    const Instant &Now) {
+  const Result<StoredRecords> Page = this->Read();
   if (!Page)
     return false;
   std::vector<SuspectRecord> Records = decodeOldPage(Page.value(), Now);
--- a/lib/Daemon/AllowanceAgent.cpp
+++ b/lib/Daemon/QuotaAgent.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceAgent.cpp - Daemons tell what organisations ask -----------===//
+//===- QuotaAgent.cpp - Daemons tell what organisations ask ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/AllowanceAgent.h"
-#include "canvaswick/Daemon/AllowanceWire.h"
+#include "canvaswick/Daemon/QuotaAgent.h"
+#include "canvaswick/Daemon/QuotaEncoding.h"
 
 #include <utility>
 
@@ -32,37 +32,36 @@
 /// those that come near their limit.
 static constexpr uint64_t RoundsOfAll = 4;
 
-Json::Value encodeAllowanceMessage(const AllowanceMessage &Message) {
+Json::Value encodeQuotaMessage(const QuotaMessage &Message) {
   Json::Value Value(Json::objectValue);
   Value["f"] = Message.Source;
   Value["h"] = Message.Hall;
   Value["n"] = static_cast<Json::UInt64>(Message.Sequence);
-  Value["o"] = encodeLevels(Message.Levels);
-  Value["a"] = encodeLevels(Message.HallLevels);
+  Value["o"] = encodeUsages(Message.Usages);
+  Value["a"] = encodeUsages(Message.HallUsages);
   Value["p"] = Json::arrayValue;
-  for (const HallWord &Word : Message.Passed) {
+  for (const HallUsage &Word : Message.RelayedHalls) {
     Json::Value Entry(Json::objectValue);
     Entry["h"] = Word.Hall;
-    Entry["f"] = Word.Teller;
+    Entry["f"] = Word.Reporter;
     Entry["n"] = static_cast<Json::UInt64>(Word.Sequence);
-    Entry["a"] = encodeLevels(Word.Levels);
+    Entry["a"] = encodeUsages(Word.Usages);
     Value["p"].append(std::move(Entry));
   }
   return Value;
 }
 
-static bool decodeHallWord(const Json::Value &Value, HallWord &Word) {
+static bool decodeHallWord(const Json::Value &Value, HallUsage &Word) {
   if (!Value.isObject() || !Value["h"].isString() || !Value["f"].isString() ||
       !Value["n"].isUInt64())
     return false;
   Word.Hall = Value["h"].asString();
-  Word.Teller = Value["f"].asString();
+  Word.Reporter = Value["f"].asString();
   Word.Sequence = Value["n"].asUInt64();
-  return decodeLevels(Value["a"], Word.Levels);
+  return decodeUsages(Value["a"], Word.Usages);
 }
 
-bool decodeAllowanceMessage(const Json::Value &Value,
-                            AllowanceMessage &Message) {
+bool decodeQuotaMessage(const Json::Value &Value, QuotaMessage &Message) {
   if (!Value.isObject() || !Value["f"].isString() || !Value["h"].isString() ||
       !Value["n"].isUInt64() || !Value["p"].isArray())
     return false;
@@ -70,34 +69,33 @@
   Message.Hall = Value["h"].asString();
   Message.Sequence = Value["n"].asUInt64();
   for (const Json::Value &Entry : Value["p"]) {
-    HallWord Word;
+    HallUsage Word;
     if (!decodeHallWord(Entry, Word))
       return false;
-    Message.Passed.push_back(std::move(Word));
+    Message.RelayedHalls.push_back(std::move(Word));
   }
-  return decodeLevels(Value["o"], Message.Levels) &&
-         decodeLevels(Value["a"], Message.HallLevels);
+  return decodeUsages(Value["o"], Message.Usages) &&
+         decodeUsages(Value["a"], Message.HallUsages);
 }
 
-AllowanceAgent::AllowanceAgent(const ControlContext &Context,
-                               MembershipAgent &Members,
-                               OrganisationGate &Organisations)
+QuotaAgent::QuotaAgent(const ControlContext &Context, MembershipAgent &Members,
+                       OrganisationGate &Organisations)
     : Context(Context), Members(Members), Organisations(Organisations),
       Calls(CallLimits), Sequence(Context.StartMillis),
       Random(Context.StartMillis) {}
 
-void AllowanceAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
+void QuotaAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("allowances.tell", [this](const Json::Value &Params) {
     return this->answerTell(Params);
   });
 }
 
-void AllowanceAgent::stop() { this->Calls.stop(); }
+void QuotaAgent::stop() { this->Calls.stop(); }
 
 //===-- Telling -----------------------------------------------------------===//
 
 /// Looks up who there is, if that has changed.
-void AllowanceAgent::updateFleet(TimePoint Now) {
+void QuotaAgent::updateFleet(TimePoint Now) {
   const uint64_t Version = this->Members.getWorkingVersion();
   if (std::exchange(this->FleetVersion, Version) == Version)
     return;
@@ -122,22 +120,22 @@
   });
 }
 
-AllowanceMessage AllowanceAgent::makeMessage(TimePoint Now) {
-  AllowanceMessage Message;
+QuotaMessage QuotaAgent::makeMessage(TimePoint Now) {
+  QuotaMessage Message;
   Message.Source = this->Context.Config.Name;
   Message.Hall = this->Context.Config.Hall;
   Message.Sequence = ++this->Sequence;
-  Message.Levels = this->Organisations.with(
+  Message.Usages = this->Organisations.with(
       [Now](FleetAllowance &All) { return All.takeNews(MostLevels, Now); });
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (auto &[Hall, Word] : this->ToPass)
-    Message.Passed.push_back(std::move(Word));
+    Message.RelayedHalls.push_back(std::move(Word));
   this->ToPass.clear();
   return Message;
 }
 
 /// Returns whether it is this daemon that speaks for its hall.
-bool AllowanceAgent::isHallDue(TimePoint Now) {
+bool QuotaAgent::isHallDue(TimePoint Now) {
   return !this->Far.empty() &&
          this->Organisations.with([&](FleetAllowance &All) {
            return All.getHeard().isFirst(this->Context.Config.Name, Now);
@@ -146,32 +144,32 @@
 
 /// Tells one daemon of each other hall, another one each time: a daemon that
 /// cannot be reached holds up one message.
-void AllowanceAgent::tellHalls(const AllowanceMessage &Base, TimePoint Now) {
-  AllowanceMessage Message;
+void QuotaAgent::tellHalls(const QuotaMessage &Base, TimePoint Now) {
+  QuotaMessage Message;
   Message.Source = Base.Source;
   Message.Hall = Base.Hall;
   Message.Sequence = Base.Sequence;
   const bool WantsAll = this->Rounds % RoundsOfAll == 0;
-  Message.HallLevels =
+  Message.HallUsages =
       this->Organisations.with([WantsAll, Now](FleetAllowance &All) {
         return All.getHallLevels(WantsAll, Now);
       });
-  const Json::Value Encoded = encodeAllowanceMessage(Message);
+  const Json::Value Encoded = encodeQuotaMessage(Message);
   for (const auto &[Hall, Daemons] : this->Far) {
     std::uniform_int_distribution<size_t> Any(0, Daemons.size() - 1);
     this->tell(Daemons[Any(this->Random)], Encoded);
   }
 }
 
-void AllowanceAgent::runRound(TimePoint Now) {
+void QuotaAgent::runRound(TimePoint Now) {
   const bool HasLimits = this->Organisations.with(
       [](FleetAllowance &All) { return All.hasLimits(); });
   if (!HasLimits)
     return;
   this->updateFleet(Now);
   ++this->Rounds;
-  const AllowanceMessage Message = this->makeMessage(Now);
-  const Json::Value Encoded = encodeAllowanceMessage(Message);
+  const QuotaMessage Message = this->makeMessage(Now);
+  const Json::Value Encoded = encodeQuotaMessage(Message);
   for (const MemberRecord &Peer : this->Near)
     this->tell(Peer, Encoded);
   if (this->isHallDue(Now))
@@ -180,8 +178,7 @@
 
 /// Calls a peer, unless the last call to it is still under way: counts are
 /// absolute, so that the next message makes up for one that is left out.
-void AllowanceAgent::tell(const MemberRecord &Peer,
-                          const Json::Value &Message) {
+void QuotaAgent::tell(const MemberRecord &Peer, const Json::Value &Message) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (!this->Busy.insert(Peer.Name).second)
@@ -204,7 +201,7 @@
 
 /// Notes a message of a daemon. Returns whether none later came before. The
 /// caller holds no lock.
-bool AllowanceAgent::isLater(const std::string &Source, uint64_t Sequence) {
+bool QuotaAgent::isLater(const std::string &Source, uint64_t Sequence) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   uint64_t &Last = this->Taken[Source];
   if (Sequence <= Last)
@@ -213,25 +210,25 @@
   return true;
 }
 
-void AllowanceAgent::takeHall(const HallWord &Word, TimePoint Now) {
+void QuotaAgent::takeHall(const HallUsage &Word, TimePoint Now) {
   if (Word.Hall == this->Context.Config.Hall)
     return;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    uint64_t &Last = this->TakenAsTeller[Word.Teller];
+    uint64_t &Last = this->TakenAsTeller[Word.Reporter];
     if (Word.Sequence <= Last)
       return;
     Last = Word.Sequence;
   }
   this->Organisations.with([&](FleetAllowance &All) {
-    All.takeHallLevels(Word.Hall, Word.Teller, Word.Levels, Now);
+    All.takeHallLevels(Word.Hall, Word.Reporter, Word.Usages, Now);
   });
 }
 
-void AllowanceAgent::take(const AllowanceMessage &Message, TimePoint Now) {
+void QuotaAgent::applyMessage(const QuotaMessage &Message, TimePoint Now) {
   if (Message.Hall != this->Context.Config.Hall) {
-    const HallWord Word = {Message.Hall, Message.Source, Message.Sequence,
-                           Message.HallLevels};
+    const HallUsage Word = {Message.Hall, Message.Source, Message.Sequence,
+                            Message.HallUsages};
     this->takeHall(Word, Now);
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->ToPass[Word.Hall] = Word;
@@ -240,18 +237,18 @@
   if (!this->isLater(Message.Source, Message.Sequence))
     return;
   this->Organisations.with([&](FleetAllowance &All) {
-    All.takePeerLevels(Message.Source, Message.Levels, Now);
+    All.takePeerLevels(Message.Source, Message.Usages, Now);
   });
-  for (const HallWord &Word : Message.Passed)
+  for (const HallUsage &Word : Message.RelayedHalls)
     this->takeHall(Word, Now);
 }
 
-Json::Value AllowanceAgent::answerTell(const Json::Value &Params) {
-  AllowanceMessage Message;
-  if (!decodeAllowanceMessage(Params, Message))
+Json::Value QuotaAgent::answerTell(const Json::Value &Params) {
+  QuotaMessage Message;
+  if (!decodeQuotaMessage(Params, Message))
     return makeCallError(
         {ErrorKind::InvalidArgument, "no message on organisations"});
-  this->take(Message, readSteadyClock());
+  this->applyMessage(Message, readSteadyClock());
   return Json::Value(Json::objectValue);
 }
 
--- a/lib/Daemon/AllowanceWire.cpp
+++ b/lib/Daemon/QuotaEncoding.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceWire.cpp - Levels of organisations in messages ------------===//
+//===- QuotaEncoding.cpp - Levels of organisations in messages ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/AllowanceWire.h"
+#include "canvaswick/Daemon/QuotaEncoding.h"
 #include "HexNumber.h"
 
 #include <fmt/format.h>
@@ -25,9 +25,9 @@
 static constexpr double AskedParts = 100;
 static constexpr double MostAsked = 1e9;
 
-Json::Value encodeLevels(const std::vector<AllowanceLevel> &Levels) {
+Json::Value encodeUsages(const std::vector<AllowanceLevel> &Usages) {
   Json::Value Rows(Json::arrayValue);
-  for (const AllowanceLevel &Each : Levels) {
+  for (const AllowanceLevel &Each : Usages) {
     Json::Value Row(Json::arrayValue);
     Row.append(fmt::format("{:x}", Each.Organisation));
     Row.append(static_cast<Json::Int64>(std::llround(Each.Asked * AskedParts)));
@@ -37,7 +37,7 @@
   return Rows;
 }
 
-bool decodeLevel(const Json::Value &Row, AllowanceLevel &Level) {
+bool decodeUsage(const Json::Value &Row, AllowanceLevel &Level) {
   if (!Row.isArray() || Row.size() != 3 || !Row[1].isInt64() ||
       !Row[2].isInt64())
     return false;
@@ -47,15 +47,15 @@
          decodeHex(Row[0], Level.Organisation);
 }
 
-bool decodeLevels(const Json::Value &Rows,
-                  std::vector<AllowanceLevel> &Levels) {
+bool decodeUsages(const Json::Value &Rows,
+                  std::vector<AllowanceLevel> &Usages) {
   if (!Rows.isArray())
     return false;
   for (const Json::Value &Row : Rows) {
     AllowanceLevel Level;
-    if (!decodeLevel(Row, Level))
+    if (!decodeUsage(Row, Level))
       return false;
-    Levels.push_back(Level);
+    Usages.push_back(Level);
   }
   return true;
 }
--- a/lib/Daemon/RepeatLoans.cpp
+++ b/lib/Daemon/RetryBorrower.cpp
@@ -1,4 +1,4 @@
-//===- RepeatLoans.cpp - Rights to repeats, lent between daemons ----------===//
+//===- RetryBorrower.cpp - Rights to repeats, lent between daemons --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/RepeatLoans.h"
+#include "canvaswick/Daemon/RetryBorrower.h"
 
 namespace canvaswick {
 
@@ -26,18 +26,18 @@
 /// whole hall has run out, asking only makes answers late.
 static constexpr Duration QuietTime = fromMillis(250);
 
-RepeatLoans::RepeatLoans(uint64_t FirstNumber, CounterTable &Counters,
-                         Sender Ask)
+RetryBorrower::RetryBorrower(uint64_t FirstNumber, CounterTable &Counters,
+                             Sender Ask)
     : Counters(Counters), Ask(std::move(Ask)), NextNumber(FirstNumber) {}
 
-bool RepeatLoans::isWorthAsking(const RepeatLoan &Loan, TimePoint Now) {
+bool RetryBorrower::isWorthAsking(const RetryLoan &Loan, TimePoint Now) {
   std::erase_if(this->QuietUntil,
                 [Now](const auto &Entry) { return Now >= Entry.second; });
   return this->QuietUntil.count(Loan.Service) == 0;
 }
 
 /// Asks round after round until an answer comes. Called without the mutex.
-bool RepeatLoans::waitForAnswer(const RepeatLoan &Loan) {
+bool RetryBorrower::waitForAnswer(const RetryLoan &Loan) {
   for (int Round = 0; Round < MaxRounds; ++Round) {
     this->Ask(Loan, Round > 0);
     std::unique_lock<std::mutex> Lock(this->Mutex);
@@ -51,8 +51,8 @@
   return false;
 }
 
-bool RepeatLoans::borrow(ServiceRuntime &Service, TimePoint Now) {
-  RepeatLoan Loan;
+bool RetryBorrower::borrow(ServiceRuntime &Service, TimePoint Now) {
+  RetryLoan Loan;
   Loan.Service = Service.getId();
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -74,7 +74,7 @@
   return IsTaken;
 }
 
-void RepeatLoans::takeLent(const RepeatLoan &Loan) {
+void RetryBorrower::handleGrant(const RetryLoan &Loan) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     const auto Found = this->Open.find(Loan.Number);
--- a/unittests/Daemon/DirectoryCallsTest.cpp
+++ b/unittests/Daemon/DirectoryCallsTest.cpp
@@ -86,7 +86,7 @@
 
 TEST_CASE("large values travel only if asked for and if there is room") {
   bool HasRoom = true;
-  ChangesAnswerer Answerer(
+  ChangesResponder Answerer(
       [](const ChangesRequest &) { return makeLargeNews(); },
       [&HasRoom] { return HasRoom; });
   const auto Ask = [&](bool WantsLarge) {
@@ -102,16 +102,16 @@
 }
 
 TEST_CASE("news without large values are whole, whatever room there is") {
-  ChangesAnswerer Answerer([](const ChangesRequest &) { return SmallNews; },
-                           [] { return false; });
+  ChangesResponder Answerer([](const ChangesRequest &) { return SmallNews; },
+                            [] { return false; });
   CHECK_FALSE(
       decodeChanges(Answerer.answer({{0, 3}, false, {}})).value().IsPartial);
 }
 
 TEST_CASE("a whole copy is refused where there is no room, with a reason") {
   bool HasRoom = false;
-  ChangesAnswerer Answerer([](const ChangesRequest &) { return makeCopy(); },
-                           [&HasRoom] { return HasRoom; });
+  ChangesResponder Answerer([](const ChangesRequest &) { return makeCopy(); },
+                            [&HasRoom] { return HasRoom; });
   CHECK(Answerer.answer({{0, 0}, true, {}})["error"].asString() ==
         getName(ErrorKind::Unavailable));
   HasRoom = true;
@@ -122,8 +122,8 @@
 
 TEST_CASE("what was packed is told again until the copy has moved on") {
   ItemChanges Copy = makeCopy();
-  ChangesAnswerer Answerer([&Copy](const ChangesRequest &) { return Copy; },
-                           [] { return true; });
+  ChangesResponder Answerer([&Copy](const ChangesRequest &) { return Copy; },
+                            [] { return true; });
   const Json::Value First = Answerer.answer({{0, 0}, true, {}});
   CHECK(Answerer.answer({{0, 0}, true, {}}) == First);
   Copy.AsOf = {0, 6000};
@@ -167,7 +167,7 @@
   Table.apply({"k", "v", {0, 7}, false});
   Table.advanceTo({0, 7});
   // No room for what is large: a difference is small.
-  ChangesAnswerer Answerer(
+  ChangesResponder Answerer(
       [&Table](const ChangesRequest &Request) {
         return Table.getChangesAfter(Request.After, Request.Held);
       },
@@ -245,9 +245,9 @@
   Table.apply({"servers/new", std::string(3000, 'y'), {2, 111}, false});
   Table.advanceTo({2, 111});
   bool HasRoom = true;
-  ChangesAnswerer Answerer(
+  ChangesResponder Answerer(
       [&Table](const ChangesRequest &Request) {
-        const uint64_t Epoch = Request.NamesEpoch ? Request.After.Epoch : 2;
+        const uint64_t Epoch = Request.HasEpoch ? Request.After.Epoch : 2;
         return Table.getChangesAfter({Epoch, Request.After.Revision});
       },
       [&HasRoom] { return HasRoom; });
--- a/unittests/Daemon/PeerLinkTest.cpp
+++ b/unittests/Daemon/PeerLinkTest.cpp
@@ -93,7 +93,7 @@
   for (size_t I = 1; I < 3; ++I) {
     REQUIRE(All[I]->Heard[0].InFlight.has_value());
     CHECK(All[I]->Heard[0].InFlight->size() == 1);
-    CHECK(All[I]->Heard[0].Levels.size() == 1);
+    CHECK(All[I]->Heard[0].Usages.size() == 1);
     CHECK(All[I]->Heard[0].Limits.size() == 1);
   }
   All[0]->Link.sendEstimates({{9, 345}}, {}, {{6, 1.5, fromMillis(20)}});
@@ -117,12 +117,12 @@
   }
   SUBCASE("it follows others") {}
   All[0]->Link.setStoreState(State);
-  All[0]->Link.sendWatcherNews(Now);
+  All[0]->Link.sendStoreState(Now);
   for (int Round = 0; Round < 300 && All[1]->countHeard() == 0; ++Round)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   REQUIRE(All[1]->countHeard() == 1);
   CHECK(All[1]->Heard[0].AsOf == StorePosition(0, 7));
-  CHECK(All[1]->Heard[0].StoreHeardAgo == Expected);
+  CHECK(All[1]->Heard[0].SinceStoreAnswer == Expected);
 }
 
 /// Sends a datagram from a socket of its own.
@@ -149,7 +149,7 @@
   sendRaw(All[0]->Self.Peer, std::string(1400, '\0'));
   // It still hears its hall.
   All[1]->Link.setStoreState({{0, 9}, true, readSteadyClock()});
-  All[1]->Link.sendWatcherNews(readSteadyClock());
+  All[1]->Link.sendStoreState(readSteadyClock());
   for (int Round = 0; Round < 300 && All[0]->countHeard() == 0; ++Round)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   CHECK(All[0]->countHeard() > 0);
@@ -158,7 +158,7 @@
 TEST_CASE("a link that has been stopped sends nothing") {
   const std::vector<std::unique_ptr<Listener>> All = startTwoHalls();
   All[0]->Link.stop();
-  All[0]->Link.sendWatcherNews(readSteadyClock());
+  All[0]->Link.sendStoreState(readSteadyClock());
   CHECK(All[0]->Counters.get(Counter::PeerDatagramsSent) == 0);
   CHECK(All[0]->Counters.get(Counter::PeerSendFailures) == 0);
 }
@@ -168,14 +168,14 @@
   bool IsFar = false;
   SUBCASE("of the own hall") {}
   SUBCASE("of another hall too") { IsFar = true; }
-  All[0]->Link.askForRepeat({7, 1}, IsFar);
-  All[IsFar ? 4 : 1]->Link.lendRepeat("d0", {7, 1});
+  All[0]->Link.sendLoanRequest({7, 1}, IsFar);
+  All[IsFar ? 4 : 1]->Link.sendLoanGrant("d0", {7, 1});
   for (int Round = 0; Round < 300 && All[0]->countHeard() == 0; ++Round)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   // What else was sent has come by then, or will not.
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   REQUIRE(All[0]->countHeard() == 1);
-  CHECK(All[0]->Heard[0].Lent == std::vector<RepeatLoan>{{7, 1}});
+  CHECK(All[0]->Heard[0].LoanGrants == std::vector<RetryLoan>{{7, 1}});
   size_t Near = 0;
   size_t Far = 0;
   for (size_t I = 1; I < 6; ++I)
--- a/unittests/Daemon/PeerMessageTest.cpp
+++ b/unittests/Daemon/PeerMessageTest.cpp
@@ -26,22 +26,22 @@
   Message.Hall = "h1";
   Message.Sequence = 1234567890123;
   Message.AsOf = {0, 77};
-  Message.StoreHeardAgo = fromMillis(430);
-  Message.Seen = {{0xfffffffe, RequestOutcome::Failed, -1},
-                  {5, RequestOutcome::Overdue, 3},
-                  {6, RequestOutcome::Good, 2, 130},
-                  {7, RequestOutcome::Good, -1, 90}};
+  Message.SinceStoreAnswer = fromMillis(430);
+  Message.Observations = {{0xfffffffe, RequestOutcome::Failed, -1},
+                          {5, RequestOutcome::Overdue, 3},
+                          {6, RequestOutcome::Good, 2, 130},
+                          {7, RequestOutcome::Good, -1, 90}};
   Message.InFlight = {{0xfffffffe, 340, 210}, {3, 0, 0}};
   Message.Estimates = {{9, 345}};
   Message.Rates = {{11, 250, 13}};
-  Message.Asked = {{0xfffffffe, 12345678901234}};
-  Message.Lent = {{7, 8}, {9, 10}};
-  Message.Levels = {{0xffffffffffff, 12.25, 7}, {3, 0, -2}};
-  Message.HallLevels = {{5, 1, 1234567}};
+  Message.LoanRequests = {{0xfffffffe, 12345678901234}};
+  Message.LoanGrants = {{7, 8}, {9, 10}};
+  Message.Usages = {{0xffffffffffff, 12.25, 7}, {3, 0, -2}};
+  Message.HallUsages = {{5, 1, 1234567}};
   Message.Limits = {{6, 1.8, fromMillis(250)}, {7, 0, fromMillis(0)}};
-  Message.Suspects.Ends = {
+  Message.PoisonRequests.Ends = {
       {0xfedcba9876543210, 0xfffffffe, 20, 300, 0xfffffffd}};
-  Message.Suspects.Answers = {{0xfedcba9876543210, 0}};
+  Message.PoisonRequests.Answers = {{0xfedcba9876543210, 0}};
   return Message;
 }
 
--- a/unittests/Daemon/SuspectReportTest.cpp
+++ b/unittests/Daemon/PoisonRequestReportTest.cpp
@@ -1,4 +1,4 @@
-//===- SuspectReportTest.cpp - Tests of records and of who gets a try -----===//
+//===- PoisonRequestReportTest.cpp - Tests of records and of who gets a ---===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/SuspectReport.h"
-#include "canvaswick/Daemon/SuspectBook.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
+#include "canvaswick/Daemon/PoisonRequestStore.h"
 #include "canvaswick/Json/JsonText.h"
 
 #include <doctest/doctest.h>
@@ -46,15 +46,15 @@
 
 /// The place where records are kept, as several daemons see it.
 struct Shelf {
-  SuspectBook open(RequestGuard &Guard) {
-    return SuspectBook(
+  PoisonRequestStore open(RequestGuard &Guard) {
+    return PoisonRequestStore(
         Guard, [this] { return this->read(); },
         [this](const std::string &Text, const StorePosition &Expected) {
           return this->write(Text, Expected);
         });
   }
 
-  Result<BookPage> read() { return this->Page; }
+  Result<StoredRecords> read() { return this->Page; }
 
   Result<StorePosition> write(const std::string &Text,
                               const StorePosition &Expected) {
@@ -67,7 +67,7 @@
     return this->Page.At;
   }
 
-  BookPage Page;
+  StoredRecords Page;
   bool IsDown = false;
   int Writes = 0;
 };
@@ -84,7 +84,7 @@
 
   CounterTable Counters;
   RequestGuard Guard{Counters};
-  SuspectBook Book;
+  PoisonRequestStore Book;
 };
 
 } // namespace
@@ -167,11 +167,11 @@
   REQUIRE(Two.Book.refresh(at(3)));
   const SuspectRecord Known = Two.Guard.describe().at(0).Record;
   CHECK(Known.Ends.size() == 3);
-  CHECK(One.Book.claimTry(Known, at(5)));
+  CHECK(One.Book.claimProbe(Known, at(5)));
   // It has not heard of the first one's try yet.
-  CHECK_FALSE(Two.Book.claimTry(Known, at(5)));
+  CHECK_FALSE(Two.Book.claimProbe(Known, at(5)));
   Where.IsDown = true;
-  CHECK_FALSE(One.Book.claimTry(makeRecord(5, 3), at(6)));
+  CHECK_FALSE(One.Book.claimProbe(makeRecord(5, 3), at(6)));
 }
 
 TEST_CASE("one end is not worth a call; more are written once") {
--- a/unittests/Daemon/SuspectNewsTest.cpp
+++ b/unittests/Daemon/PoisonRequestSpreadTest.cpp
@@ -1,4 +1,4 @@
-//===- SuspectNewsTest.cpp - How news of fatal requests travel ------------===//
+//===- PoisonRequestSpreadTest.cpp - How news of fatal requests travel ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/SuspectReport.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -89,7 +89,7 @@
     const SuspectVerdict Verdict = Table.judge(Fatal, this->Now);
     if (Verdict == SuspectVerdict::HeldBack)
       return;
-    if (Verdict == SuspectVerdict::TryDue && !this->claimTry(Table))
+    if (Verdict == SuspectVerdict::TryDue && !this->claimProbe(Table))
       return;
     ++this->Ends;
     if (this->Ends == 3)
@@ -103,7 +103,7 @@
     this->tell(Daemon, {{End}, {}});
   }
 
-  bool claimTry(SuspectTable &Table) {
+  bool claimProbe(SuspectTable &Table) {
     const SuspectRecord Record = Table.getRecord(Fatal);
     if (!this->Setup.HasStore || this->StoreTries > Record.Tries) {
       Table.missTry(Fatal, this->Now);
@@ -116,7 +116,7 @@
 
   /// Tells the hall of a daemon, and one daemon of each other, which passes on.
   void tell(size_t Daemon, const SuspectNews &News) {
-    const SuspectReport Report = makeReport(News, this->Now);
+    const PoisonRequestReport Report = makePoisonReport(News, this->Now);
     for (size_t Hall = 0; Hall < this->Setup.Halls; ++Hall) {
       const bool IsOwn = Hall == this->hallOf(Daemon);
       if (!IsOwn && (this->Setup.AreCutOff || this->isLost()))
@@ -127,8 +127,8 @@
     }
   }
 
-  void hear(size_t Daemon, const SuspectReport &Report) {
-    const SuspectNews News = readReport(Report, this->Now);
+  void hear(size_t Daemon, const PoisonRequestReport &Report) {
+    const SuspectNews News = readPoisonReport(Report, this->Now);
     for (const RequestEnd &End : News.Ends)
       this->Tables[Daemon].noteEnd(End, false, this->Now);
     for (const RequestAnswer &Answer : News.Answers)
--- a/unittests/Daemon/AllowanceAgentTest.cpp
+++ b/unittests/Daemon/QuotaAgentTest.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceAgentTest.cpp - What daemons tell of organisations --------===//
+//===- QuotaAgentTest.cpp - What daemons tell of organisations ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/AllowanceAgent.h"
+#include "canvaswick/Daemon/QuotaAgent.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -55,26 +55,26 @@
       this->Calls,  this->Fleet,    this->Notices, 7000};
   MembershipAgent Members{this->Context};
   OrganisationGate Gate{AllowanceBounds(), Begin, 0};
-  AllowanceAgent Agent{this->Context, this->Members, this->Gate};
+  QuotaAgent Agent{this->Context, this->Members, this->Gate};
 };
 
 } // namespace
 
-static AllowanceMessage makeNear(uint64_t Sequence, int64_t Admitted) {
-  AllowanceMessage Message;
+static QuotaMessage makeNear(uint64_t Sequence, int64_t Admitted) {
+  QuotaMessage Message;
   Message.Source = "near";
   Message.Hall = "a";
   Message.Sequence = Sequence;
-  Message.Levels = {{getOrganisationId("o"), 4, Admitted}};
+  Message.Usages = {{getOrganisationId("o"), 4, Admitted}};
   return Message;
 }
 
-static HallWord drawWord() {
-  HallWord Word;
+static HallUsage drawWord() {
+  HallUsage Word;
   Word.Hall = *rc::gen::arbitrary<std::string>();
-  Word.Teller = *rc::gen::arbitrary<std::string>();
+  Word.Reporter = *rc::gen::arbitrary<std::string>();
   Word.Sequence = *rc::gen::arbitrary<uint64_t>();
-  Word.Levels.push_back(
+  Word.Usages.push_back(
       {static_cast<OrganisationId>(*rc::gen::inRange<int64_t>(0, 1 << 30)),
        *rc::gen::inRange(0, 100000) / 100.0,
        *rc::gen::inRange<int64_t>(-3, 1000000)});
@@ -83,22 +83,22 @@
 
 TEST_CASE("a message on organisations is read as it was written") {
   CHECK(rc::check([] {
-    AllowanceMessage Message;
-    const HallWord Word = drawWord();
-    Message.Source = Word.Teller;
+    QuotaMessage Message;
+    const HallUsage Word = drawWord();
+    Message.Source = Word.Reporter;
     Message.Hall = Word.Hall;
     Message.Sequence = Word.Sequence;
-    Message.Levels = drawWord().Levels;
-    Message.HallLevels = Word.Levels;
-    Message.Passed = {Word};
-    AllowanceMessage Read;
-    RC_ASSERT(decodeAllowanceMessage(encodeAllowanceMessage(Message), Read));
+    Message.Usages = drawWord().Usages;
+    Message.HallUsages = Word.Usages;
+    Message.RelayedHalls = {Word};
+    QuotaMessage Read;
+    RC_ASSERT(decodeQuotaMessage(encodeQuotaMessage(Message), Read));
     RC_ASSERT(Read == Message);
   }));
 }
 
 TEST_CASE("a message on organisations of another shape is refused") {
-  const Json::Value Whole = encodeAllowanceMessage(makeNear(1, 1));
+  const Json::Value Whole = encodeQuotaMessage(makeNear(1, 1));
   for (const char *Field : {"f", "h", "n", "o", "a", "p"})
     for (const Json::Value &Wrong :
          {Json::Value(), Json::Value(-1), Json::Value("x"),
@@ -107,47 +107,46 @@
       Value[Field] = Wrong;
       // A name may be any text.
       const bool IsName = *Field == 'f' || *Field == 'h';
-      AllowanceMessage Read;
-      CHECK(decodeAllowanceMessage(Value, Read) ==
-            (IsName && Wrong.isString()));
+      QuotaMessage Read;
+      CHECK(decodeQuotaMessage(Value, Read) == (IsName && Wrong.isString()));
     }
 }
 
 TEST_CASE("what a daemon told before counts no more, whenever it arrives") {
   AgentBench Bench;
-  Bench.Agent.take(makeNear(5, 0), Begin);
-  Bench.Agent.take(makeNear(7, 10), Begin);
+  Bench.Agent.applyMessage(makeNear(5, 0), Begin);
+  Bench.Agent.applyMessage(makeNear(7, 10), Begin);
   const double Left = Bench.getTokens(Begin);
   CHECK(Left == 10);
-  Bench.Agent.take(makeNear(6, 4), Begin);
-  Bench.Agent.take(makeNear(7, 10), Begin);
+  Bench.Agent.applyMessage(makeNear(6, 4), Begin);
+  Bench.Agent.applyMessage(makeNear(7, 10), Begin);
   CHECK(Bench.getTokens(Begin) == Left);
 }
 
 TEST_CASE("what another hall told is passed on to this one, once") {
   AgentBench Bench;
-  AllowanceMessage Far;
+  QuotaMessage Far;
   Far.Source = "far";
   Far.Hall = "b";
   Far.Sequence = 3;
-  Far.HallLevels = {{getOrganisationId("o"), 4, 2}};
-  Bench.Agent.take(Far, Begin);
-  const AllowanceMessage Next = Bench.Agent.makeMessage(Begin);
-  REQUIRE(Next.Passed.size() == 1);
-  CHECK(Next.Passed[0] == HallWord{"b", "far", 3, Far.HallLevels});
-  CHECK(Bench.Agent.makeMessage(Begin).Passed.empty());
+  Far.HallUsages = {{getOrganisationId("o"), 4, 2}};
+  Bench.Agent.applyMessage(Far, Begin);
+  const QuotaMessage Next = Bench.Agent.makeMessage(Begin);
+  REQUIRE(Next.RelayedHalls.size() == 1);
+  CHECK(Next.RelayedHalls[0] == HallUsage{"b", "far", 3, Far.HallUsages});
+  CHECK(Bench.Agent.makeMessage(Begin).RelayedHalls.empty());
 
   // Who hears of it twice, directly and passed on, counts it once.
   const double Left = Bench.getTokens(Begin);
-  AllowanceMessage Passed = makeNear(1, 0);
-  Passed.Passed = Next.Passed;
-  Bench.Agent.take(Passed, Begin);
+  QuotaMessage RelayedHalls = makeNear(1, 0);
+  RelayedHalls.RelayedHalls = Next.RelayedHalls;
+  Bench.Agent.applyMessage(RelayedHalls, Begin);
   CHECK(Bench.getTokens(Begin) == Left);
 }
 
 TEST_CASE("a daemon that started anew is heard at once") {
   AgentBench Bench;
-  const AllowanceMessage First = Bench.Agent.makeMessage(Begin);
+  const QuotaMessage First = Bench.Agent.makeMessage(Begin);
   CHECK(First.Sequence == 7001);
   CHECK(Bench.Agent.makeMessage(Begin).Sequence == 7002);
 }
--- a/unittests/Daemon/RepeatLoansTest.cpp
+++ b/unittests/Daemon/RetryBorrowerTest.cpp
@@ -1,4 +1,4 @@
-//===- RepeatLoansTest.cpp - Tests of lent repeats ------------------------===//
+//===- RetryBorrowerTest.cpp - Tests of lent repeats ----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Daemon/RepeatLoans.h"
+#include "canvaswick/Daemon/RetryBorrower.h"
 
 #include <doctest/doctest.h>
 
@@ -48,19 +48,19 @@
       Each.join();
   }
 
-  void hear(const RepeatLoan &Loan) {
+  void hear(const RetryLoan &Loan) {
     ++this->Heard;
     if (this->Service->tryLendRepeat(readSteadyClock()))
       this->Threads.emplace_back([this, Loan] {
         std::this_thread::sleep_for(this->Delay);
-        this->Loans.takeLent(Loan);
+        this->Loans.handleGrant(Loan);
       });
   }
 
   CounterTable Counters;
   const ServiceRuntimeRef Service;
-  RepeatLoans Loans{1, Counters,
-                    [this](const RepeatLoan &Loan, bool) { this->hear(Loan); }};
+  RetryBorrower Loans{
+      1, Counters, [this](const RetryLoan &Loan, bool) { this->hear(Loan); }};
   std::chrono::milliseconds Delay{2};
   int Heard = 0;
   std::vector<std::thread> Threads;
@@ -97,13 +97,13 @@
 
 TEST_CASE("an answer that nobody waits for, or for another, gives nothing") {
   CounterTable Counters;
-  RepeatLoans Loans(1, Counters, [](const RepeatLoan &, bool) {});
+  RetryBorrower Loans(1, Counters, [](const RetryLoan &, bool) {});
   const ServiceRuntimeRef Short = makeService(2, 100);
   CHECK_FALSE(Loans.borrow(*Short, readSteadyClock()));
-  Loans.takeLent({Short->getId(), 1});
+  Loans.handleGrant({Short->getId(), 1});
   CHECK_FALSE(Short->tryRepeat(readSteadyClock()));
-  RepeatLoans Mixed(1, Counters, [&](const RepeatLoan &Loan, bool) {
-    Mixed.takeLent({Loan.Service + 1, Loan.Number});
+  RetryBorrower Mixed(1, Counters, [&](const RetryLoan &Loan, bool) {
+    Mixed.handleGrant({Loan.Service + 1, Loan.Number});
   });
   CHECK_FALSE(Mixed.borrow(*Short, readSteadyClock()));
 }
--- a/unittests/EndingRequest/EndingRequestTest.cpp
+++ b/unittests/EndingRequest/EndingRequestTest.cpp
@@ -32,7 +32,7 @@
 
 #include "MortalServers.h"
 #include "PlatformAdapter/HallBench.h"
-#include "canvaswick/Daemon/SuspectReport.h"
+#include "canvaswick/Daemon/PoisonRequestReport.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/PlatformAdapter/PeerFollowerTest.cpp
+++ b/unittests/PlatformAdapter/PeerFollowerTest.cpp
@@ -65,7 +65,7 @@
   /// Whether a large value is among what it tells, and whether it has room to.
   std::atomic<bool> HasLarge{false};
   std::atomic<bool> HasRoom{true};
-  ChangesAnswerer Answerer;
+  ChangesResponder Answerer;
   std::unique_ptr<RelayStandIn> Way;
 };
 
--- a/unittests/PlatformAdapter/PlatformDaemonTest.cpp
+++ b/unittests/PlatformAdapter/PlatformDaemonTest.cpp
@@ -369,7 +369,7 @@
   std::atomic<bool> IsOver{false};
   std::thread Speaking([&] {
     while (!IsOver) {
-      Link.sendWatcherNews(readSteadyClock());
+      Link.sendStoreState(readSteadyClock());
       std::this_thread::sleep_for(std::chrono::microseconds(200));
     }
   });
