--- a/include/canvaswick/Daemon/ClaimAgent.h
+++ b/include/canvaswick/Daemon/ClaimAgent.h
@@ -1,4 +1,4 @@
-//===- ClaimAgent.h - Grants the right to run a request once ----*- C++ -*-===//
+//===- ClaimAgent.h - Grants the right to run a keyed request ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Each shard of keys has one daemon that writes its log for all, so that many
-/// claims share a write. Any daemon may write instead if that one is not
-/// reached: the log decides, not who is thought to be in charge.
+/// Grants claims, which let a keyed request run once. One daemon per shard of
+/// keys writes the shard's log for the whole fleet, so that many claims share a
+/// write. Any daemon may write instead if that one is unreachable: conditional
+/// writes to the log keep claims correct, not agreement on a leader.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,10 +28,11 @@
 
 namespace canvaswick {
 
-/// How many logs the keys are spread over.
+/// The number of logs over which keys are distributed.
 inline constexpr size_t ClaimShards = 16;
 
-/// Claims for this daemon and as a writer for others. Thread-safe.
+/// Obtains claims for this daemon's requests and writes claims for other
+/// daemons. Thread-safe.
 class ClaimAgent final : public ClaimGate {
 public:
   ClaimAgent(const ControlContext &Context, MembershipAgent &Members);
@@ -42,7 +44,8 @@
   void finish(const std::string &Key, uint64_t Claim, ClaimEnd End,
               const FirstAnswer &Answer) override;
 
-  /// Writes ends that wait, and empties old chunks. Call some times a second.
+  /// Writes pending claim results and empties old chunks. Call several times a
+  /// second.
   void runRound();
 
 private:
@@ -50,15 +53,15 @@
   std::vector<std::string> listWriters(const std::string &Key) const;
   ClaimVerdict askWriter(const std::string &Writer, const ClaimEntry &Entry,
                          TimePoint Deadline);
-  void noteWriter(uint64_t Claim, const std::string &Writer);
-  std::string takeWriter(uint64_t Claim);
+  void recordWriter(uint64_t Claim, const std::string &Writer);
+  std::string extractWriter(uint64_t Claim);
   ClaimVerdict beginLocally(ClaimEntry Entry);
   ClaimVerdict resolveRunning(ClaimVerdict Verdict, const std::string &Key);
   bool isHolderRunning(const std::string &Holder) const;
   ClaimEntry makeBegin(const std::string &Key, const std::string &Fingerprint);
   uint64_t makeClaim();
-  Json::Value answerBegin(const Json::Value &Params);
-  Json::Value answerFinish(const Json::Value &Params);
+  Json::Value handleBegin(const Json::Value &Params);
+  Json::Value handleFinish(const Json::Value &Params);
 
   const ControlContext &Context;
   MembershipAgent &Members;
@@ -66,7 +69,8 @@
   std::vector<std::unique_ptr<ClaimWriter>> Shards;
   /// Used by runRound only.
   uint64_t WritesCounted = 0;
-  /// Who wrote each claim that this daemon was granted, until its end.
+  /// Which daemon wrote each claim that was granted to this one, until the
+  /// claim ends.
   std::mutex WritersMutex;
   std::map<uint64_t, std::string> Writers;
   std::mutex RandomMutex;
--- a/include/canvaswick/Daemon/ConfigAgent.h
+++ b/include/canvaswick/Daemon/ConfigAgent.h
@@ -1,5 +1,4 @@
-//===- ConfigAgent.h - Brings new versions of the settings to this daemon and on
-// to others -*- C++ -*-===//
+//===- ConfigAgent.h - Distribution of settings versions --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A few daemons watch the platform; the others hear of a version from peers,
-/// fetch the parts they lack from the one who told them, and tell some more.
+/// Keeps this daemon's settings current and passes new versions on to peers. A
+/// few daemons watch the platform. The others learn of a version from peers,
+/// fetch the parts that they lack from the daemon that announced it, and
+/// announce it to a few more.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,11 +36,11 @@
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Loads the local settings file, if there is one and nothing else is known.
+  /// Loads the local settings file if the daemon's settings name one.
   Result<void> loadLocal();
 
-  /// Does one round: watches the platform if that is this daemon's duty, or
-  /// sleeps. Takes some seconds at most.
+  /// Runs one round: watches the platform if this daemon is an elected watcher,
+  /// otherwise sleeps. Blocks for a few seconds at most.
   void runRound();
 
   void writeVersions(Json::Value &Message);
@@ -47,29 +48,29 @@
 
   uint64_t getVersion() const;
 
-  /// Returns how long ago the newest known look at the platform was, in
-  /// milliseconds, or -1 if there was none.
+  /// Returns the age in milliseconds of the newest known read of the platform
+  /// by any daemon, or -1 if there is none.
   int64_t getConfirmedAgeMillis() const;
 
 private:
   void watchPlatform();
-  void lookAtPlatform();
-  void takeFromPlatform(const PlatformValue &Value);
+  void readPlatform();
+  void applyPlatformValue(const PlatformValue &Value);
   void fetchFrom(const MemberRecord &Peer);
   void accept(const ConfigManifest &Candidate, const ConfigTexts &Fetched);
-  void spreadNews(const std::string &Except);
-  Json::Value answerManifest();
-  Json::Value answerParts(const Json::Value &Params);
-  Json::Value answerNews(const Json::Value &Params);
+  void announceVersion(const std::string &Except);
+  Json::Value handleManifest();
+  Json::Value handleParts(const Json::Value &Params);
+  Json::Value handleAnnouncement(const Json::Value &Params);
 
   const ControlContext &Context;
   MembershipAgent &Members;
   const Applier Apply;
-  /// One fetch at a time. Taken before Mutex.
+  /// Serializes fetches. Locked before Mutex.
   std::mutex FetchMutex;
   mutable std::mutex Mutex;
   ConfigFollower Follower;
-  ConfigWatchDuty Duty;
+  ConfigWatchDuty WatchSchedule;
   uint64_t PlatformRevision = 0;
   std::mt19937_64 Random;
 };
--- a/include/canvaswick/Daemon/ControlContext.h
+++ b/include/canvaswick/Daemon/ControlContext.h
@@ -1,4 +1,4 @@
-//===- ControlContext.h - What the agents of a daemon share -----*- C++ -*-===//
+//===- ControlContext.h - Shared context of a daemon's agents ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The agents are the parts of a daemon that talk: to peers, to the platform
-/// and to operators. Each holds decision objects behind a mutex of its own and
-/// makes no call while it holds it.
+/// Agents are the components of a daemon that communicate with peers, the
+/// platform and operators. Each agent guards its decision objects with a mutex
+/// of its own and makes no call while it holds that mutex.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,18 +27,18 @@
 
 namespace canvaswick {
 
-/// References that outlive all agents.
+/// References to objects that outlive all agents.
 struct ControlContext {
   const DaemonConfig &Config;
   CounterTable &Counters;
   PeerCaller &Caller;
   PlatformClient &Platform;
-  /// Runs calls that nobody waits for.
+  /// Runs calls whose result nobody waits for.
   WorkerPool &Calls;
   FleetRuntimeSlot &Fleet;
-  /// What servers say of themselves.
+  /// The notices that backend servers send about themselves.
   ServerNoticeBoard &Notices;
-  /// Calendar time of the process's start, in milliseconds.
+  /// The calendar time of the process's start, in milliseconds.
   uint64_t StartMillis = 0;
 };
 
--- a/include/canvaswick/Daemon/Daemon.h
+++ b/include/canvaswick/Daemon/Daemon.h
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Wires the decision objects to sockets and threads, starts them in order and
-/// stops them without cutting a request.
+/// Connects the decision objects to sockets and threads, starts them in order
+/// and stops them without dropping requests in flight.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,20 +22,21 @@
 
 namespace canvaswick {
 
-/// A whole daemon.
+/// A daemon that finds its peers by the membership protocol.
 class Daemon {
 public:
   explicit Daemon(DaemonConfig Config);
   ~Daemon();
 
-  /// Starts to serve. Fails if an address is taken or a file is wrong.
+  /// Starts to serve. Fails if an address cannot be bound or a file is invalid.
   Result<void> start();
 
-  /// Turns readiness red and tells the peers, so that new work goes elsewhere.
+  /// Fails readiness checks and announces to peers that this daemon leaves, so
+  /// that new work goes elsewhere.
   void beginStop();
 
-  /// Waits for requests in flight and stops. Returns whether all ended before
-  /// Deadline.
+  /// Waits for requests in flight, then stops. Returns whether all of them
+  /// ended before Deadline.
   bool finishStop(TimePoint Deadline);
 
   uint16_t getCallerPort() const;
--- a/include/canvaswick/Daemon/DirectoryCalls.h
+++ b/include/canvaswick/Daemon/DirectoryCalls.h
@@ -1,4 +1,4 @@
-//===- DirectoryCalls.h - The copy of the store between daemons -*- C++ -*-===//
+//===- DirectoryCalls.h - Replication of the store --------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,12 +7,14 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One daemon asks another for what its copy of the store has that its own
-/// lacks: followers do after each change, and a daemon that starts while the
-/// store is away asks the daemons that its settings name. The calls carry no
-/// signature: a machine keeps nothing, so there is no place for a key that a
-/// daemon could have before it reaches the store. What is taken is checked item
-/// by item like the store's own answers, and only moves the copy forward.
+/// One daemon asks another for the items of the store that its own replica
+/// lacks. Followers do so after each change; a daemon that starts while the
+/// store is unavailable asks the daemons that its settings name.
+///
+/// The calls carry no signature: a VM keeps no state across restarts, so a
+/// daemon has nowhere to get a key from before it reaches the store. Received
+/// items are validated one by one like the store's own answers, and can only
+/// move the replica forward.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,72 +30,75 @@
 
 namespace canvaswick {
 
-/// What a peer asks.
+/// A peer's request for changes.
 struct ChangesRequest {
-  /// Its copy is complete up to here; none: it has none.
+  /// The position up to which the peer's replica is complete; none if it has no
+  /// replica.
   StorePosition After;
-  /// Whether it takes large values too.
+  /// Whether the peer accepts large values, too.
   bool WantsLarge = true;
-  /// The large items that it holds: their changes may be told as differences.
-  /// All are of the epoch of After.
+  /// The large items that the peer holds, whose changes may be sent as deltas.
+  /// All positions have the epoch of After.
   ItemPositions Held;
-  /// False: the peer knows no epochs. It is taken to be in the one of whom it
-  /// asks.
+  /// Whether the request names an epoch. A peer of a version without epochs
+  /// names none; its request is then read as one in the responder's epoch.
   bool HasEpoch = true;
 };
 
-/// Returns what the peer lacks.
+/// Returns the changes that the peer lacks.
 using ChangesSource = std::function<ItemChanges(const ChangesRequest &)>;
 
-/// Answers peers that ask for the copy of the store. What is urgent is small (a
-/// server that leaves) and never waits behind what is large (a configuration):
-/// large values travel only if they are asked for and if this daemon has room
-/// for that, whole copies likewise. Thread-safe.
+/// Answers peers' requests for changes. Urgent changes are small (a server that
+/// leaves) and must not wait behind large ones (a configuration): large values
+/// are sent only if the peer requests them and this daemon has the capacity;
+/// the same holds for full replicas. Thread-safe.
 class ChangesResponder {
 public:
-  /// HasRoom tells whether one more large answer may leave now.
-  ChangesResponder(ChangesSource Source, std::function<bool()> HasRoom);
+  /// HasCapacity returns whether another large response may be sent now.
+  ChangesResponder(ChangesSource Source, std::function<bool()> HasCapacity);
 
   Json::Value answer(const ChangesRequest &Request);
 
 private:
-  struct PackedAnswer {
+  struct CachedResponse {
     StorePosition AsOf;
     Json::Value Value;
   };
 
-  Json::Value packOnce(const ItemChanges &Changes, const StorePosition &After);
+  Json::Value packCached(const ItemChanges &Changes,
+                         const StorePosition &After);
 
   const ChangesSource Source;
-  const std::function<bool()> HasRoom;
-  /// Guards Recent; held for no packing.
+  const std::function<bool()> HasCapacity;
+  /// Guards Cache. Not held while a response is packed.
   std::mutex Mutex;
-  /// What was packed of late, by After: a hall asks for the same.
-  std::map<StorePosition, PackedAnswer> Recent;
+  /// Recently packed responses, by After: the daemons of a hall make the same
+  /// request at about the same time.
+  std::map<StorePosition, CachedResponse> Cache;
 };
 
-/// Adds the method that peers call. Answerer must outlive the dispatcher's
-/// calls.
+/// Adds the method that peers call. Responder must outlive the dispatcher.
 void addDirectoryMethod(JsonRpcDispatcher &Dispatcher,
-                        ChangesResponder &Answerer);
+                        ChangesResponder &Responder);
 
-/// Asks a peer. Errors as for PeerCaller::call; Unavailable also from one that
-/// has no room for a whole copy.
+/// Requests changes from a peer. Fails like PeerCaller::call, and with
+/// Unavailable if the peer has no capacity for a full replica.
 Result<ItemChanges> fetchChanges(PeerCaller &Caller, const Endpoint &Peer,
                                  const ChangesRequest &Request,
                                  Duration Timeout);
 
 Json::Value encodeRequest(const ChangesRequest &Request);
 
-/// Fails with InvalidArgument on a wrong shape.
+/// Fails with InvalidArgument if the request is malformed.
 Result<ChangesRequest> decodeRequest(const Json::Value &Params);
 
 Json::Value encodeChanges(const ItemChanges &Changes);
 
-/// Replaces the items of encoded changes by their packed text if they are many.
+/// Replaces the items of encoded changes by their compressed text if that text
+/// is long.
 Json::Value packChanges(Json::Value Encoded);
 
-/// Takes both forms. Fails with InvalidArgument on a wrong shape.
+/// Accepts both forms. Fails with InvalidArgument if the value is malformed.
 Result<ItemChanges> decodeChanges(const Json::Value &Value);
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/EvidenceAgent.h
+++ b/include/canvaswick/Daemon/EvidenceAgent.h
@@ -1,5 +1,4 @@
-//===- EvidenceAgent.h - Exchanges evidence about backend servers -*- C++
-//-*-===//
+//===- EvidenceAgent.h - Exchange of health evidence ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Sends this daemon's reports to the owners of each service's pool, keeps the
-/// pools that this daemon owns, and sends their digests to whom they concern.
+/// Sends this daemon's reports about backend servers to the owners of each
+/// service's evidence pool, maintains the pools that this daemon owns, and
+/// sends their summaries to the daemons that reported.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,33 +25,33 @@
 
 namespace canvaswick {
 
-/// How many daemons keep the pool of one service.
+/// The number of daemons that own the pool of one service.
 inline constexpr size_t PoolOwners = 2;
 
-/// Moves evidence. Thread-safe.
+/// Exchanges evidence about backend servers. Thread-safe.
 class EvidenceAgent {
 public:
   EvidenceAgent(const ControlContext &Context, MembershipAgent &Members);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Does one round: reports, advances the pools, sends digests.
+  /// Runs one round: sends reports, advances the pools, sends summaries.
   void runRound();
 
 private:
-  using Digests = std::vector<EvidenceDigest>;
+  using Summaries = std::vector<EvidenceDigest>;
 
   void sendReports(TimePoint Now);
   void sendTo(const std::string &Owner, std::vector<EvidenceReport> Reports);
-  Digests takeReports(const std::vector<EvidenceReport> &Reports,
-                      TimePoint Now);
-  void takeDigests(const Digests &Taken, TimePoint Now);
+  Summaries mergeReports(const std::vector<EvidenceReport> &Reports,
+                         TimePoint Now);
+  void applySummaries(const Summaries &Received, TimePoint Now);
   void advancePools(TimePoint Now);
   EvidencePool *findPool(const std::string &Service);
   std::vector<std::string> getOwners(const std::string &Service);
   uint32_t getRank(const std::string &Service);
-  Json::Value answerReport(const Json::Value &Params);
-  Json::Value answerDigest(const Json::Value &Params);
+  Json::Value handleReport(const Json::Value &Params);
+  Json::Value handleSummaries(const Json::Value &Params);
 
   const ControlContext &Context;
   MembershipAgent &Members;
@@ -59,13 +59,15 @@
   std::map<std::string, std::unique_ptr<EvidencePool>> Pools;
 };
 
-/// Writes a report into a message, and reads it.
+/// Encode and decode a report. Decoding returns false if the value is
+/// malformed.
 Json::Value encodeReport(const EvidenceReport &Report);
 bool decodeReport(const Json::Value &Value, EvidenceReport &Report);
 
-/// Writes a digest into a message, and reads it.
-Json::Value encodeSummary(const EvidenceDigest &Digest);
-bool decodeSummary(const Json::Value &Value, EvidenceDigest &Digest);
+/// Encode and decode a summary. Decoding returns false if the value is
+/// malformed.
+Json::Value encodeSummary(const EvidenceDigest &Summary);
+bool decodeSummary(const Json::Value &Value, EvidenceDigest &Summary);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Daemon/Gateway.h
+++ b/include/canvaswick/Daemon/Gateway.h
@@ -1,4 +1,4 @@
-//===- Gateway.h - A daemon fed from outside --------------------*- C++ -*-===//
+//===- Gateway.h - A daemon configured by its owner -------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Serves callers by whatever fleet it was last given, shares what it sees of
-/// backend servers with its peers, answers the balancer's checks and stops
-/// without cutting a request. Where settings and servers come from is not its
-/// concern.
+/// Serves callers according to the settings and servers that its owner last
+/// set, exchanges observations of backend servers with peers, answers the load
+/// balancer's health checks and stops without dropping requests. It does not
+/// know where settings and servers come from.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -31,54 +31,56 @@
 
 namespace canvaswick {
 
-/// A daemon without a source of settings.
+/// A daemon without a source of settings of its own.
 class Gateway {
 public:
   Gateway(DaemonConfig Config, ProxyOptions Options);
   ~Gateway();
 
-  /// Binds its addresses and starts to serve; not ready before setFleet. Fails
-  /// with Io if an address is taken.
+  /// Binds the daemon's addresses and starts to serve. The daemon is not ready
+  /// before setFleet. Fails with Io if an address cannot be bound.
   Result<void> start();
 
   /// Puts a version of settings and servers in force.
   void setFleet(const FleetConfigRef &Config);
 
-  /// Takes the daemons of the fleet, this one included.
+  /// Sets the daemons of the fleet, this one included.
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
 
-  /// Sets who answers peers that ask for the copy of the store, and who hears
-  /// each message of a peer. OnPause is called when the process goes on
-  /// after a standstill. Call before start.
-  void setHooks(ChangesSource Source, PeerLink::Handler Heard,
+  /// Sets the callbacks. Source answers peers that request changes of the
+  /// store's replica, OnPeerMessage receives each message of a peer, and
+  /// OnPause is called when the process resumes after a pause. Call before
+  /// start.
+  void setHooks(ChangesSource Source, PeerLink::Handler OnPeerMessage,
                 std::function<void()> OnPause);
 
-  /// Says where this daemon stands with the store. IsNews: peers are told at
-  /// once.
-  void setStoreState(const StoreState &State, bool IsNews);
+  /// Sets this daemon's state with regard to the store. Peers are notified at
+  /// once if ShouldNotify is set.
+  void setStoreState(const StoreState &State, bool ShouldNotify);
 
-  /// Says that settings may be long in coming: callers who wait for them are
-  /// refused at once from now on, until there are some. Called after start.
+  /// Stops holding callers until settings arrive: from now on they are refused
+  /// at once while there are none. Call after start, when settings may take
+  /// long.
   void stopWaitingForSettings();
 
-  /// Changes the repeats that the fleet may send.
-  void setRepeats(const RepeatAllowance &Allowance);
+  /// Changes the limit on retries for the whole fleet.
+  void setRepeats(const RepeatAllowance &Limit);
 
-  /// Turns readiness red; answers from now on close their connections.
+  /// Fails readiness checks. Responses from now on close their connections.
   void beginStop();
 
-  /// Waits for requests in flight and stops. Returns whether all ended before
-  /// Deadline. Does nothing the second time; a gateway that never started has
-  /// nothing to wait for.
+  /// Waits for requests in flight, then stops. Returns whether all of them
+  /// ended before Deadline. A second call does nothing and returns true, and a
+  /// gateway that never started has nothing to wait for.
   bool finishStop(TimePoint Deadline);
 
-  /// Returns how peers know this daemon.
+  /// Returns the record by which peers know this daemon.
   const DaemonRecord &getSelf() const;
 
   CounterTable &getCounters();
 
-  /// Returns what is known of requests under which servers end. Where its
-  /// records are kept is for the owner to say, before start.
+  /// Returns the quarantine of requests that crash servers. The owner connects
+  /// the storage of its records before start.
   RequestGuard &getGuard();
 
 private:
--- a/include/canvaswick/Daemon/LeavingAgent.h
+++ b/include/canvaswick/Daemon/LeavingAgent.h
@@ -1,4 +1,4 @@
-//===- LeavingAgent.h - Which backend servers are leaving -------*- C++ -*-===//
+//===- LeavingAgent.h - Tracks backend servers that leave -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads the platform's lagging list on behalf of all, probes some servers for
-/// what they say themselves, and spreads what it finds at once.
+/// Tracks backend servers that are shutting down. Some daemons read the
+/// platform's list of VMs, which lags behind, on behalf of all; each daemon
+/// probes some servers for their own state. Changes are gossiped at once.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,77 +25,78 @@
 
 namespace canvaswick {
 
-/// What is known of one leaving address.
+/// The last known state of one server's address.
 struct LeavingStatus {
   bool IsLeaving = false;
-  /// Calendar time of the observation. A later one wins.
+  /// The calendar time of the observation in milliseconds. A later one wins.
   int64_t AtMillis = 0;
 };
 
-/// The signs of all servers, by address. No sockets, no clock.
+/// The states of all servers, by address. Uses no sockets and no clock.
 class LeavingServerTable {
 public:
-  /// Takes what a server said of itself. Returns whether it was news.
-  bool mergeStatus(const std::string &Address, const LeavingStatus &Sign);
+  /// Merges a server's own statement. Returns whether it must be passed on.
+  bool mergeStatus(const std::string &Address, const LeavingStatus &Status);
 
-  /// Takes the platform's list. Returns whether it was newer.
+  /// Merges the platform's list. Returns whether it was newer than the last
+  /// one.
   bool mergeList(uint64_t Revision, std::set<std::string> Addresses);
 
-  /// Returns the addresses that receive no new work. Signs that were not
-  /// renewed in time no longer count.
+  /// Returns the addresses that must receive no new requests. Statements that
+  /// were not renewed in time do not count.
   std::set<std::string> getLeaving(int64_t NowMillis) const;
 
   uint64_t getListRevision() const { return this->ListRevision; }
   const std::set<std::string> &getList() const { return this->List; }
 
 private:
-  std::map<std::string, LeavingStatus> Signs;
+  std::map<std::string, LeavingStatus> Statuses;
   uint64_t ListRevision = 0;
   std::set<std::string> List;
 };
 
-/// Keeps the board up to date. Thread-safe.
+/// Keeps the table up to date. Thread-safe.
 class LeavingAgent {
 public:
   LeavingAgent(const ControlContext &Context, MembershipAgent &Members);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Does one round: reads the list and probes, where that is this daemon's
-  /// duty.
+  /// Runs one round: reads the list if this daemon is one of its readers, and
+  /// probes the servers assigned to this daemon.
   void runRound();
 
-  /// Applies the board to all services of the version in force.
+  /// Applies the table to all services of the version in force.
   void apply();
 
   void writeVersions(Json::Value &Message);
   void readVersions(const MemberRecord &Peer, const Json::Value &Message);
 
 private:
-  /// One server that this daemon probes.
-  struct ProbeDuty {
+  /// A server that this daemon probes.
+  struct ProbeTarget {
     ServiceRuntimeRef Service;
     size_t Server = 0;
   };
 
   void readList();
-  void updateDuties(const FleetRuntimeRef &Fleet);
+  void updateProbeTargets(const FleetRuntimeRef &Fleet);
   void probeServers();
   void probeServer(const ServiceRuntimeRef &Service, size_t Server);
-  void spread(const Json::Value &News, const std::string &Except);
-  Json::Value makeListNews();
-  Json::Value answerNews(const Json::Value &Params);
+  void gossip(const Json::Value &Update, const std::string &Except);
+  Json::Value buildListUpdate();
+  Json::Value handleUpdate(const Json::Value &Params);
 
   const ControlContext &Context;
   MembershipAgent &Members;
   ConnectionPool Probes;
   mutable std::mutex Mutex;
-  LeavingServerTable Board;
+  LeavingServerTable Table;
   /// Used by runRound only.
-  std::vector<ProbeDuty> Duties;
-  FleetRuntimeRef DutiesOf;
-  uint64_t DutiesAt = 0;
-  size_t NextDuty = 0;
+  std::vector<ProbeTarget> ProbeTargets;
+  FleetRuntimeRef TargetsFleet;
+  uint64_t TargetsVersion = 0;
+  size_t NextTarget = 0;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/MembershipAgent.h
+++ b/include/canvaswick/Daemon/MembershipAgent.h
@@ -1,5 +1,4 @@
-//===- MembershipAgent.h - Talks with other daemons about who there is -*- C++
-//-*-===//
+//===- MembershipAgent.h - Membership protocol with peers -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Pings, asks others to ping, answers pings, and carries the versions of what
-/// daemons share along with them.
+/// Runs the membership protocol: pings members, pings indirectly through
+/// others, and answers pings. Messages also carry the versions of the data that
+/// daemons share.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -36,25 +36,27 @@
 
   explicit MembershipAgent(const ControlContext &Context);
 
-  /// Sets the hooks. Call before start of the threads.
+  /// Sets the callbacks. Call before the threads start.
   void setVersionHooks(VersionWriter Writer, VersionReader Reader);
 
   /// Adds the methods that peers call.
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Does one round: one ping, and joining while alone. Takes a second at most.
+  /// Runs one round: pings one member, or tries to join while there is none.
+  /// Blocks until the pings are answered or time out.
   void runRound();
 
-  /// Adds addresses to join by, from the platform's list.
+  /// Sets the addresses of the platform's list, which are used for joining in
+  /// addition to the configured seeds.
   void addSeeds(const std::vector<Endpoint> &Seeds);
 
-  /// Tells others that this daemon leaves.
+  /// Announces to peers that this daemon leaves.
   void leave();
 
   /// Returns the names of the daemons that share the work.
   std::vector<std::string> getWorking() const;
 
-  /// Grows whenever getWorking changes.
+  /// Returns a number that increases whenever the result of getWorking changes.
   uint64_t getWorkingVersion() const;
 
   /// Returns all members that are not dead.
@@ -62,19 +64,19 @@
 
   std::optional<MemberRecord> find(const std::string &Name) const;
 
-  /// Returns members at random.
+  /// Returns up to Count members, chosen at random, without Except.
   std::vector<MemberRecord> choose(size_t Count, const std::string &Except);
 
 private:
   Json::Value makeMessage(const std::string &Receiver, bool WantsAll);
-  void takeMessage(const Json::Value &Message);
+  void mergeMessage(const Json::Value &Message);
   bool ping(const MemberRecord &Target, Duration Timeout);
-  bool askOthers(const MemberRecord &Target);
+  bool pingIndirectly(const MemberRecord &Target);
   bool tryJoin(const Endpoint &Seed);
   void join();
-  void greetStranger();
-  Json::Value answerPing(const Json::Value &Params);
-  Json::Value answerPingFor(const Json::Value &Params);
+  void contactUnknownSeed();
+  Json::Value handlePing(const Json::Value &Params);
+  Json::Value handlePingFor(const Json::Value &Params);
 
   const ControlContext &Context;
   VersionWriter Writer;
@@ -87,10 +89,10 @@
   uint64_t Rounds = 0;
 };
 
-/// Writes a record into a message.
+/// Encodes a record for a message.
 Json::Value encodeMember(const MemberRecord &Record);
 
-/// Reads a record. Returns false if it is malformed.
+/// Decodes a record. Returns false if it is malformed.
 bool decodeMember(const Json::Value &Value, MemberRecord &Record);
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/OperatorApi.h
+++ b/include/canvaswick/Daemon/OperatorApi.h
@@ -1,4 +1,4 @@
-//===- OperatorApi.h - What operators may ask a daemon ----------*- C++ -*-===//
+//===- OperatorApi.h - Operators' queries -----------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Status, the explanation of a backend server's share, and the figures for the
-/// report on service-level burn. Queries only: changes go through the settings.
+/// Answers operators' queries: status, the explanation of a backend server's
+/// share, and the figures for the report on error budget burn. It changes
+/// nothing: changes go through the settings.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,26 +27,26 @@
 class OperatorApi {
 public:
   OperatorApi(const ControlContext &Context, MembershipAgent &Members,
-              ConfigAgent &Config, const RequestGuard &Guard,
+              ConfigAgent &Config, const RequestGuard &Quarantine,
               OrganisationGate &Organisations);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Returns the metrics page: counters and latency quantiles.
+  /// Returns the metrics page: counters, latency quantiles and shares.
   std::string formatMetrics() const;
 
 private:
-  Json::Value answerStatus() const;
-  Json::Value answerExplain(const Json::Value &Params) const;
-  Json::Value answerBurn() const;
-  Json::Value answerHeld() const;
-  Json::Value answerOrganisations() const;
+  Json::Value handleStatus() const;
+  Json::Value handleExplain(const Json::Value &Params) const;
+  Json::Value handleBurn() const;
+  Json::Value handleQuarantined() const;
+  Json::Value handleOrganisations() const;
   std::vector<AllowanceStatus> listOrganisations() const;
 
   const ControlContext &Context;
   MembershipAgent &Members;
   ConfigAgent &Config;
-  const RequestGuard &Guard;
+  const RequestGuard &Quarantine;
   OrganisationGate &Organisations;
 };
 
--- a/include/canvaswick/Daemon/PeerLink.h
+++ b/include/canvaswick/Daemon/PeerLink.h
@@ -1,4 +1,4 @@
-//===- PeerLink.h - Observations between daemons, by datagrams --*- C++ -*-===//
+//===- PeerLink.h - Datagrams between daemons -------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,13 +7,15 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Tells the other daemons what this one saw of backend servers, within some
-/// tens of milliseconds and without an answer. A datagram that is lost costs a
-/// little evidence, nothing else. Daemons of the own hall are told each
-/// outcome. Other halls learn a few times a second what this hall thinks of its
-/// servers: one daemon there is told and passes it on, so that the bytes
-/// between halls grow with the servers and not with the daemons or the
-/// requests. A right to a repeat is asked of a few peers, and given to one.
+/// Sends this daemon's observations of backend servers to the other daemons
+/// within some tens of milliseconds, in datagrams without acknowledgement. A
+/// lost datagram costs a little evidence and nothing else.
+///
+/// Daemons of the same hall receive every outcome. Other halls receive this
+/// hall's estimates of its servers a few times a second: one daemon of each
+/// hall receives them and relays them within its hall, so that the traffic
+/// between halls grows with the servers, not with the daemons or the requests.
+/// A retry loan is requested from a few peers and granted to one.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -37,28 +39,30 @@
 
 namespace canvaswick {
 
-/// Sends and receives. Thread-safe.
+/// Sends and receives datagrams. Thread-safe.
 class PeerLink {
 public:
   using Handler = std::function<void(const PeerMessage &)>;
 
-  /// Self is how peers know this daemon. Handle is called on the link's thread.
+  /// Self is the record by which peers know this daemon. Handle is called on
+  /// the link's thread.
   PeerLink(DaemonRecord Self, uint64_t FirstSequence, CounterTable &Counters,
            Handler Handle);
   ~PeerLink();
   PeerLink(const PeerLink &) = delete;
   PeerLink &operator=(const PeerLink &) = delete;
 
-  /// Binds the socket and starts to receive. Fails with Io.
+  /// Binds the socket and starts to receive. Fails with InvalidArgument if the
+  /// address is malformed and with Io if it cannot be bound.
   Result<void> start();
 
-  /// Takes the daemons of the fleet, this one included or not.
+  /// Sets the daemons of the fleet. This daemon may be among them.
   void setPeers(std::vector<DaemonRecord> Peers);
 
-  /// Tells the peers of this hall what was seen since the last message, all
-  /// that is in flight, what organisations asked and what limits servers named:
-  /// at most MaxPiggybackedUsages and MaxPiggybackedLimits, which leave room
-  /// for the rest.
+  /// Sends the outcomes observed since the last message to this hall, together
+  /// with all requests in flight, the usage of organisations and the limits
+  /// that servers announced. At most MaxPiggybackedUsages and
+  /// MaxPiggybackedLimits are allowed, which leave room for the other rows.
   void sendObservations(std::vector<Observation> Observations,
                         const std::vector<InFlightReport> &InFlight,
                         std::vector<AllowanceLevel> Usages,
@@ -66,40 +70,41 @@
   static constexpr size_t MaxPiggybackedUsages = 10;
   static constexpr size_t MaxPiggybackedLimits = 5;
 
-  /// Tells the other halls what organisations asked of this one. An empty list
-  /// shows them that it is heard.
+  /// Sends the usage of organisations in this hall to the other halls. An empty
+  /// list shows them that this hall is reachable.
   void sendHallUsages(std::vector<AllowanceLevel> Usages);
 
-  /// Tells the other halls. Limits: at most MaxPiggybackedLimits.
+  /// Sends estimates, failure rates and limits to the other halls. At most
+  /// MaxPiggybackedLimits limits are allowed.
   void sendEstimates(std::vector<Estimate> Estimates,
                      std::vector<HallRate> Rates,
                      std::vector<LimitReport> Limits);
 
-  /// Tells the peers of this hall, for those that have just started.
+  /// Sends estimates to this hall, for daemons that have just started.
   void sendLocalEstimates(std::vector<Estimate> Estimates);
 
-  /// Tells the peers of this hall how far the copy of the store goes and, if
-  /// this daemon watches, how long ago the store answered.
+  /// Sends to this hall the position of this daemon's replica of the store and,
+  /// if this daemon watches the store, how long ago the store answered.
   void sendStoreState(TimePoint Now);
 
-  /// Tells the peers of this hall, and through one of each other hall all
-  /// others, under which requests servers ended.
+  /// Sends a report on poison requests to this hall, and through one daemon of
+  /// each other hall to all daemons.
   void sendPoisonReport(const PoisonRequestReport &Report);
 
-  /// Asks some peers, drawn anew each time, for the right to a repeat.
-  /// AsksRemoteHall: one of another hall too.
+  /// Requests a retry loan from some peers, chosen at random each time.
+  /// AsksRemoteHall includes one of another hall.
   void sendLoanRequest(const RetryLoan &Loan, bool AsksRemoteHall);
 
-  /// Gives a right to the peer that asked for it.
+  /// Grants a retry loan to the peer that requested it.
   void sendLoanGrant(const std::string &Daemon, const RetryLoan &Loan);
 
-  /// Sets what messages say of the store.
+  /// Sets the state of the store that messages carry.
   void setStoreState(const StoreState &State);
 
-  /// Returns how many daemons of this hall are known, this one included.
+  /// Returns the number of known daemons of this hall, this one included.
   size_t countHallDaemons();
 
-  /// Ends the receiving thread and closes the socket.
+  /// Stops the receiving thread and closes the socket.
   void stop();
 
 private:
@@ -111,7 +116,7 @@
   void sendTo(const Endpoint &Peer, const std::string &Text);
   void sendWithinHall(const std::string &Text);
   void sendToOtherHalls(const std::string &Text);
-  std::vector<DaemonRecord> drawAsked(bool AsksRemoteHall);
+  std::vector<DaemonRecord> chooseLenders(bool AsksRemoteHall);
 
   const DaemonRecord Self;
   CounterTable &Counters;
@@ -121,11 +126,12 @@
   std::atomic<bool> IsStopping{false};
   std::mutex Mutex;
   StoreState Store;
-  std::vector<DaemonRecord> Near;
-  /// Daemons of each other hall.
-  std::map<std::string, std::vector<DaemonRecord>> Far;
+  std::vector<DaemonRecord> LocalPeers;
+  /// The daemons of each other hall.
+  std::map<std::string, std::vector<DaemonRecord>> RemotePeers;
   std::mt19937_64 Random;
-  /// Used by the link's thread only: what has come already, oldest first.
+  /// Messages that have been received, oldest first. Used by the link's thread
+  /// only.
   std::deque<std::pair<std::string, uint64_t>> RecentOrder;
   std::set<std::pair<std::string, uint64_t>> Recent;
   std::thread Thread;
--- a/include/canvaswick/Daemon/PeerMessage.h
+++ b/include/canvaswick/Daemon/PeerMessage.h
@@ -1,4 +1,4 @@
-//===- PeerMessage.h - What daemons tell each other -------------*- C++ -*-===//
+//===- PeerMessage.h - Datagram messages between daemons --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One message between daemons, as it travels in a datagram.
+/// Defines a message between daemons and its encoding in a datagram.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,46 +29,48 @@
 
 namespace canvaswick {
 
-/// A daemon that has used up its part of a service's repeats asks a peer for
-/// the right to one, or a peer answers that it gives it.
+/// The loan of a retry. A daemon that has used up its part of a service's
+/// retries requests one from a peer; the peer grants it by sending it back.
 struct RetryLoan {
   ServerId Service = 0;
-  /// The asking daemon's own number for it, so that each answer counts once.
+  /// Assigned by the borrower, so that each grant counts once.
   uint64_t Number = 0;
 
   bool operator==(const RetryLoan &) const = default;
 };
 
-/// One datagram.
+/// The content of one datagram.
 struct PeerMessage {
   std::string Source;
-  /// Hall of the source.
+  /// The hall of the source.
   std::string Hall;
-  /// How far the source's copy of the store goes.
+  /// The position of the source's replica of the store.
   StorePosition AsOf;
   /// How long ago the store last answered the source, in whole milliseconds, if
-  /// the source watches the store itself. That it watches proves nothing: the
-  /// store may have been silent ever since.
+  /// the source watches the store itself. A watcher proves nothing by watching
+  /// alone: the store may not have answered it since.
   std::optional<Duration> SinceStoreAnswer;
-  /// Whether a daemon of the receiver's hall has passed it on.
+  /// Whether a daemon of the receiver's hall relayed the message.
   bool IsRelayed = false;
-  /// Grows with each message of a source; starts at its calendar time.
+  /// Increases with each message of a source; starts at the source's calendar
+  /// time.
   uint64_t Sequence = 0;
   std::vector<Observation> Observations;
   std::vector<Estimate> Estimates;
   std::vector<HallRate> Rates;
-  /// All that the source has in flight, if the message speaks of it.
+  /// All requests that the source has in flight, if the message reports them.
   std::optional<std::vector<InFlightReport>> InFlight;
-  /// Rights to repeats that are asked for, and that are given.
+  /// Retry loans that are requested, and that are granted.
   std::vector<RetryLoan> LoanRequests;
   std::vector<RetryLoan> LoanGrants;
-  /// What organisations asked of the source.
+  /// The usage of organisations at the source.
   std::vector<AllowanceLevel> Usages;
-  /// What they asked of its whole hall, if the message speaks of that.
+  /// Their usage in the whole hall of the source, if the message reports it.
   std::optional<std::vector<AllowanceLevel>> HallUsages;
-  /// Limits that servers have named or taken back.
+  /// Limits that servers have announced or withdrawn.
   std::vector<LimitReport> Limits;
-  /// Requests under which servers ended, and what speaks for them.
+  /// Requests during which servers crashed, and answers that clear such
+  /// requests.
   PoisonRequestReport PoisonRequests;
 
   bool operator==(const PeerMessage &) const = default;
@@ -77,7 +79,7 @@
 /// Encodes a message as JSON.
 std::string encodePeerMessage(const PeerMessage &Message);
 
-/// Decodes a message. Fails with InvalidArgument.
+/// Decodes a message. Fails with InvalidArgument if it is malformed.
 Result<PeerMessage> decodePeerMessage(const std::string &Text);
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/PoisonRequestAgent.h
+++ b/include/canvaswick/Daemon/PoisonRequestAgent.h
@@ -1,4 +1,4 @@
-//===- PoisonRequestAgent.h - Fatal requests among signed peers -*- C++ -*-===//
+//===- PoisonRequestAgent.h - Poison requests in signed calls ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Tells the other daemons on the product's own interface under which requests
-/// servers end: at once to a few, who pass it on, and again with each ping.
-/// Keeps the records at the platform.
+/// Shares knowledge of poison requests, during which servers crash, with
+/// daemons that communicate by signed calls: an update goes at once to a few
+/// peers, who pass it on, and travels again with each ping. Stores the records
+/// at the platform.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,35 +22,35 @@
 
 namespace canvaswick {
 
-/// Thread-safe.
+/// Exchanges and stores records of poison requests. Thread-safe.
 class PoisonRequestAgent {
 public:
   PoisonRequestAgent(const ControlContext &Context, MembershipAgent &Members,
-                     RequestGuard &Guard);
+                     RequestGuard &Quarantine);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Does one round: reads the records at the start and while there are
-  /// suspects, writes what they lack, forgets what is old.
+  /// Runs one round: reads the stored records at the start and while requests
+  /// are suspected, writes what they lack, and drops what is old.
   void runRound(const Instant &Now);
 
-  /// Takes part in pings.
+  /// Add an update to a ping and apply one from a ping.
   void writeUpdate(Json::Value &Message, TimePoint Now) const;
   void readUpdate(const Json::Value &Message, TimePoint Now);
 
 private:
-  void spread(const SuspectNews &News, TimePoint Now);
-  Json::Value answerNews(const Json::Value &Params);
-  Result<StoredRecords> readPage() const;
-  Result<StorePosition> writePage(const std::string &Text,
-                                  const StorePosition &Expected) const;
+  void gossip(const SuspectNews &Update, TimePoint Now);
+  Json::Value handleUpdate(const Json::Value &Params);
+  Result<StoredRecords> readRecords() const;
+  Result<StorePosition> writeRecords(const std::string &Text,
+                                     const StorePosition &Expected) const;
 
   const ControlContext &Context;
   MembershipAgent &Members;
-  RequestGuard &Guard;
-  PoisonRequestStore Book;
+  RequestGuard &Quarantine;
+  PoisonRequestStore Store;
   /// Used by runRound only.
-  TimePoint ReadAt{};
+  TimePoint LastRead{};
   bool HasRead = false;
 };
 
--- a/include/canvaswick/Daemon/PoisonRequestReport.h
+++ b/include/canvaswick/Daemon/PoisonRequestReport.h
@@ -1,4 +1,4 @@
-//===- PoisonRequestReport.h - What daemons tell of fatal -------*- C++ -*-===//
+//===- PoisonRequestReport.h - Poison requests in messages ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Ends and answers as they travel, by their ages, and records as they are kept
-/// outside the daemons.
+/// Encodes ends of requests and answers for messages, in which ages stand for
+/// times, and records for storage outside the daemons.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,8 @@
 
 namespace canvaswick {
 
-/// One end by its age, in whole milliseconds.
+/// A server that closed its connection during a request without an answer.
+/// Times are ages in whole milliseconds.
 struct EndReport {
   RequestDigest Request = 0;
   EndedServer Server = 0;
@@ -37,7 +38,7 @@
   bool operator==(const EndReport &) const = default;
 };
 
-/// One answer by its age, in whole milliseconds.
+/// An answer to a request, by its age in whole milliseconds.
 struct AnswerReport {
   RequestDigest Request = 0;
   int64_t AgoMs = 0;
@@ -45,7 +46,7 @@
   bool operator==(const AnswerReport &) const = default;
 };
 
-/// News as a message carries it.
+/// An update as a message carries it.
 struct PoisonRequestReport {
   std::vector<EndReport> Ends;
   std::vector<AnswerReport> Answers;
@@ -54,31 +55,33 @@
   bool operator==(const PoisonRequestReport &) const = default;
 };
 
-/// Returns news as a message that leaves now carries it, and back.
-PoisonRequestReport makePoisonReport(const SuspectNews &News, TimePoint Now);
+/// Convert an update to the form of a message that is sent now, and back.
+PoisonRequestReport makePoisonReport(const SuspectNews &Update, TimePoint Now);
 SuspectNews readPoisonReport(const PoisonRequestReport &Report, TimePoint Now);
 
-/// Writes a report into a message: "ends" and "answers", if there are any.
+/// Writes a report into the fields "ends" and "answers" of a message, each only
+/// if it has rows.
 void encodePoisonReport(const PoisonRequestReport &Report,
                         Json::Value &Message);
 
-/// Reads a report from a message. Fails with InvalidArgument.
+/// Reads a report from a message. Fails with InvalidArgument if it is
+/// malformed.
 Result<PoisonRequestReport> decodePoisonReport(const Json::Value &Message);
 
-/// Writes and reads the records as one text, which holds calendar times: it is
-/// as right as the clocks of its writer and reader agree. Fails with
-/// InvalidArgument.
+/// Encode and decode records as one text. The text holds calendar times, so it
+/// is only as accurate as the clocks of its writer and reader agree. Decoding
+/// fails with InvalidArgument if the text is malformed.
 std::string encodeRecords(const std::vector<SuspectRecord> &Records,
                           const Instant &Now);
 Result<std::vector<SuspectRecord>> decodeRecords(const std::string &Text,
                                                  const Instant &Now);
 
-/// Puts a request's record into a list, merged with what is there. Leaves out
-/// what has not changed for longer than anything in it counts.
+/// Merges a request's record into a list. Drops records that have not changed
+/// for longer than anything in them counts.
 void mergeRecord(std::vector<SuspectRecord> &Records, SuspectRecord Record,
                  int64_t NowMillis);
 
-/// Takes a request's record off a list. Returns whether it was there.
+/// Removes a request's record from a list. Returns whether it was there.
 bool removeRecord(std::vector<SuspectRecord> &Records, RequestDigest Request);
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/PoisonRequestStore.h
+++ b/include/canvaswick/Daemon/PoisonRequestStore.h
@@ -1,4 +1,4 @@
-//===- PoisonRequestStore.h - Records of fatal requests, kept ---*- C++ -*-===//
+//===- PoisonRequestStore.h - Stored records of poison requests -*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Keeps the records of requests under which servers end where they outlast all
-/// daemons: one value, changed under the condition that it is still as it was
-/// read. That condition is also what gives the right to a try to one daemon
-/// only, however little daemons hear of each other.
+/// Keeps the records of poison requests in storage that outlasts all daemons: a
+/// single value, replaced on condition that it is unchanged since it was read.
+/// The same condition lets only one daemon claim a probe of a quarantined
+/// request, even if daemons cannot reach each other.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,46 +27,52 @@
 
 namespace canvaswick {
 
-/// The value as it was last read, and where. Revision 0: there is none.
+/// The value as it was last read, and its position. Revision 0 means that there
+/// is no value.
 struct StoredRecords {
   std::string Text;
   StorePosition At;
 };
 
-/// Thread-safe. Its mutex guards what it last took; no call is made under it.
+/// Synchronizes the quarantine with the stored records. Thread-safe; no call is
+/// made while its mutex is held.
 class PoisonRequestStore {
 public:
-  /// Reads the value, or returns the last known copy of it.
+  /// Reads the value, or returns the last known replica of it.
   using Reader = std::function<Result<StoredRecords>()>;
-  /// Writes the value if it is still where it was.
+  /// Writes the value if its position is unchanged.
   using Writer = std::function<Result<StorePosition>(const std::string &,
                                                      const StorePosition &)>;
 
-  PoisonRequestStore(RequestGuard &Guard, Reader Read, Writer Write)
-      : Guard(Guard), Read(std::move(Read)), Write(std::move(Write)) {}
+  PoisonRequestStore(RequestGuard &Quarantine, Reader Read, Writer Write)
+      : Quarantine(Quarantine), Read(std::move(Read)), Write(std::move(Write)) {
+  }
 
-  /// Gives the guard what is written, if it has changed. Fails as Read does.
+  /// Passes the stored records to the quarantine if they have changed. Fails as
+  /// Read does.
   Result<void> refresh(const Instant &Now);
 
-  /// Writes what this daemon knows and the value lacks. What fails is tried
-  /// again some rounds later.
+  /// Writes what this daemon knows and the stored value lacks. A failed write
+  /// is retried a few rounds later.
   void runRound(const Instant &Now);
 
-  /// Takes the right to the next try of a request.
+  /// Claims the next probe of a quarantined request. Returns whether this
+  /// daemon may send it.
   bool claimProbe(const SuspectRecord &Record, const Instant &Now);
 
 private:
-  bool change(std::vector<SuspectRecord> &Records, const Instant &Now) const;
-  bool writeAll(const std::vector<SuspectRecord> &Records,
-                const StorePosition &Expected, const Instant &Now);
+  bool updateRecords(std::vector<SuspectRecord> &Records,
+                     const Instant &Now) const;
+  bool writeRecords(const std::vector<SuspectRecord> &Records,
+                    const StorePosition &Expected, const Instant &Now);
 
-  RequestGuard &Guard;
+  RequestGuard &Quarantine;
   const Reader Read;
   const Writer Write;
   std::mutex Mutex;
-  StorePosition TakenAt;
+  StorePosition AppliedPosition;
   /// Used by runRound only.
-  TimePoint RetryAt{};
+  TimePoint NextWrite{};
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/QuotaAgent.h
+++ b/include/canvaswick/Daemon/QuotaAgent.h
@@ -1,4 +1,4 @@
-//===- QuotaAgent.h - Daemons tell what organisations ask -------*- C++ -*-===//
+//===- QuotaAgent.h - Quota exchange between daemons ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Keeps organisations' allowances over the whole fleet where daemons know each
-/// other by membership: each tells the others of its hall what it was asked and
-/// has admitted, and the first of a hall tells each other hall the sum, through
-/// one daemon there. The decisions are FleetAllowance's.
+/// Enforces organisations' quotas across the fleet where daemons know each
+/// other through membership. Each daemon reports its demand and its admitted
+/// requests to the other daemons of its hall. One daemon of each hall, the hall
+/// reporter, sends the hall's totals to one daemon of each other hall.
+/// FleetQuota makes the decisions.
 ///
 /// A round costs a daemon one call to each other daemon of its hall, four times
 /// a second, and nothing while no organisation has a limit.
@@ -32,39 +33,40 @@
 
 namespace canvaswick {
 
-/// What a hall's teller says of its hall.
+/// The usage of a whole hall, as its reporter sends it.
 struct HallUsage {
   std::string Hall;
   std::string Reporter;
-  /// Of the teller's messages.
+  /// The sequence number of the reporter's message.
   uint64_t Sequence = 0;
   std::vector<AllowanceLevel> Usages;
 
   bool operator==(const HallUsage &) const = default;
 };
 
-/// One message of a daemon.
+/// A daemon's message about the usage of organisations.
 struct QuotaMessage {
   std::string Source;
   std::string Hall;
-  /// Begins at the calendar time of the process's start, in milliseconds, and
-  /// grows by one a round.
+  /// Starts at the calendar time of the process's start, in milliseconds, and
+  /// increases by one per round.
   uint64_t Sequence = 0;
-  /// To daemons of the same hall: of the source itself, and what other halls
-  /// told it since its last message.
+  /// Sent within a hall: the usage of the source itself, and what it received
+  /// from other halls since its last message.
   std::vector<AllowanceLevel> Usages;
   std::vector<HallUsage> RelayedHalls;
-  /// To a daemon of another hall: of the source's whole hall.
+  /// Sent to another hall: the usage of the source's whole hall.
   std::vector<AllowanceLevel> HallUsages;
 
   bool operator==(const QuotaMessage &) const = default;
 };
 
-/// Writes a message, and reads it. Returns false if it is malformed.
+/// Encode and decode a message. Decoding returns false if the value is
+/// malformed.
 Json::Value encodeQuotaMessage(const QuotaMessage &Message);
 bool decodeQuotaMessage(const Json::Value &Value, QuotaMessage &Message);
 
-/// Moves levels between daemons. Thread-safe.
+/// Exchanges usage reports between daemons. Thread-safe.
 class QuotaAgent {
 public:
   QuotaAgent(const ControlContext &Context, MembershipAgent &Members,
@@ -72,50 +74,54 @@
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Tells the others. To be called once in SpeakInterval.
+  /// Sends this daemon's usage to its peers. Must be called once per quota
+  /// report interval.
   void runRound(TimePoint Now);
 
-  /// Takes what a daemon told, unless something later came from it before.
+  /// Applies a message from a peer. A message that is not newer than the last
+  /// one from the same source is ignored.
   void applyMessage(const QuotaMessage &Message, TimePoint Now);
 
-  /// Makes the next message to this hall: what this daemon was asked and what
-  /// other halls told it since the last one.
+  /// Builds the next message to this hall: this daemon's usage and what other
+  /// halls reported since the last message.
   QuotaMessage makeMessage(TimePoint Now);
 
-  /// Ends the calls under way.
+  /// Stops the worker pool for calls.
   void stop();
 
 private:
-  void updateFleet(TimePoint Now);
-  bool isHallDue(TimePoint Now);
-  void tellHalls(const QuotaMessage &Base, TimePoint Now);
-  void tell(const MemberRecord &Peer, const Json::Value &Message);
-  bool isLater(const std::string &Source, uint64_t Sequence);
-  void takeHall(const HallUsage &Word, TimePoint Now);
-  Json::Value answerTell(const Json::Value &Params);
+  void updatePeers(TimePoint Now);
+  bool isReporter(TimePoint Now);
+  void reportToHalls(const QuotaMessage &Base, TimePoint Now);
+  void sendMessage(const MemberRecord &Peer, const Json::Value &Message);
+  bool isNewer(const std::string &Source, uint64_t Sequence);
+  void mergeHallUsage(const HallUsage &Report, TimePoint Now);
+  Json::Value handleReport(const Json::Value &Params);
 
   const ControlContext &Context;
   MembershipAgent &Members;
   OrganisationGate &Organisations;
-  /// Of its own, since a peer that does not answer must not hold up others.
+  /// A pool of its own, so that an unresponsive peer does not delay other
+  /// calls.
   WorkerPool Calls;
 
   // Used by runRound only.
-  uint64_t FleetVersion = 0;
-  std::vector<MemberRecord> Near;
-  std::map<std::string, std::vector<MemberRecord>> Far;
+  uint64_t PeersVersion = 0;
+  std::vector<MemberRecord> LocalPeers;
+  std::map<std::string, std::vector<MemberRecord>> RemotePeers;
   uint64_t Sequence;
   uint64_t Rounds = 0;
   std::mt19937_64 Random;
 
   std::mutex Mutex;
-  /// Peers that have not answered the last call yet.
-  std::set<std::string> Busy;
-  /// The last message taken of each daemon, as itself and as a teller.
-  std::map<std::string, uint64_t> Taken;
-  std::map<std::string, uint64_t> TakenAsTeller;
-  /// What other halls told this daemon since its last message.
-  std::map<std::string, HallUsage> ToPass;
+  /// Peers whose last call has not returned yet.
+  std::set<std::string> Unanswered;
+  /// The sequence number of the last message applied per daemon, from the
+  /// daemon itself and as a hall reporter.
+  std::map<std::string, uint64_t> LastSequence;
+  std::map<std::string, uint64_t> LastHallSequence;
+  /// What other halls reported to this daemon since its last message.
+  std::map<std::string, HallUsage> PendingRelay;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/QuotaEncoding.h
+++ b/include/canvaswick/Daemon/QuotaEncoding.h
@@ -1,4 +1,4 @@
-//===- QuotaEncoding.h - Levels of organisations in messages ----*- C++ -*-===//
+//===- QuotaEncoding.h - Encoding of organisations' usage -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// How daemons write what organisations asked of them, over datagrams and calls
-/// alike: a list of the organisation's name in hexadecimal digits, hundredths
-/// of a request a second that were asked, and the requests admitted since the
-/// teller began to count.
+/// Encodes the usage of organisations for messages between daemons, in
+/// datagrams and calls alike. Each row holds the organisation's id in
+/// hexadecimal digits, its demand in hundredths of a request per second, and
+/// the number of requests admitted since the sender began to count.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,13 +25,14 @@
 
 namespace canvaswick {
 
-/// Writes levels into a message.
+/// Encodes usages as a list of rows.
 Json::Value encodeUsages(const std::vector<AllowanceLevel> &Usages);
 
-/// Reads one level. Returns false if it is malformed.
-bool decodeUsage(const Json::Value &Row, AllowanceLevel &Level);
+/// Decodes one row. Returns false if it is malformed.
+bool decodeUsage(const Json::Value &Row, AllowanceLevel &Usage);
 
-/// Reads a list of levels. Returns false if it is none, or one is malformed.
+/// Decodes a list of rows. Returns false if the value is not a list or a row is
+/// malformed.
 bool decodeUsages(const Json::Value &Rows, std::vector<AllowanceLevel> &Usages);
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/RetryBorrower.h
+++ b/include/canvaswick/Daemon/RetryBorrower.h
@@ -1,4 +1,4 @@
-//===- RetryBorrower.h - Rights to repeats, lent between --------*- C++ -*-===//
+//===- RetryBorrower.h - Retry loans between daemons ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,15 +7,15 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Each daemon has a part of the fleet's repeats. Failures do not come evenly:
-/// at forty daemons the parts are of two or three repeats a window, and some
-/// run out while others have some left. A daemon that needs one more asks two
-/// peers, first of its own hall and then one of another too, and waits some
-/// tens of milliseconds.
+/// Each daemon holds a part of the fleet's retry budget. Failures do not spread
+/// evenly: with forty daemons, each holds two or three retries per window, and
+/// some run out while others have retries left. A daemon that needs one more
+/// asks two peers, at first of its own hall, then one of another hall too, and
+/// waits some tens of milliseconds.
 ///
-/// Rights are moved, never made: the lender counts the repeat as its own before
-/// it answers, and a right is used before the lender's count of it begins to
-/// age. Lost, late and doubled messages can only lose a right.
+/// Loans move retries and never create them: the lender counts the retry as its
+/// own before it answers, and the borrower uses it before the lender's count
+/// begins to expire. Lost, late and duplicated messages can only lose a retry.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,43 +33,45 @@
 
 namespace canvaswick {
 
-/// Borrows for this daemon's requests. Thread-safe; its mutex is taken before
-/// that of a service.
+/// Borrows retries for this daemon's requests. Thread-safe; its mutex is locked
+/// before that of a service.
 class RetryBorrower {
 public:
-  /// Sends a question to some peers, others each time. AsksRemoteHall: to one
-  /// of another hall too.
+  /// Sends a loan request to some peers, chosen at random each time.
+  /// AsksRemoteHall includes one of another hall.
   using Sender =
       std::function<void(const RetryLoan &Loan, bool AsksRemoteHall)>;
 
   /// FirstNumber must differ from that of earlier processes of this daemon.
-  RetryBorrower(uint64_t FirstNumber, CounterTable &Counters, Sender Ask);
+  RetryBorrower(uint64_t FirstNumber, CounterTable &Counters,
+                Sender SendRequest);
 
-  /// Asks peers for the right to one repeat of a service and takes it. Returns
-  /// false if none came within some tens of milliseconds.
+  /// Borrows one retry of a service from a peer and uses it. Returns false if
+  /// no peer grants one within some tens of milliseconds.
   bool borrow(ServiceRuntime &Service, TimePoint Now);
 
-  /// Takes a peer's answer. One that nobody waits for any more is dropped.
+  /// Handles a peer's grant. A grant that no request waits for any more is
+  /// dropped.
   void handleGrant(const RetryLoan &Loan);
 
 private:
-  struct Question {
+  struct PendingRequest {
     ServiceRuntimeRef Service;
-    TimePoint AskedAt{};
-    bool IsAnswered = false;
+    TimePoint RequestedAt{};
+    bool IsGranted = false;
   };
 
-  bool waitForAnswer(const RetryLoan &Loan);
-  bool isWorthAsking(const RetryLoan &Loan, TimePoint Now);
+  bool waitForGrant(const RetryLoan &Loan);
+  bool canAskPeers(const RetryLoan &Loan, TimePoint Now);
 
   CounterTable &Counters;
-  const Sender Ask;
+  const Sender SendRequest;
   std::mutex Mutex;
-  std::condition_variable Answered;
+  std::condition_variable GrantReceived;
   uint64_t NextNumber;
-  std::map<uint64_t, Question> Open;
-  /// Until when asking for a service again makes no sense.
-  std::map<ServerId, TimePoint> QuietUntil;
+  std::map<uint64_t, PendingRequest> Pending;
+  /// The time until which no loan is requested for a service.
+  std::map<ServerId, TimePoint> BackoffUntil;
 };
 
 } // namespace canvaswick
--- a/lib/Daemon/CallerServer.cpp
+++ b/lib/Daemon/CallerServer.cpp
@@ -1,4 +1,4 @@
-//===- CallerServer.cpp - The server that callers reach -------------------===//
+//===- CallerServer.cpp - Limits of the server for callers ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Settings as bounds.
+/// Translates settings into the server's limits.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 namespace canvaswick {
 
-/// Callers' requests that may wait for a worker.
+/// The number of callers' requests that may wait for a worker.
 static constexpr size_t CallerQueue = 256;
 
 HttpServerLimits makeCallerServerLimits(const DaemonConfig &Config) {
--- a/lib/Daemon/CallerServer.h
+++ b/lib/Daemon/CallerServer.h
@@ -1,4 +1,4 @@
-//===- CallerServer.h - The server that callers reach --------- -*- C++ -*-===//
+//===- CallerServer.h - Limits of the server for callers --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What the two kinds of daemon have in common about it.
+/// Shared by Daemon and Gateway.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,8 +19,8 @@
 
 namespace canvaswick {
 
-/// Returns the bounds that a daemon's file sets for the server that callers
-/// reach.
+/// Returns the limits that a daemon's settings file sets for the server that
+/// callers connect to.
 HttpServerLimits makeCallerServerLimits(const DaemonConfig &Config);
 
 } // namespace canvaswick
--- a/lib/Daemon/ClaimAgent.cpp
+++ b/lib/Daemon/ClaimAgent.cpp
@@ -1,4 +1,4 @@
-//===- ClaimAgent.cpp - Grants the right to run a request once ------------===//
+//===- ClaimAgent.cpp - Grants the right to run a keyed request -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Decides where a claim is written; the writers do the rest.
+/// Decides which daemon writes a claim. ClaimWriter writes the logs.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,18 +21,19 @@
 
 namespace canvaswick {
 
-/// Sixteen logs with this gap make 320 writes a second at the most. A claim
-/// that finds its log idle does not wait.
-static constexpr Duration WriteGap = fromMillis(50);
+/// The minimum time between two writes to one log: sixteen logs make at most
+/// 320 writes a second. A claim that finds its log idle does not wait.
+static constexpr Duration MinWriteInterval = fromMillis(50);
 
-/// Daemons that are asked to write a claim at most, this one aside.
-static constexpr size_t WritersTried = 3;
+/// The maximum number of daemons asked to write a claim, not counting this one.
+static constexpr size_t MaxRankedWriters = 3;
 
-/// How long the writer of a shard is waited for.
+/// The timeout of a call to a shard's writer.
 static constexpr Duration WriterTimeout = fromSeconds(2);
 
-/// A process that starts anew has an incarnation at least this much higher;
-/// one that refutes suspicions stays below.
+/// A restarted process has an incarnation that is higher by at least this much.
+/// A process that refutes suspicions of its death increases its incarnation by
+/// less.
 static constexpr uint64_t IncarnationsPerProcess = 1000;
 
 ClaimAgent::ClaimAgent(const ControlContext &Context, MembershipAgent &Members)
@@ -43,15 +44,15 @@
     this->Shards.push_back(std::make_unique<ClaimWriter>(
         Context.Platform, I,
         fromSeconds(static_cast<double>(Context.Config.ClaimMemorySeconds)),
-        WriteGap));
+        MinWriteInterval));
 }
 
 void ClaimAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("claim.begin", [this](const Json::Value &Params) {
-    return this->answerBegin(Params);
+    return this->handleBegin(Params);
   });
   Dispatcher.add("claim.finish", [this](const Json::Value &Params) {
-    return this->answerFinish(Params);
+    return this->handleFinish(Params);
   });
 }
 
@@ -99,9 +100,9 @@
   return Verdict;
 }
 
-/// Lists who may write a key's claim, in the order in which they are tried: who
-/// writes the log for all, this daemon, and others that may reach the platform
-/// when neither does.
+/// Lists the daemons that may write a key's claim in the order in which they
+/// are asked: the writer of the shard's log, this daemon, then others that may
+/// still reach the platform when those two do not.
 std::vector<std::string> ClaimAgent::listWriters(const std::string &Key) const {
   const std::vector<std::string> Working = this->Members.getWorking();
   const std::string Shard =
@@ -109,7 +110,7 @@
   const std::vector<size_t> Order = rankByRendezvous(Shard, Working);
   const std::string &Self = this->Context.Config.Name;
   std::vector<std::string> Writers;
-  for (size_t I = 0; I < std::min(Order.size(), WritersTried); ++I) {
+  for (size_t I = 0; I < std::min(Order.size(), MaxRankedWriters); ++I) {
     if (I == 1 && Writers.front() != Self)
       Writers.push_back(Self);
     if (I == 0 || Working[Order[I]] != Self)
@@ -133,23 +134,23 @@
                                      ? this->beginLocally(std::move(Entry))
                                      : this->askWriter(Writer, Entry, Deadline);
     if (Verdict.Kind == ClaimKind::Granted)
-      this->noteWriter(Claim, Writer);
+      this->recordWriter(Claim, Writer);
     if (Verdict.Kind != ClaimKind::Unavailable)
       return Verdict;
-    // Whatever became of that claim, it will not be run: it is released, and
-    // the next try has a claim of another name.
+    // Whatever happened to that claim, it will not be used. It is released, and
+    // the next attempt uses a new claim id.
     if (!IsSelf)
       this->getShard(Key).giveUp(Key, Claim);
   }
   return ClaimVerdict();
 }
 
-void ClaimAgent::noteWriter(uint64_t Claim, const std::string &Writer) {
+void ClaimAgent::recordWriter(uint64_t Claim, const std::string &Writer) {
   std::lock_guard<std::mutex> Lock(this->WritersMutex);
   this->Writers[Claim] = Writer;
 }
 
-std::string ClaimAgent::takeWriter(uint64_t Claim) {
+std::string ClaimAgent::extractWriter(uint64_t Claim) {
   std::lock_guard<std::mutex> Lock(this->WritersMutex);
   const auto Found = this->Writers.find(Claim);
   if (Found == this->Writers.end())
@@ -184,18 +185,18 @@
 }
 
 bool ClaimAgent::isHolderRunning(const std::string &RunningHolder) const {
-  const size_t Mark = RunningHolder.rfind('#');
-  if (Mark == std::string::npos)
+  const size_t Separator = RunningHolder.rfind('#');
+  if (Separator == std::string::npos)
     return false;
-  const std::string Name = RunningHolder.substr(0, Mark);
+  const std::string Name = RunningHolder.substr(0, Separator);
   const uint64_t Start =
-      std::strtoull(RunningHolder.c_str() + Mark + 1, nullptr, 10);
+      std::strtoull(RunningHolder.c_str() + Separator + 1, nullptr, 10);
   const std::optional<MemberRecord> Member = this->Members.find(Name);
   return Member && Member->State != MemberState::Dead &&
          Member->Incarnation < Start + IncarnationsPerProcess;
 }
 
-/// A claim whose holder is gone will never be heard of again.
+/// A claim whose holder has stopped never ends, so its result is unknown.
 ClaimVerdict ClaimAgent::resolveRunning(ClaimVerdict Verdict,
                                         const std::string &Key) {
   if (Verdict.Kind == ClaimKind::StillRunning &&
@@ -226,8 +227,9 @@
   Entry.Answer = Answer;
   if (!Answer.HasBody)
     Entry.Answer.Body.clear();
-  // Whoever wrote the claim reached the platform just now.
-  const std::string Name = this->takeWriter(Claim);
+  // The result goes to the daemon that wrote the claim, which reached the
+  // platform recently.
+  const std::string Name = this->extractWriter(Claim);
   std::optional<MemberRecord> Writer;
   if (Name != this->Context.Config.Name)
     Writer = this->Members.find(Name);
@@ -261,7 +263,7 @@
   this->WritesCounted = Writes;
 }
 
-Json::Value ClaimAgent::answerBegin(const Json::Value &Params) {
+Json::Value ClaimAgent::handleBegin(const Json::Value &Params) {
   ClaimEntry Entry;
   Entry.Kind = ClaimEntryKind::Begin;
   Entry.Key = Params["key"].asString();
@@ -272,7 +274,7 @@
   return encodeVerdict(this->beginLocally(std::move(Entry)));
 }
 
-Json::Value ClaimAgent::answerFinish(const Json::Value &Params) {
+Json::Value ClaimAgent::handleFinish(const Json::Value &Params) {
   ClaimEntry Entry;
   const int Kind = Params["end"].asInt();
   if (Kind <= static_cast<int>(ClaimEntryKind::Begin) ||
--- a/lib/Daemon/ConfigAgent.cpp
+++ b/lib/Daemon/ConfigAgent.cpp
@@ -1,5 +1,4 @@
-//===- ConfigAgent.cpp - Brings new versions of the settings to this daemon and
-// on to others -===//
+//===- ConfigAgent.cpp - Distribution of settings versions ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Versions travel with every ping; texts only to who lacks them.
+/// Every ping carries the version number. The texts of a version are sent only
+/// to daemons that lack them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,16 +20,16 @@
 
 namespace canvaswick {
 
-/// How long one waiting read at the platform waits.
+/// The timeout of a long-polling read at the platform.
 static constexpr Duration WatchWait = fromSeconds(2);
 
-/// After a failure to reach the platform.
-static constexpr Duration FailureWait = fromSeconds(1);
+/// The delay after the platform could not be reached.
+static constexpr Duration FailureDelay = fromSeconds(1);
 
-/// Peers that are told of a new version at once.
-static constexpr size_t NewsFanOut = 4;
+/// The number of peers to which a new version is announced at once.
+static constexpr size_t AnnounceFanOut = 4;
 
-/// Parts asked for in one call to a peer.
+/// The number of parts requested in one call to a peer.
 static constexpr size_t PartsPerCall = 32;
 
 static constexpr Duration FetchTimeout = fromSeconds(3);
@@ -41,13 +41,13 @@
 
 void ConfigAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("config.manifest", [this](const Json::Value &) {
-    return this->answerManifest();
+    return this->handleManifest();
   });
   Dispatcher.add("config.parts", [this](const Json::Value &Params) {
-    return this->answerParts(Params);
+    return this->handleParts(Params);
   });
   Dispatcher.add("config.news", [this](const Json::Value &Params) {
-    return this->answerNews(Params);
+    return this->handleAnnouncement(Params);
   });
 }
 
@@ -72,15 +72,15 @@
     this->watchPlatform();
     return;
   }
-  bool ShouldLook = false;
+  bool ShouldRead = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     std::uniform_real_distribution<double> Draw(0, 1);
-    ShouldLook = this->Duty.shouldLook(Working.size(), Draw(this->Random),
-                                       readSteadyClock());
+    ShouldRead = this->WatchSchedule.shouldLook(
+        Working.size(), Draw(this->Random), readSteadyClock());
   }
-  if (ShouldLook)
-    this->lookAtPlatform();
+  if (ShouldRead)
+    this->readPlatform();
   std::this_thread::sleep_for(fromSeconds(1));
 }
 
@@ -93,24 +93,24 @@
   Result<PlatformValue> Value =
       this->Context.Platform.watch(ManifestKey, After, WatchWait);
   if (Value) {
-    this->takeFromPlatform(Value.value());
+    this->applyPlatformValue(Value.value());
     return;
   }
   if (Value.error().Kind == ErrorKind::Timeout) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->Duty.noteConfirmed(Duration::zero(), readSteadyClock());
+    this->WatchSchedule.noteConfirmed(Duration::zero(), readSteadyClock());
     return;
   }
-  std::this_thread::sleep_for(FailureWait);
+  std::this_thread::sleep_for(FailureDelay);
 }
 
-void ConfigAgent::lookAtPlatform() {
+void ConfigAgent::readPlatform() {
   Result<PlatformValue> Value = this->Context.Platform.get(ManifestKey);
   if (Value)
-    this->takeFromPlatform(Value.value());
+    this->applyPlatformValue(Value.value());
 }
 
-void ConfigAgent::takeFromPlatform(const PlatformValue &Value) {
+void ConfigAgent::applyPlatformValue(const PlatformValue &Value) {
   std::lock_guard<std::mutex> Fetch(this->FetchMutex);
   Result<ConfigManifest> Manifest = decodeManifest(Value.Value);
   if (!Manifest) {
@@ -122,7 +122,7 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->PlatformRevision = Value.Revision;
-    this->Duty.noteConfirmed(Duration::zero(), readSteadyClock());
+    this->WatchSchedule.noteConfirmed(Duration::zero(), readSteadyClock());
     if (Manifest.value().Version <= this->Follower.getVersion())
       return;
     Missing = this->Follower.findMissing(Manifest.value());
@@ -131,7 +131,7 @@
   for (const std::string &Hash : Missing) {
     Result<PlatformValue> Part = this->Context.Platform.get(getPartKey(Hash));
     if (!Part) {
-      // Look again at the next round.
+      // Reset, so that the next round reads the manifest again.
       std::lock_guard<std::mutex> Lock(this->Mutex);
       this->PlatformRevision = 0;
       return;
@@ -160,13 +160,14 @@
   this->Context.Counters.add(Counter::ConfigChanges);
   this->Apply(Config);
   logInfo("config-in-force", "version={}", Candidate.Version);
-  this->spreadNews("");
+  this->announceVersion("");
 }
 
-/// Tells some peers at once; each of them tells some more.
-void ConfigAgent::spreadNews(const std::string &Except) {
+/// Announces the version in force to some peers, each of which announces it to
+/// some more.
+void ConfigAgent::announceVersion(const std::string &Except) {
   const uint64_t Version = this->getVersion();
-  for (const MemberRecord &Peer : this->Members.choose(NewsFanOut, Except))
+  for (const MemberRecord &Peer : this->Members.choose(AnnounceFanOut, Except))
     this->Context.Calls.trySubmit([this, Peer, Version] {
       Json::Value Params;
       Params["version"] = static_cast<Json::UInt64>(Version);
@@ -177,7 +178,7 @@
     });
 }
 
-Json::Value ConfigAgent::answerNews(const Json::Value &Params) {
+Json::Value ConfigAgent::handleAnnouncement(const Json::Value &Params) {
   MemberRecord From;
   if (decodeMember(Params["from"], From) &&
       Params["version"].asUInt64() > this->getVersion())
@@ -219,14 +220,14 @@
   this->accept(Manifest.value(), Fetched);
 }
 
-Json::Value ConfigAgent::answerManifest() {
+Json::Value ConfigAgent::handleManifest() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Json::Value Answer;
   Answer["manifest"] = encodeManifest(this->Follower.getManifest());
   return Answer;
 }
 
-Json::Value ConfigAgent::answerParts(const Json::Value &Params) {
+Json::Value ConfigAgent::handleParts(const Json::Value &Params) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Json::Value Answer;
   Answer["parts"] = Json::objectValue;
@@ -239,7 +240,7 @@
 void ConfigAgent::writeVersions(Json::Value &Message) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Message["config"] = static_cast<Json::UInt64>(this->Follower.getVersion());
-  const Duration Age = this->Duty.getConfirmedAge(readSteadyClock());
+  const Duration Age = this->WatchSchedule.getConfirmedAge(readSteadyClock());
   if (Age != Duration::max())
     Message["confirmed"] = static_cast<Json::Int64>(toMillis(Age));
 }
@@ -249,12 +250,13 @@
   bool IsBehind = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    const uint64_t Theirs = Message.get("config", 0).asUInt64();
-    IsBehind = Theirs > this->Follower.getVersion();
-    // A peer that holds less than we do confirms nothing.
-    if (Message.isMember("confirmed") && Theirs >= this->Follower.getVersion())
-      this->Duty.noteConfirmed(fromMillis(Message["confirmed"].asInt64()),
-                               readSteadyClock());
+    const uint64_t PeerVersion = Message.get("config", 0).asUInt64();
+    IsBehind = PeerVersion > this->Follower.getVersion();
+    // A peer that holds an older version confirms nothing.
+    if (Message.isMember("confirmed") &&
+        PeerVersion >= this->Follower.getVersion())
+      this->WatchSchedule.noteConfirmed(
+          fromMillis(Message["confirmed"].asInt64()), readSteadyClock());
   }
   if (IsBehind)
     this->Context.Calls.trySubmit([this, Peer] { this->fetchFrom(Peer); });
@@ -267,7 +269,7 @@
 
 int64_t ConfigAgent::getConfirmedAgeMillis() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const Duration Age = this->Duty.getConfirmedAge(readSteadyClock());
+  const Duration Age = this->WatchSchedule.getConfirmedAge(readSteadyClock());
   return Age == Duration::max() ? -1 : toMillis(Age);
 }
 
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The lock order, outermost first: ConfigAgent's fetch lock and ClaimAgent's
-/// writers; the agents' own mutexes; FleetRuntimeSlot; ServiceRuntime. No
-/// call to a peer or the platform is made under an agent's own mutex.
+/// The lock order, outermost first: ConfigAgent's fetch mutex and ClaimAgent's
+/// writers; the agents' own mutexes; FleetRuntimeSlot; ServiceRuntime. No call
+/// to a peer or the platform is made while an agent's own mutex is held.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -34,12 +34,12 @@
 static constexpr size_t ControlWorkers = 12;
 static constexpr Duration UpstreamIdleLimit = fromSeconds(30);
 
-/// How often each agent's round begins.
+/// The interval between the rounds of each agent.
 static constexpr Duration EvidenceInterval = fromMillis(100);
 static constexpr Duration MembershipInterval = fromSeconds(1);
 static constexpr Duration LeavingInterval = fromSeconds(2);
 static constexpr Duration ClaimInterval = fromMillis(100);
-static constexpr Duration SuspectInterval = fromSeconds(1);
+static constexpr Duration PoisonRequestInterval = fromSeconds(1);
 static constexpr Duration HousekeepingInterval = fromSeconds(1);
 
 class Daemon::Impl {
@@ -57,7 +57,7 @@
 private:
   void applyConfig(const FleetConfigRef &Compiled);
   void rebuildIfMembersChanged();
-  void shareLimits();
+  void updateLimitSharers();
   void housekeep();
   void handleControl(HttpExchange &Exchange);
   void startAgents();
@@ -77,8 +77,8 @@
   std::unique_ptr<ClaimAgent> Claims;
   std::unique_ptr<OperatorApi> Operators;
   std::unique_ptr<RequestProxy> Proxy;
-  std::unique_ptr<PoisonRequestAgent> Suspects;
-  std::unique_ptr<QuotaAgent> Allowances;
+  std::unique_ptr<PoisonRequestAgent> PoisonRequests;
+  std::unique_ptr<QuotaAgent> Quotas;
   ConnectionPool Upstreams;
   JsonRpcDispatcher Dispatcher;
   std::mutex VerifierMutex;
@@ -88,7 +88,7 @@
   uint64_t BuiltForMembers = 0;
   std::atomic<bool> IsStopping{false};
   /// Used by housekeeping only.
-  StandstillWatch Standstills{HousekeepingInterval};
+  StandstillWatch Pauses{HousekeepingInterval};
   RoundThread Threads[8];
 };
 
@@ -109,7 +109,7 @@
       *this->Calls, this->Fleet, *this->Notices,
       static_cast<uint64_t>(readCalendarMillis())});
 
-  // The control address comes first: its port is part of what peers learn.
+  // The control address is bound first, because peers learn its port.
   HttpServerLimits ControlLimits;
   ControlLimits.Workers.Most = ControlWorkers;
   this->Control = std::make_unique<HttpServer>(
@@ -132,10 +132,10 @@
   this->Proxy = std::make_unique<RequestProxy>(this->Config.Name, this->Fleet,
                                                this->Upstreams, this->Counters,
                                                this->Claims.get());
-  this->Suspects = std::make_unique<PoisonRequestAgent>(
+  this->PoisonRequests = std::make_unique<PoisonRequestAgent>(
       *this->Context, *this->Members, this->Proxy->getGuard());
-  this->Allowances = std::make_unique<QuotaAgent>(
-      *this->Context, *this->Members, this->Proxy->getOrganisations());
+  this->Quotas = std::make_unique<QuotaAgent>(*this->Context, *this->Members,
+                                              this->Proxy->getOrganisations());
   this->Operators = std::make_unique<OperatorApi>(
       *this->Context, *this->Members, *this->Configs, this->Proxy->getGuard(),
       this->Proxy->getOrganisations());
@@ -143,20 +143,20 @@
       [this](Json::Value &Message) {
         this->Configs->writeVersions(Message);
         this->Leaving->writeVersions(Message);
-        this->Suspects->writeUpdate(Message, readSteadyClock());
+        this->PoisonRequests->writeUpdate(Message, readSteadyClock());
       },
       [this](const MemberRecord &Peer, const Json::Value &Message) {
         this->Configs->readVersions(Peer, Message);
         this->Leaving->readVersions(Peer, Message);
-        this->Suspects->readUpdate(Message, readSteadyClock());
+        this->PoisonRequests->readUpdate(Message, readSteadyClock());
       });
   this->Members->addMethods(this->Dispatcher);
   this->Configs->addMethods(this->Dispatcher);
   this->Leaving->addMethods(this->Dispatcher);
   this->Evidence->addMethods(this->Dispatcher);
   this->Claims->addMethods(this->Dispatcher);
-  this->Suspects->addMethods(this->Dispatcher);
-  this->Allowances->addMethods(this->Dispatcher);
+  this->PoisonRequests->addMethods(this->Dispatcher);
+  this->Quotas->addMethods(this->Dispatcher);
   this->Operators->addMethods(this->Dispatcher);
 
   Result<void> Loaded = this->Configs->loadLocal();
@@ -185,10 +185,11 @@
   this->Threads[3].start(LeavingInterval,
                          [this] { this->Leaving->runRound(); });
   this->Threads[4].start(ClaimInterval, [this] { this->Claims->runRound(); });
-  this->Threads[6].start(SuspectInterval,
-                         [this] { this->Suspects->runRound(readInstant()); });
-  this->Threads[7].start(
-      SpeakInterval, [this] { this->Allowances->runRound(readSteadyClock()); });
+  this->Threads[6].start(PoisonRequestInterval, [this] {
+    this->PoisonRequests->runRound(readInstant());
+  });
+  this->Threads[7].start(SpeakInterval,
+                         [this] { this->Quotas->runRound(readSteadyClock()); });
   this->Threads[5].start(HousekeepingInterval, [this] { this->housekeep(); });
 }
 
@@ -197,8 +198,8 @@
     Thread.stop();
 }
 
-/// Tells who shares servers' limits.
-void Daemon::Impl::shareLimits() {
+/// Updates the set of daemons that share the limits announced by servers.
+void Daemon::Impl::updateLimitSharers() {
   FleetMap Fleet;
   Fleet.Self = this->Config.Name;
   Fleet.All = this->Members->getWorking();
@@ -206,13 +207,13 @@
     if (const std::optional<MemberRecord> Member = this->Members->find(Name))
       Fleet.Halls[Member->Hall].push_back(Name);
   this->Notices->with(
-      [&](ServerNotices &All) { All.setFleet(Fleet, readSteadyClock()); });
+      [&](ServerNotices &Known) { Known.setFleet(Fleet, readSteadyClock()); });
 }
 
 void Daemon::Impl::applyConfig(const FleetConfigRef &Compiled) {
   std::lock_guard<std::mutex> Lock(this->BuildMutex);
   this->BuiltForMembers = this->Members->getWorkingVersion();
-  this->shareLimits();
+  this->updateLimitSharers();
   DaemonIdentity Identity;
   Identity.Name = this->Config.Name;
   Identity.Hall = this->Config.Hall;
@@ -229,7 +230,8 @@
   this->Leaving->apply();
 }
 
-/// Subsets depend on who is a member.
+/// Rebuilds the runtime if the membership has changed, because each daemon's
+/// subset of servers depends on it.
 void Daemon::Impl::rebuildIfMembersChanged() {
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current || this->BuiltForMembers == this->Members->getWorkingVersion())
@@ -240,14 +242,14 @@
 void Daemon::Impl::housekeep() {
   const TimePoint Now = readSteadyClock();
   this->rebuildIfMembersChanged();
-  const Duration Stood = this->Standstills.noteRound(Now);
-  if (Stood > Duration::zero()) {
+  const Duration Paused = this->Pauses.noteRound(Now);
+  if (Paused > Duration::zero()) {
     this->Counters.add(Counter::Standstills);
-    logWarning("stood-still", "ms={}", toMillis(Stood));
+    logWarning("stood-still", "ms={}", toMillis(Paused));
   }
-  // What was kept open before a standstill may have ended on the other side.
+  // Servers may have closed idle connections while the process was paused.
   this->Upstreams.closeIdle(
-      Stood > Duration::zero() ? Now : Now - UpstreamIdleLimit, Now);
+      Paused > Duration::zero() ? Now : Now - UpstreamIdleLimit, Now);
   this->Caller->closeIdle(Now);
   this->Proxy->forgetIdle(Now);
   this->Notices->forgetOld(Now);
@@ -289,10 +291,11 @@
 bool Daemon::Impl::finishStop(TimePoint Deadline) {
   const bool AllEnded = this->Callers->stopGracefully(Deadline);
   this->stopAgents();
-  // Ends of claimed requests that still wait are written now.
+  // Writes pending results of claimed requests: here, and again below once all
+  // calls have ended.
   this->Claims->runRound();
   this->Calls->stop();
-  this->Allowances->stop();
+  this->Quotas->stop();
   this->Claims->runRound();
   this->Control->stopGracefully(readSteadyClock() + fromSeconds(1));
   logInfo("daemon-stopped", "all-ended={}", AllEnded);
--- a/lib/Daemon/DirectoryCalls.cpp
+++ b/lib/Daemon/DirectoryCalls.cpp
@@ -1,4 +1,4 @@
-//===- DirectoryCalls.cpp - The copy of the store between daemons ---------===//
+//===- DirectoryCalls.cpp - Replication of the store between daemons ------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// An item is a list of key, revision and value, and of its epoch where that is
-/// not the epoch of the whole answer; without a value it is gone.
+/// An item is encoded as [key, revision, value, epoch]. The epoch is omitted if
+/// it is the epoch of the whole answer. An item without a value has been
+/// deleted.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,19 +24,19 @@
 
 static constexpr const char *MethodName = "directory.changes";
 
-/// Items whose text is longer than this are packed. Below it packing saves less
-/// than one segment on the wire.
-static constexpr size_t PackFromBytes = 2048;
+/// Items are packed if their text is longer than this. For shorter texts
+/// packing saves less than one network segment.
+static constexpr size_t MinPackedBytes = 2048;
 
-/// Longest text that is unpacked: twenty times a copy of 720 servers, 443
-/// daemons and 1,130 routes.
-static constexpr size_t MostUnpackedBytes = 16 << 20;
+/// The maximum size of an unpacked text: twenty times a replica of 720 servers,
+/// 443 daemons and 1,130 routes.
+static constexpr size_t MaxUnpackedBytes = 16 << 20;
 
-/// Packed answers that are remembered.
-static constexpr size_t AnswersKept = 8;
+/// The number of packed responses that are cached.
+static constexpr size_t MaxCachedResponses = 8;
 
-/// A difference as [key, revision, earlier revision, check, piece ...], a piece
-/// being [from, count] or a text.
+/// Encodes a delta as [key, revision, earlier revision, checksum, piece ...],
+/// where a piece is [offset, length] in the earlier value or a literal text.
 static Json::Value encodeDelta(const ItemDelta &Delta) {
   Json::Value Row(Json::arrayValue);
   Row.append(Delta.Key);
@@ -53,11 +54,11 @@
   return Row;
 }
 
-static Json::Value encodeItem(const StoreItem &Item, uint64_t EpochOfAll) {
+static Json::Value encodeItem(const StoreItem &Item, uint64_t DefaultEpoch) {
   Json::Value Row(Json::arrayValue);
   Row.append(Item.Key);
   Row.append(static_cast<Json::UInt64>(Item.At.Revision));
-  const bool HasEpoch = Item.At.Epoch != EpochOfAll;
+  const bool HasEpoch = Item.At.Epoch != DefaultEpoch;
   if (!Item.IsGone || HasEpoch)
     Row.append(Item.IsGone ? Json::Value() : Json::Value(Item.Value));
   if (HasEpoch)
@@ -79,7 +80,7 @@
   return Value;
 }
 
-/// Takes one piece of a difference. Returns false on a wrong shape.
+/// Decodes one piece of a delta. Returns false if it is malformed.
 static bool decodePiece(const Json::Value &Value, TextDelta &Change) {
   if (Value.isString()) {
     if (Change.Pieces.empty())
@@ -94,15 +95,15 @@
   return true;
 }
 
-static bool decodeDelta(const Json::Value &Row, uint64_t EpochOfAll,
+static bool decodeDelta(const Json::Value &Row, uint64_t DefaultEpoch,
                         ItemDelta &Delta) {
   constexpr Json::ArrayIndex FirstPiece = 4;
   if (!Row.isArray() || Row.size() < FirstPiece || !Row[0].isString() ||
       !Row[1].isUInt64() || !Row[2].isUInt64() || !Row[3].isUInt64())
     return false;
   Delta.Key = Row[0].asString();
-  Delta.At = {EpochOfAll, Row[1].asUInt64()};
-  Delta.Base = {EpochOfAll, Row[2].asUInt64()};
+  Delta.At = {DefaultEpoch, Row[1].asUInt64()};
+  Delta.Base = {DefaultEpoch, Row[2].asUInt64()};
   Delta.Change.Check = Row[3].asUInt64();
   for (Json::ArrayIndex I = FirstPiece; I < Row.size(); ++I)
     if (!decodePiece(Row[I], Delta.Change))
@@ -110,8 +111,8 @@
   return true;
 }
 
-static bool decodeRow(const Json::Value &Row, uint64_t EpochOfAll,
-                      StoreItem &Item) {
+static bool decodeItem(const Json::Value &Row, uint64_t DefaultEpoch,
+                       StoreItem &Item) {
   if (!Row.isArray() || Row.size() < 2 || Row.size() > 4 ||
       !Row[0].isString() || !Row[1].isUInt64())
     return false;
@@ -119,7 +120,7 @@
   if (HasEpoch && !Row[3].isUInt64())
     return false;
   Item.Key = Row[0].asString();
-  Item.At = {HasEpoch ? Row[3].asUInt64() : EpochOfAll, Row[1].asUInt64()};
+  Item.At = {HasEpoch ? Row[3].asUInt64() : DefaultEpoch, Row[1].asUInt64()};
   Item.IsGone = Row.size() == 2 || (HasEpoch && Row[2].isNull());
   if (Item.IsGone)
     return true;
@@ -131,25 +132,26 @@
 
 Json::Value packChanges(Json::Value Encoded) {
   const std::string Text = writeJson(Encoded["items"]);
-  if (Text.size() <= PackFromBytes)
+  if (Text.size() <= MinPackedBytes)
     return Encoded;
   Encoded.removeMember("items");
   Encoded["packed"] = encodeBase64(packText(Text));
   return Encoded;
 }
 
-/// Returns the rows of either form.
+/// Returns the rows of either form, packed or not.
 static Result<Json::Value> readRows(const Json::Value &Value) {
   if (Value["items"].isArray())
     return Value["items"];
   if (!Value["packed"].isString())
-    return makeError(ErrorKind::InvalidArgument, "no items");
+    return makeError(ErrorKind::InvalidArgument,
+                     "changes contain neither items nor packed items");
   BOOST_OUTCOME_TRY(std::string Packed,
                     decodeBase64(Value["packed"].asString()));
-  BOOST_OUTCOME_TRY(std::string Text, unpackText(Packed, MostUnpackedBytes));
+  BOOST_OUTCOME_TRY(std::string Text, unpackText(Packed, MaxUnpackedBytes));
   Json::Value Rows;
   if (!parseJson(Text, Rows) || !Rows.isArray())
-    return makeError(ErrorKind::InvalidArgument, "packed items are no list");
+    return makeError(ErrorKind::InvalidArgument, "packed items are not a list");
   return Rows;
 }
 
@@ -159,9 +161,10 @@
       !Value["all"].isBool() ||
       (Value.isMember("partial") && !Value["partial"].isBool()) ||
       (Value.isMember("deltas") && !Value["deltas"].isArray()))
-    return makeError(ErrorKind::InvalidArgument, "not changes of a directory");
+    return makeError(ErrorKind::InvalidArgument,
+                     "malformed changes of the store");
   ItemChanges Changes;
-  // A daemon that knows of no epochs is behind all that do.
+  // A daemon of a version without epochs counts as epoch 0, before all others.
   const uint64_t Epoch = Value["epoch"].asUInt64();
   Changes.AsOf = {Epoch, Value["as-of"].asUInt64()};
   Changes.IsAll = Value["all"].asBool();
@@ -169,69 +172,72 @@
   BOOST_OUTCOME_TRY(Json::Value Rows, readRows(Value));
   for (const Json::Value &Row : Rows) {
     StoreItem Item;
-    if (!decodeRow(Row, Epoch, Item))
-      return makeError(ErrorKind::InvalidArgument, "not an item");
+    if (!decodeItem(Row, Epoch, Item))
+      return makeError(ErrorKind::InvalidArgument, "malformed item");
     Changes.Items.push_back(std::move(Item));
   }
   for (const Json::Value &Row : Value["deltas"]) {
     ItemDelta Delta;
     if (!decodeDelta(Row, Epoch, Delta))
-      return makeError(ErrorKind::InvalidArgument, "not a difference");
+      return makeError(ErrorKind::InvalidArgument, "malformed delta");
     Changes.Deltas.push_back(std::move(Delta));
   }
   return Changes;
 }
 
 ChangesResponder::ChangesResponder(ChangesSource Source,
-                                   std::function<bool()> HasRoom)
-    : Source(std::move(Source)), HasRoom(std::move(HasRoom)) {}
+                                   std::function<bool()> HasCapacity)
+    : Source(std::move(Source)), HasCapacity(std::move(HasCapacity)) {}
 
 Json::Value ChangesResponder::answer(const ChangesRequest &Request) {
   ItemChanges Changes = this->Source(Request);
   StorePosition After = Request.After;
   if (!Request.HasEpoch)
     After.Epoch = Changes.AsOf.Epoch;
-  const bool IsWhole = After.isNone() || After.Epoch != Changes.AsOf.Epoch;
-  if (IsWhole && !this->HasRoom())
+  const bool IsFullReplica =
+      After.isNone() || After.Epoch != Changes.AsOf.Epoch;
+  if (IsFullReplica && !this->HasCapacity())
     return makeCallError({ErrorKind::Unavailable, "no room for a whole copy"});
   const bool HasLarge =
       std::any_of(Changes.Items.begin(), Changes.Items.end(), isLarge);
-  if (HasLarge && !(Request.WantsLarge && this->HasRoom())) {
+  if (HasLarge && !(Request.WantsLarge && this->HasCapacity())) {
     std::erase_if(Changes.Items, isLarge);
     Changes.IsPartial = true;
     return packChanges(encodeChanges(Changes));
   }
-  // Differences depend on what the peer holds.
+  // Deltas depend on what the peer holds, so they are not cached.
   if (!Changes.Deltas.empty())
     return packChanges(encodeChanges(Changes));
-  return this->packOnce(Changes, After);
+  return this->packCached(Changes, After);
 }
 
-/// Encodes and packs, or returns what was packed for the same question before.
-Json::Value ChangesResponder::packOnce(const ItemChanges &Changes,
-                                       const StorePosition &After) {
+/// Encodes and packs changes, or returns the cached response to the same
+/// request.
+Json::Value ChangesResponder::packCached(const ItemChanges &Changes,
+                                         const StorePosition &After) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    const auto Found = this->Recent.find(After);
-    if (Found != this->Recent.end() && Found->second.AsOf == Changes.AsOf)
+    const auto Found = this->Cache.find(After);
+    if (Found != this->Cache.end() && Found->second.AsOf == Changes.AsOf)
       return Found->second.Value;
   }
   Json::Value Value = packChanges(encodeChanges(Changes));
   if (!Value.isMember("packed"))
     return Value;
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  // Whole copies come first in the order, later questions behind them.
-  if (this->Recent.size() >= AnswersKept)
-    this->Recent.erase(std::prev(this->Recent.end()));
-  this->Recent[After] = {Changes.AsOf, Value};
+  // Full replicas sort first and are kept; the request with the latest position
+  // is evicted.
+  if (this->Cache.size() >= MaxCachedResponses)
+    this->Cache.erase(std::prev(this->Cache.end()));
+  this->Cache[After] = {Changes.AsOf, Value};
   return Value;
 }
 
 void addDirectoryMethod(JsonRpcDispatcher &Dispatcher,
-                        ChangesResponder &Answerer) {
-  Dispatcher.add(MethodName, [&Answerer](const Json::Value &Params) {
+                        ChangesResponder &Responder) {
+  Dispatcher.add(MethodName, [&Responder](const Json::Value &Params) {
     const Result<ChangesRequest> Request = decodeRequest(Params);
-    return Request ? Answerer.answer(Request.value())
+    return Request ? Responder.answer(Request.value())
                    : makeCallError(Request.error());
   });
 }
--- a/lib/Daemon/EvidenceAgent.cpp
+++ b/lib/Daemon/EvidenceAgent.cpp
@@ -1,4 +1,4 @@
-//===- EvidenceAgent.cpp - Exchanges evidence about backend servers -------===//
+//===- EvidenceAgent.cpp - Exchange of health evidence --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Messages carry counts as short arrays; a report's answer carries the digest
-/// of what it is about, so that most digests cost no message of their own.
+/// Messages carry counts as short arrays. The answer to a report carries the
+/// summary for its service, so that most summaries need no message of their
+/// own.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,8 +23,8 @@
 
 static constexpr Duration ReportTimeout = fromSeconds(1);
 
-/// Daemons that reported within this time get digests sent.
-static constexpr Duration SubscriptionLife = fromSeconds(30);
+/// Summaries are sent to the daemons that reported within this time.
+static constexpr Duration SubscriptionTimeout = fromSeconds(30);
 
 Json::Value encodeReport(const EvidenceReport &Report) {
   Json::Value Value;
@@ -69,14 +70,14 @@
   return true;
 }
 
-Json::Value encodeSummary(const EvidenceDigest &Digest) {
+Json::Value encodeSummary(const EvidenceDigest &Summary) {
   Json::Value Value;
-  Value["s"] = Digest.Service;
-  Value["o"] = Digest.Owner;
-  Value["r"] = Digest.Rank;
-  Value["n"] = static_cast<Json::UInt64>(Digest.Sequence);
+  Value["s"] = Summary.Service;
+  Value["o"] = Summary.Owner;
+  Value["r"] = Summary.Rank;
+  Value["n"] = static_cast<Json::UInt64>(Summary.Sequence);
   Value["e"] = Json::arrayValue;
-  for (const ServerDigest &Server : Digest.Servers) {
+  for (const ServerDigest &Server : Summary.Servers) {
     Json::Value Entry(Json::arrayValue);
     Entry.append(Server.Server);
     Entry.append(static_cast<int>(std::lround(Server.Share * 100)));
@@ -88,14 +89,14 @@
   return Value;
 }
 
-bool decodeSummary(const Json::Value &Value, EvidenceDigest &Digest) {
+bool decodeSummary(const Json::Value &Value, EvidenceDigest &Summary) {
   if (!Value.isObject() || !Value["s"].isString() || !Value["o"].isString() ||
       !Value["r"].isUInt() || !Value["n"].isUInt64() || !Value["e"].isArray())
     return false;
-  Digest.Rank = Value["r"].asUInt();
-  Digest.Service = Value["s"].asString();
-  Digest.Owner = Value["o"].asString();
-  Digest.Sequence = Value["n"].asUInt64();
+  Summary.Rank = Value["r"].asUInt();
+  Summary.Service = Value["s"].asString();
+  Summary.Owner = Value["o"].asString();
+  Summary.Sequence = Value["n"].asUInt64();
   for (const Json::Value &Entry : Value["e"]) {
     if (!Entry.isArray() || Entry.size() != 5)
       return false;
@@ -108,7 +109,7 @@
     Server.Score = Entry[2].asUInt() / 10.0;
     Server.Sources = Entry[3].asUInt();
     Server.IsHallOnly = Entry[4].asUInt() != 0;
-    Digest.Servers.push_back(Server);
+    Summary.Servers.push_back(Server);
   }
   return true;
 }
@@ -119,10 +120,10 @@
 
 void EvidenceAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("evidence.report", [this](const Json::Value &Params) {
-    return this->answerReport(Params);
+    return this->handleReport(Params);
   });
   Dispatcher.add("evidence.digest", [this](const Json::Value &Params) {
-    return this->answerDigest(Params);
+    return this->handleSummaries(Params);
   });
 }
 
@@ -136,7 +137,8 @@
   return Owners;
 }
 
-/// Returns this daemon's place among the owners of a pool.
+/// Returns this daemon's rank among the owners of a pool, or their number if it
+/// is not an owner.
 uint32_t EvidenceAgent::getRank(const std::string &Service) {
   const std::vector<std::string> Owners = this->getOwners(Service);
   const auto Found =
@@ -165,7 +167,7 @@
   }
   for (auto &[Owner, Reports] : ByOwner) {
     if (Owner == this->Context.Config.Name)
-      this->takeDigests(this->takeReports(Reports, Now), Now);
+      this->applySummaries(this->mergeReports(Reports, Now), Now);
     else
       this->sendTo(Owner, std::move(Reports));
   }
@@ -185,7 +187,7 @@
         Result<Json::Value> Answer = this->Context.Caller.call(
             Peer.Control, "evidence.report", Params, ReportTimeout);
         if (Answer)
-          this->answerDigest(Answer.value());
+          this->handleSummaries(Answer.value());
       });
 }
 
@@ -212,11 +214,11 @@
   return Pool.get();
 }
 
-EvidenceAgent::Digests
-EvidenceAgent::takeReports(const std::vector<EvidenceReport> &Reports,
-                           TimePoint Now) {
+EvidenceAgent::Summaries
+EvidenceAgent::mergeReports(const std::vector<EvidenceReport> &Reports,
+                            TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  Digests Made;
+  Summaries Built;
   for (const EvidenceReport &Report : Reports) {
     EvidencePool *Pool = this->findPool(Report.Service);
     if (!Pool)
@@ -225,24 +227,24 @@
     Pool->takeReport(Report, Now);
     Pool->advance(Now);
     if (Pool->hasSuspects())
-      Made.push_back(Pool->makeDigest(Report.Hall));
+      Built.push_back(Pool->makeDigest(Report.Hall));
   }
-  return Made;
+  return Built;
 }
 
-void EvidenceAgent::takeDigests(const Digests &Taken, TimePoint Now) {
+void EvidenceAgent::applySummaries(const Summaries &Received, TimePoint Now) {
   const FleetRuntimeRef Fleet = this->Context.Fleet.get();
   if (!Fleet)
     return;
-  for (const EvidenceDigest &Digest : Taken)
-    if (const ServiceRuntimeRef Service = Fleet->findService(Digest.Service)) {
+  for (const EvidenceDigest &Summary : Received)
+    if (const ServiceRuntimeRef Service = Fleet->findService(Summary.Service)) {
       this->Context.Counters.add(Counter::DigestsTaken);
-      Service->takeDigest(Digest, Now);
+      Service->takeDigest(Summary, Now);
     }
 }
 
 void EvidenceAgent::advancePools(TimePoint Now) {
-  std::map<std::string, Digests> ByReader;
+  std::map<std::string, Summaries> BySubscriber;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     for (auto &[Name, Pool] : this->Pools) {
@@ -251,34 +253,34 @@
       for (const std::string &Hall : Pool->getHalls()) {
         if (!Pool->hasNews(Hall))
           continue;
-        const EvidenceDigest Digest = Pool->makeDigest(Hall);
+        const EvidenceDigest Summary = Pool->makeDigest(Hall);
         Pool->noteSent(Hall);
-        for (const std::string &Reader :
-             Pool->getSources(Hall, Now - SubscriptionLife))
-          ByReader[Reader].push_back(Digest);
+        for (const std::string &Subscriber :
+             Pool->getSources(Hall, Now - SubscriptionTimeout))
+          BySubscriber[Subscriber].push_back(Summary);
       }
     }
   }
-  for (auto &[Reader, Made] : ByReader) {
-    if (Reader == this->Context.Config.Name) {
-      this->takeDigests(Made, Now);
+  for (auto &[Subscriber, Built] : BySubscriber) {
+    if (Subscriber == this->Context.Config.Name) {
+      this->applySummaries(Built, Now);
       continue;
     }
-    const std::optional<MemberRecord> Peer = this->Members.find(Reader);
+    const std::optional<MemberRecord> Peer = this->Members.find(Subscriber);
     if (!Peer)
       continue;
-    this->Context.Counters.add(Counter::DigestsSent, Made.size());
-    this->Context.Calls.trySubmit([this, Peer = *Peer, Made = Made] {
+    this->Context.Counters.add(Counter::DigestsSent, Built.size());
+    this->Context.Calls.trySubmit([this, Peer = *Peer, Built = Built] {
       Json::Value Params;
-      for (const EvidenceDigest &Digest : Made)
-        Params["digests"].append(encodeSummary(Digest));
+      for (const EvidenceDigest &Summary : Built)
+        Params["digests"].append(encodeSummary(Summary));
       (void)this->Context.Caller.call(Peer.Control, "evidence.digest", Params,
                                       ReportTimeout);
     });
   }
 }
 
-Json::Value EvidenceAgent::answerReport(const Json::Value &Params) {
+Json::Value EvidenceAgent::handleReport(const Json::Value &Params) {
   std::vector<EvidenceReport> Reports;
   for (const Json::Value &Value : Params["reports"]) {
     EvidenceReport Report;
@@ -286,20 +288,20 @@
       Reports.push_back(std::move(Report));
   }
   Json::Value Answer(Json::objectValue);
-  for (const EvidenceDigest &Digest :
-       this->takeReports(Reports, readSteadyClock()))
-    Answer["digests"].append(encodeSummary(Digest));
+  for (const EvidenceDigest &Summary :
+       this->mergeReports(Reports, readSteadyClock()))
+    Answer["digests"].append(encodeSummary(Summary));
   return Answer;
 }
 
-Json::Value EvidenceAgent::answerDigest(const Json::Value &Params) {
-  Digests Taken;
+Json::Value EvidenceAgent::handleSummaries(const Json::Value &Params) {
+  Summaries Received;
   for (const Json::Value &Value : Params["digests"]) {
-    EvidenceDigest Digest;
-    if (decodeSummary(Value, Digest))
-      Taken.push_back(std::move(Digest));
+    EvidenceDigest Summary;
+    if (decodeSummary(Value, Summary))
+      Received.push_back(std::move(Summary));
   }
-  this->takeDigests(Taken, readSteadyClock());
+  this->applySummaries(Received, readSteadyClock());
   return Json::Value(Json::objectValue);
 }
 
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -1,4 +1,4 @@
-//===- Gateway.cpp - A daemon whose settings and servers are fed to it ----===//
+//===- Gateway.cpp - A daemon configured by its owner ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Puts together what a daemon serves with, and moves it on in rounds. The lock
+/// Connects the components of a gateway and runs its periodic rounds. The lock
 /// order, outermost first: BuildMutex; FleetRuntimeSlot; ServiceRuntime.
 ///
 //===----------------------------------------------------------------------===//
@@ -18,46 +18,47 @@
 
 namespace canvaswick {
 
-/// Threads for the balancer's checks and for who reads metrics.
+/// Threads that serve health checks and metrics.
 static constexpr size_t ReadyWorkers = 2;
 
-/// Threads for who reads metrics at an address of their own.
+/// Threads that serve the separate metrics address.
 static constexpr size_t MetricsWorkers = 1;
 
-/// Idle connections to backend servers are closed after this time: they close
-/// theirs after ten seconds, and one that a cut has broken hangs its request.
+/// Idle connections to backend servers are closed after this time. Servers
+/// close theirs after ten seconds, and a request on a connection that a network
+/// failure has broken would hang.
 static constexpr Duration UpstreamIdleLimit = fromSeconds(3);
 
-/// Threads for peers that ask for the copy of the store, and how long one such
-/// call may take.
+/// Threads that serve peers' requests for changes of the store's replica.
+/// ControlTimeLimit bounds one such call.
 static constexpr size_t ControlWorkers = 4;
 
-/// Large answers to them at once, of all calls that are being worked on: the
-/// other threads are left for small news.
-static constexpr size_t LargeAtOnce = 2;
+/// The maximum number of large responses at once. The other threads remain for
+/// small changes.
+static constexpr size_t MaxLargeResponses = 2;
 
-/// Peers that may wait for one of them. Others are refused at once and ask
-/// someone else: a hall of 36 that asked one peer together, whose link carries
-/// 10 Mbit/s, waited 0.6 s each time for nothing, 4 s in all.
+/// The number of peers' calls that may wait for a thread. Further calls are
+/// refused at once, and the peer asks another daemon. With a longer queue, 36
+/// daemons of a hall that asked one peer with a 10 Mbit/s link at the same time
+/// waited in vain for 0.6 s each time, 4 s in total.
 static constexpr size_t ControlQueue = 3;
 static constexpr Duration ControlTimeLimit = fromSeconds(3);
 
-/// A stopping daemon answers what it still has this long before it is killed,
-/// so that no request ends without an answer.
-static constexpr Duration LastAnswers = fromMillis(600);
+/// A stopping daemon answers the remaining requests this long before it is
+/// killed, so that no request ends without an answer.
+static constexpr Duration StopMargin = fromMillis(600);
 
-/// Callers who come before a daemon that starts knows its settings wait for
-/// them in the system's queue, while nothing has failed, and no longer than
-/// this; then they are refused at once until it does. A start from the fleet's
-/// copy is shorter.
-static constexpr Duration SettingsPatience = fromMillis(500);
+/// While a starting daemon has no settings, callers wait in the listen queue
+/// for at most this time, provided that nothing has failed; afterwards they are
+/// refused at once. A start from the fleet's replica takes less time.
+static constexpr Duration SettingsGracePeriod = fromMillis(500);
 
-/// How often idle connections and organisations are looked for.
+/// The interval at which idle connections and organisations are dropped.
 static constexpr Duration HousekeepingInterval = fromSeconds(1);
 
-/// The daemon's settings bound what the adapter's options do not.
-static ProxyOptions addBounds(ProxyOptions Options,
-                              const DaemonConfig &Config) {
+/// Adds the limits of the daemon's settings to the adapter's options.
+static ProxyOptions addDaemonSettings(ProxyOptions Options,
+                                      const DaemonConfig &Config) {
   Options.Allowances = Config.Allowances;
   return Options;
 }
@@ -74,11 +75,11 @@
 Gateway::Impl::Impl(DaemonConfig Given, ProxyOptions Options)
     : Config(std::move(Given)), Self(makeSelf(this->Config)),
       Proxy(this->Config.Name, this->Fleet, this->Upstreams, this->Counters,
-            nullptr, addBounds(std::move(Options), this->Config)),
-      Repeats(this->Config.Repeats) {}
+            nullptr, addDaemonSettings(std::move(Options), this->Config)),
+      RetryLimit(this->Config.Repeats) {}
 
 Result<void> Gateway::Impl::start() {
-  // Metrics tell of it, so it is there before they are served.
+  // Created before the metrics are served, because they report its threads.
   this->Callers = std::make_unique<HttpServer>(
       makeCallerServerLimits(this->Config),
       [this](HttpExchange &Exchange) { this->Proxy.handle(Exchange); });
@@ -98,20 +99,20 @@
   return outcome::success();
 }
 
-/// Serves the balancer's checks, and metrics beside them.
+/// Serves the load balancer's health checks and metrics.
 Result<void> Gateway::Impl::startReady() {
   HttpServerLimits Limits;
   Limits.Workers.Most = ReadyWorkers;
   this->Ready =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
-        answerHealthCheck(Exchange, this->IsStopping, this->getOwnFigures(),
+        answerHealthCheck(Exchange, this->IsStopping, this->collectMetrics(),
                           this->Fleet.get().get());
       });
   return this->Ready->start(this->Config.Ready);
 }
 
-/// Serves metrics at an address of their own, if there is one. A daemon that
-/// cannot have it serves callers all the same.
+/// Serves metrics at a separate address if one is configured. If that address
+/// cannot be bound, the daemon still serves callers.
 void Gateway::Impl::startMetrics() {
   if (this->Config.Metrics.Port == 0)
     return;
@@ -119,7 +120,8 @@
   Limits.Workers.Most = MetricsWorkers;
   this->Metrics =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
-        answerMetrics(Exchange, this->getOwnFigures(), this->Fleet.get().get());
+        answerMetrics(Exchange, this->collectMetrics(),
+                      this->Fleet.get().get());
       });
   const Result<void> Started = this->Metrics->start(this->Config.Metrics);
   if (Started)
@@ -129,15 +131,15 @@
   this->Metrics.reset();
 }
 
-/// Opens the link to peers, from whom requests borrow repeats.
+/// Starts the exchange with peers, from which requests also borrow retries.
 Result<void> Gateway::Impl::startPeers() {
   this->Peers = std::make_unique<PeerExchange>(
       this->Self, this->Fleet, this->Proxy.getGuard(),
       this->Proxy.getOrganisations(), *this->Notices, this->Counters,
-      this->Heard, this->Config.Policy);
+      this->OnPeerMessage, this->Config.Policy);
   this->Proxy.getGuard().setNewsListener(
-      [this](const SuspectNews &News, TimePoint Now) {
-        this->Peers->reportPoisonRequests(News, Now);
+      [this](const SuspectNews &Update, TimePoint Now) {
+        this->Peers->reportPoisonRequests(Update, Now);
       });
   this->Proxy.setChangeListener(
       [this](TimePoint Now) { this->Peers->notifyRequestChange(Now); });
@@ -147,14 +149,14 @@
   return this->Peers->start();
 }
 
-/// Serves peers that ask for the copy of the store.
+/// Serves peers' requests for changes of the store's replica.
 Result<void> Gateway::Impl::startControl() {
   if (this->Config.Control.Port == 0 || !this->Source)
     return outcome::success();
-  this->Answerer = std::make_unique<ChangesResponder>(this->Source, [this] {
-    return this->Control->countInFlight() <= LargeAtOnce;
+  this->Responder = std::make_unique<ChangesResponder>(this->Source, [this] {
+    return this->Control->countInFlight() <= MaxLargeResponses;
   });
-  addDirectoryMethod(this->Dispatcher, *this->Answerer);
+  addDirectoryMethod(this->Dispatcher, *this->Responder);
   HttpServerLimits Limits;
   Limits.Workers.Most = ControlWorkers;
   Limits.Workers.Queue = ControlQueue;
@@ -178,44 +180,46 @@
   return this->Store;
 }
 
-DaemonMetrics Gateway::Impl::getOwnFigures() {
+DaemonMetrics Gateway::Impl::collectMetrics() {
   const TimePoint Now = readSteadyClock();
   return {this->Counters,
           this->getStoreState(),
           this->Callers->countThreads(),
           this->getGuard().describe(),
-          this->Proxy.getOrganisations().with([Now](FleetAllowance &All) {
-            return All.describe(MaxListedOrganisations, Now);
+          this->Proxy.getOrganisations().with([Now](FleetAllowance &Quota) {
+            return Quota.describe(MaxListedOrganisations, Now);
           }),
           this->Notices->with(
-              [Now](const ServerNotices &All) { return All.count(Now); })};
+              [Now](const ServerNotices &Known) { return Known.count(Now); })};
 }
 
-/// What was kept open before a standstill may have ended on the other side, and
-/// what was known of the store is as old as it was long.
-void Gateway::Impl::noteStandstill(TimePoint Now) {
-  const Duration Stood = this->Standstills.noteRound(Now);
-  if (Stood == Duration::zero())
+/// Handles a pause of the process. Servers may have closed idle connections
+/// meanwhile, and the daemon's knowledge of the store is outdated by the length
+/// of the pause.
+void Gateway::Impl::handlePause(TimePoint Now) {
+  const Duration Paused = this->Pauses.noteRound(Now);
+  if (Paused == Duration::zero())
     return;
   this->Counters.add(Counter::Standstills);
-  logWarning("stood-still", "ms={}", toMillis(Stood));
+  logWarning("stood-still", "ms={}", toMillis(Paused));
   this->Upstreams.closeIdle(Now, Now);
   if (this->OnPause)
     this->OnPause();
 }
 
-/// Looks for late requests and tells peers what was seen since the last round.
+/// Looks for late requests and sends observations since the last round to
+/// peers.
 void Gateway::Impl::runHealthRound() {
   const TimePoint Now = readSteadyClock();
-  this->noteStandstill(Now);
-  if (Now - this->Started >= SettingsPatience)
+  this->handlePause(Now);
+  if (Now - this->Started >= SettingsGracePeriod)
     this->Callers->beginAccepting();
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
   for (const ServiceRuntimeRef &Service : Current->getServices()) {
     Service->advance(Now);
-    // Nobody is told: what was seen must not pile up.
+    // Without peers, observations are discarded so that they do not accumulate.
     if (!this->Peers)
       (void)Service->takeObservations();
   }
@@ -233,7 +237,7 @@
 
 void Gateway::Impl::beginStop() {
   this->IsStopping = true;
-  this->Proxy.beginStop(readSteadyClock() + this->Config.Grace - LastAnswers);
+  this->Proxy.beginStop(readSteadyClock() + this->Config.Grace - StopMargin);
   this->Callers->beginClosing();
   logInfo("daemon-stopping", "in-flight={}", this->Callers->countInFlight());
 }
@@ -274,19 +278,19 @@
   this->Implementation->setDaemons(Daemons);
 }
 
-void Gateway::setRepeats(const RepeatAllowance &Allowance) {
-  this->Implementation->setRepeats(Allowance);
+void Gateway::setRepeats(const RepeatAllowance &Limit) {
+  this->Implementation->setRepeats(Limit);
 }
 
-void Gateway::setHooks(ChangesSource Source, PeerLink::Handler Heard,
+void Gateway::setHooks(ChangesSource Source, PeerLink::Handler OnPeerMessage,
                        std::function<void()> OnPause) {
   this->Implementation->Source = std::move(Source);
-  this->Implementation->Heard = std::move(Heard);
+  this->Implementation->OnPeerMessage = std::move(OnPeerMessage);
   this->Implementation->OnPause = std::move(OnPause);
 }
 
-void Gateway::setStoreState(const StoreState &State, bool IsNews) {
-  this->Implementation->setStoreState(State, IsNews);
+void Gateway::setStoreState(const StoreState &State, bool ShouldNotify) {
+  this->Implementation->setStoreState(State, ShouldNotify);
 }
 
 void Gateway::stopWaitingForSettings() {
--- a/lib/Daemon/GatewayFleet.cpp
+++ b/lib/Daemon/GatewayFleet.cpp
@@ -1,4 +1,4 @@
-//===- GatewayFleet.cpp - What is fed to a gateway ------------------------===//
+//===- GatewayFleet.cpp - Changes of a gateway's fleet --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of Gateway that takes settings, servers and daemons, and puts them
-/// in force.
+/// Implements the part of Gateway that puts settings, servers and daemons in
+/// force.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,20 +18,20 @@
 
 namespace canvaswick {
 
-/// Puts the operators' bounds for callers in force; where they set none, the
-/// daemon's own hold.
-void Gateway::Impl::boundCallers(const CallerLimits &Given) {
-  const HttpServerLimits Own;
-  const auto OwnIdle =
+/// Applies the operators' limits for callers. The daemon's defaults apply where
+/// operators set none.
+void Gateway::Impl::applyCallerLimits(const CallerLimits &Given) {
+  const HttpServerLimits Defaults;
+  const auto DefaultIdle =
       fromSeconds(static_cast<double>(this->Config.IdleSeconds));
   this->Callers->setCallerBounds(
       Given.MaxHeadBytes > 0 ? static_cast<size_t>(Given.MaxHeadBytes)
-                             : Own.MaxHeadBytes,
-      Given.HeadMs > 0 ? fromMillis(Given.HeadMs) : Own.HeadTime,
-      Given.IdleMs > 0 ? fromMillis(Given.IdleMs) : OwnIdle);
+                             : Defaults.MaxHeadBytes,
+      Given.HeadMs > 0 ? fromMillis(Given.HeadMs) : Defaults.HeadTime,
+      Given.IdleMs > 0 ? fromMillis(Given.IdleMs) : DefaultIdle);
 }
 
-/// Builds what serves Next. The caller holds BuildMutex.
+/// Builds the runtime that serves Next. The caller holds BuildMutex.
 void Gateway::Impl::build(const FleetConfigRef &Next) {
   DaemonIdentity Identity;
   Identity.Name = this->Config.Name;
@@ -40,34 +40,35 @@
   Identity.Daemons = this->DaemonNames;
   Identity.ExpectedDaemons = this->Config.ExpectedDaemons;
   Identity.Source = SettingsSource::Platform;
-  Identity.Repeats = this->Repeats;
+  Identity.Repeats = this->RetryLimit;
   Identity.Started = this->Started;
   Identity.Switches = this->Config.Policy;
   const FleetRuntimeRef Previous = this->Fleet.get();
   const FleetRuntimeRef Runtime(
       new FleetRuntime(Next, Identity, Previous.get(), readSteadyClock()));
-  this->giveRepeats(*Runtime);
+  this->distributeRetryLimit(*Runtime);
   Runtime->boundConnections(this->Upstreams);
-  this->boundCallers(Next->Limits);
+  this->applyCallerLimits(Next->Limits);
   this->Proxy.configure(*Next);
   this->Fleet.set(Runtime);
   this->Counters.add(Counter::FleetBuilds);
 }
 
-/// Tells the services which part of the fleet's repeats is this daemon's. The
+/// Sets this daemon's part of the fleet's retry limit in all services. The
 /// caller holds BuildMutex.
-void Gateway::Impl::giveRepeats(const FleetRuntime &Runtime) {
-  // Names come in order.
+void Gateway::Impl::distributeRetryLimit(const FleetRuntime &Runtime) {
+  // DaemonNames is sorted, so that the daemons have distinct ranks.
   const auto Rank = static_cast<size_t>(std::find(this->DaemonNames.begin(),
                                                   this->DaemonNames.end(),
                                                   this->Config.Name) -
                                         this->DaemonNames.begin());
-  // A daemon that sees few others must not take their parts too.
+  // A daemon that knows only a few of the expected daemons must not use the
+  // parts of the others.
   const size_t Count =
       std::max(this->DaemonNames.size(),
                static_cast<size_t>(this->Config.ExpectedDaemons));
   for (const ServiceRuntimeRef &Service : Runtime.getServices())
-    Service->setRepeats(this->Repeats, Count, Rank);
+    Service->setRepeats(this->RetryLimit, Count, Rank);
 }
 
 void Gateway::Impl::setFleet(const FleetConfigRef &Next) {
@@ -91,8 +92,8 @@
 void Gateway::Impl::setDaemons(const std::vector<DaemonRecord> &Daemons) {
   if (this->Peers)
     this->Peers->setPeers(Daemons);
-  this->Notices->with([&](ServerNotices &All) {
-    All.setFleet(makeFleetMap(this->Config.Name, Daemons), readSteadyClock());
+  this->Notices->with([&](ServerNotices &Known) {
+    Known.setFleet(makeFleetMap(this->Config.Name, Daemons), readSteadyClock());
   });
   std::vector<std::string> Names;
   Names.reserve(Daemons.size());
@@ -106,20 +107,20 @@
     this->build(FleetConfigRef(&Current->getConfig()));
 }
 
-void Gateway::Impl::setRepeats(const RepeatAllowance &Allowance) {
+void Gateway::Impl::setRepeats(const RepeatAllowance &Limit) {
   std::lock_guard<std::mutex> Lock(this->BuildMutex);
-  this->Repeats = Allowance;
+  this->RetryLimit = Limit;
   if (const FleetRuntimeRef Current = this->Fleet.get())
     this->build(FleetConfigRef(&Current->getConfig()));
 }
 
-void Gateway::Impl::setStoreState(const StoreState &State, bool IsNews) {
+void Gateway::Impl::setStoreState(const StoreState &State, bool ShouldNotify) {
   {
     std::lock_guard<std::mutex> Lock(this->StoreMutex);
     this->Store = State;
   }
   if (this->Peers)
-    this->Peers->setStoreState(State, IsNews, readSteadyClock());
+    this->Peers->setStoreState(State, ShouldNotify, readSteadyClock());
 }
 
 } // namespace canvaswick
--- a/lib/Daemon/GatewayImpl.h
+++ b/lib/Daemon/GatewayImpl.h
@@ -1,4 +1,4 @@
-//===- GatewayImpl.h - What a gateway is made of ----------------*- C++ -*-===//
+//===- GatewayImpl.h - Private parts of a gateway ---------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The members of a gateway, for the files that implement it: Gateway.cpp what
-/// it serves and its rounds, GatewayFleet.cpp what is fed to it.
+/// Declares the implementation of Gateway. Gateway.cpp implements serving and
+/// the periodic rounds, GatewayFleet.cpp the changes of settings, servers and
+/// daemons.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,8 +31,8 @@
 
 namespace canvaswick {
 
-/// How often late requests are looked for and observations are sent: peers
-/// should know within a tenth of a second.
+/// The interval of health rounds, which look for late requests and send
+/// observations: peers must learn of them within a tenth of a second.
 inline constexpr Duration HealthInterval = fromMillis(50);
 
 class Gateway::Impl {
@@ -41,14 +42,14 @@
   Result<void> start();
   void setFleet(const FleetConfigRef &Config);
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
-  void setRepeats(const RepeatAllowance &Allowance);
-  void setStoreState(const StoreState &State, bool IsNews);
+  void setRepeats(const RepeatAllowance &Limit);
+  void setStoreState(const StoreState &State, bool ShouldNotify);
   void stopWaitingForSettings();
   void beginStop();
   bool finishStop(TimePoint Deadline);
 
   ChangesSource Source;
-  PeerLink::Handler Heard;
+  PeerLink::Handler OnPeerMessage;
   std::function<void()> OnPause;
   const DaemonConfig Config;
   DaemonRecord Self;
@@ -57,16 +58,16 @@
 
 private:
   void build(const FleetConfigRef &Next);
-  void giveRepeats(const FleetRuntime &Runtime);
+  void distributeRetryLimit(const FleetRuntime &Runtime);
   void runHealthRound();
-  void noteStandstill(TimePoint Now);
+  void handlePause(TimePoint Now);
   void housekeep();
   StoreState getStoreState();
-  DaemonMetrics getOwnFigures();
+  DaemonMetrics collectMetrics();
   Result<void> startPeers();
   Result<void> startReady();
   void startMetrics();
-  void boundCallers(const CallerLimits &Given);
+  void applyCallerLimits(const CallerLimits &Given);
   Result<void> startControl();
 
   const TimePoint Started = readSteadyClock();
@@ -74,25 +75,25 @@
   FleetRuntimeSlot Fleet;
   ConnectionPool Upstreams{0};
   RequestProxy Proxy;
-  /// Null where peers share nothing.
+  /// Null if this daemon exchanges nothing with peers.
   std::unique_ptr<PeerExchange> Peers;
   std::unique_ptr<HttpServer> Callers;
   std::unique_ptr<HttpServer> Ready;
   std::unique_ptr<HttpServer> Metrics;
   JsonRpcDispatcher Dispatcher;
-  std::unique_ptr<ChangesResponder> Answerer;
+  std::unique_ptr<ChangesResponder> Responder;
   std::unique_ptr<HttpServer> Control;
-  /// Guards the building of a new FleetRuntime and the names.
+  /// Guards the building of a new FleetRuntime and DaemonNames.
   std::mutex BuildMutex;
   std::vector<std::string> DaemonNames;
-  /// Guards Store; held for no call.
+  /// Guards Store. Not held during calls.
   std::mutex StoreMutex;
   StoreState Store;
-  RepeatAllowance Repeats;
+  RepeatAllowance RetryLimit;
   std::atomic<bool> IsStopping{false};
   std::atomic<bool> IsStopped{false};
   /// Used by the health rounds only.
-  StandstillWatch Standstills{HealthInterval};
+  StandstillWatch Pauses{HealthInterval};
   RoundThread HealthRounds;
   RoundThread HousekeepingRounds;
 };
--- a/lib/Daemon/HealthEndpoints.cpp
+++ b/lib/Daemon/HealthEndpoints.cpp
@@ -1,4 +1,4 @@
-//===- HealthEndpoints.cpp - Answers to the balancer's checks -------------===//
+//===- HealthEndpoints.cpp - Health checks and metrics --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Short texts; the metrics are in the common text format, one value a line.
+/// Answers are short texts. Metrics are in the Prometheus text format, one
+/// value per line.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,8 +19,8 @@
 
 namespace canvaswick {
 
-/// Who does not take an answer within this time has left.
-static constexpr Duration CheckTimeLimit = fromSeconds(10);
+/// A client that has not read its answer within this time is disconnected.
+static constexpr Duration ResponseTimeout = fromSeconds(10);
 
 static std::string formatServiceMetrics(ServiceRuntime &Service,
                                         TimePoint Now) {
@@ -37,17 +38,17 @@
   return Text;
 }
 
-/// A daemon that watches and whose store is silent shows here alone: its copy
-/// stands still, as it does when nothing changes.
+/// Only the time since the last answer reveals that a watched store no longer
+/// answers: the replica does not change then, as when nothing changes.
 static std::string formatStoreState(const StoreState &Store, TimePoint Now) {
-  const bool IsHeard = Store.HeardAt != TimePoint{};
+  const bool HasAnswered = Store.HeardAt != TimePoint{};
   return fmt::format("canvaswick_store_epoch {}\n"
                      "canvaswick_store_as_of {}\n"
                      "canvaswick_store_watching {}\n"
                      "canvaswick_store_heard_ms {}\n",
                      Store.AsOf.Epoch, Store.AsOf.Revision,
                      Store.IsWatching ? 1 : 0,
-                     IsHeard ? toMillis(Now - Store.HeardAt) : -1);
+                     HasAnswered ? toMillis(Now - Store.HeardAt) : -1);
 }
 
 static std::string formatWorkers(const WorkerPoolThreads &Workers) {
@@ -60,18 +61,18 @@
 std::string
 formatPoisonRequests(const std::vector<SuspectStatus> &PoisonRequests) {
   std::string Rows;
-  size_t Held = 0;
+  size_t Quarantined = 0;
   for (const SuspectStatus &Each : PoisonRequests) {
     if (!Each.IsHeld)
       continue;
-    ++Held;
+    ++Quarantined;
     Rows += fmt::format(
         "canvaswick_held_request_ends{{asks=\"{:016x}\",tries=\"{}\"}} {}\n",
         Each.Record.Request, Each.Record.Tries, Each.Record.Ends.size());
   }
   return fmt::format("canvaswick_suspect_requests {}\n"
                      "canvaswick_held_requests {}\n{}",
-                     PoisonRequests.size(), Held, Rows);
+                     PoisonRequests.size(), Quarantined, Rows);
 }
 
 std::string
@@ -106,14 +107,14 @@
   return Text;
 }
 
-static std::string formatMetrics(const DaemonMetrics &Own,
+static std::string formatMetrics(const DaemonMetrics &Metrics,
                                  const FleetRuntime *Current) {
-  std::string Text = Own.Counters.format();
-  Text += formatStoreState(Own.Store, readSteadyClock());
-  Text += formatWorkers(Own.Workers);
-  Text += formatPoisonRequests(Own.PoisonRequests);
-  Text += formatOrganisations(Own.Organisations);
-  Text += formatNotices(Own.Notices);
+  std::string Text = Metrics.Counters.format();
+  Text += formatStoreState(Metrics.Store, readSteadyClock());
+  Text += formatWorkers(Metrics.Workers);
+  Text += formatPoisonRequests(Metrics.PoisonRequests);
+  Text += formatOrganisations(Metrics.Organisations);
+  Text += formatNotices(Metrics.Notices);
   Text +=
       fmt::format("canvaswick_log_lines_dropped {}\n", countDroppedLogLines());
   if (!Current)
@@ -125,20 +126,21 @@
   return Text;
 }
 
-void answerMetrics(HttpExchange &Exchange, const DaemonMetrics &Own,
+void answerMetrics(HttpExchange &Exchange, const DaemonMetrics &Metrics,
                    const FleetRuntime *Current) {
-  Exchange.Stream.setDeadline(readSteadyClock() + CheckTimeLimit);
+  Exchange.Stream.setDeadline(readSteadyClock() + ResponseTimeout);
   if (Exchange.Request.target != "/metrics") {
     Exchange.Response.status = 404;
     return;
   }
-  Exchange.Response.set_content(formatMetrics(Own, Current), "text/plain");
+  Exchange.Response.set_content(formatMetrics(Metrics, Current), "text/plain");
 }
 
 void answerHealthCheck(HttpExchange &Exchange, bool IsStopping,
-                       const DaemonMetrics &Own, const FleetRuntime *Current) {
+                       const DaemonMetrics &Metrics,
+                       const FleetRuntime *Current) {
   const std::string &Target = Exchange.Request.target;
-  Exchange.Stream.setDeadline(readSteadyClock() + CheckTimeLimit);
+  Exchange.Stream.setDeadline(readSteadyClock() + ResponseTimeout);
   if (Target == "/ready") {
     const bool IsReady = !IsStopping && Current;
     Exchange.Response.status = IsReady ? 200 : 503;
@@ -150,7 +152,7 @@
     Exchange.Response.set_content("live\n", "text/plain");
     return;
   }
-  answerMetrics(Exchange, Own, Current);
+  answerMetrics(Exchange, Metrics, Current);
 }
 
 } // namespace canvaswick
--- a/lib/Daemon/HealthEndpoints.h
+++ b/lib/Daemon/HealthEndpoints.h
@@ -1,4 +1,4 @@
-//===- HealthEndpoints.h - Answers to the balancer's checks -----*- C++ -*-===//
+//===- HealthEndpoints.h - Health checks and metrics ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What a gateway answers on its ready address: whether it is ready, whether it
-/// lives, and its metrics; and on the metrics address, which has these alone.
+/// Answers requests to a gateway's ready address, which serves readiness,
+/// liveness and metrics, and to its metrics address, which serves metrics only.
 /// Private to this library.
 ///
 //===----------------------------------------------------------------------===//
@@ -25,42 +25,43 @@
 
 namespace canvaswick {
 
-/// What a daemon tells of itself beside its services.
+/// Figures about a daemon itself, apart from its services.
 struct DaemonMetrics {
   const CounterTable &Counters;
   StoreState Store;
-  /// Those that serve callers.
+  /// The threads that serve callers.
   WorkerPoolThreads Workers;
-  /// Requests under which servers ended.
+  /// Requests that are suspected of crashing servers.
   std::vector<SuspectStatus> PoisonRequests;
   /// The busiest organisations, at most MaxListedOrganisations.
   std::vector<AllowanceStatus> Organisations;
-  /// How many servers say what of themselves.
+  /// The number of servers per kind of notice.
   NoticeCounts Notices;
 };
 
-/// Organisations that metrics and tools name: enough to see who sends much, and
-/// few beside 69,000.
+/// The number of organisations that metrics and tools list: enough to find
+/// heavy users, and few compared with the 69,000 that there are.
 inline constexpr size_t MaxListedOrganisations = 20;
 
-/// Writes organisations as metrics.
+/// Formats organisations as metrics.
 std::string
 formatOrganisations(const std::vector<AllowanceStatus> &Organisations);
 
-/// Writes how many servers say what of themselves as metrics.
+/// Formats the number of servers per kind of notice as metrics.
 std::string formatNotices(const NoticeCounts &Notices);
 
-/// Writes the suspects as metrics.
+/// Formats poison requests as metrics.
 std::string
 formatPoisonRequests(const std::vector<SuspectStatus> &PoisonRequests);
 
-/// Answers one check. Current is what the daemon serves by, null before its
-/// first settings.
+/// Answers a request to the ready address. Current is the state that the daemon
+/// serves, null before its first settings.
 void answerHealthCheck(HttpExchange &Exchange, bool IsStopping,
-                       const DaemonMetrics &Own, const FleetRuntime *Current);
+                       const DaemonMetrics &Metrics,
+                       const FleetRuntime *Current);
 
-/// Answers who reads metrics, and nobody else.
-void answerMetrics(HttpExchange &Exchange, const DaemonMetrics &Own,
+/// Answers a request for metrics; any other target gets status 404.
+void answerMetrics(HttpExchange &Exchange, const DaemonMetrics &Metrics,
                    const FleetRuntime *Current);
 
 } // namespace canvaswick
--- a/lib/Daemon/HexNumber.h
+++ b/lib/Daemon/HexNumber.h
@@ -1,4 +1,4 @@
-//===- HexNumber.h - Numbers that messages write in hexadecimal -*- C++ -*-===//
+//===- HexNumber.h - Hexadecimal numbers in messages ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads the numbers that name servers, services, organisations and requests in
-/// messages between daemons: JSON readers lose digits of large integers.
+/// Decodes the ids of servers, services, organisations and requests in messages
+/// between daemons. They are hexadecimal because JSON parsers lose digits of
+/// large integers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,8 +23,8 @@
 
 namespace canvaswick {
 
-/// Reads a number from a text of hexadecimal digits and nothing else. Returns
-/// false if it is none or does not fit.
+/// Decodes a text that consists of hexadecimal digits only. Returns false if it
+/// is malformed or the number does not fit.
 template <typename NumberT>
 bool decodeHex(const Json::Value &Value, NumberT &Number) {
   if (!Value.isString())
--- a/lib/Daemon/LeavingAgent.cpp
+++ b/lib/Daemon/LeavingAgent.cpp
@@ -1,4 +1,4 @@
-//===- LeavingAgent.cpp - Which backend servers are leaving ---------------===//
+//===- LeavingAgent.cpp - Tracks backend servers that leave ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The board, and the duties by rendezvous ranking: three daemons read the list
-/// for all, two probe each server.
+/// Rendezvous hashing assigns the work: three daemons read the platform's list
+/// for all, and two probe each server.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,32 +21,33 @@
 
 namespace canvaswick {
 
-/// A server's own word counts for this long without being renewed.
-static constexpr int64_t SignLifeMillis = 30000;
+/// A server's own statement is valid for this time unless it is renewed.
+static constexpr int64_t StatusExpiryMillis = 30000;
 
-/// It is told again this often while it stays the same.
-static constexpr int64_t SignRenewMillis = 10000;
+/// An unchanged statement is sent again after this time.
+static constexpr int64_t StatusRenewMillis = 10000;
 
 static constexpr size_t ListReaders = 3;
 static constexpr size_t ProbersPerServer = 2;
 /// A daemon with many servers to probe takes several rounds for them, so that
-/// probing costs the same however large the fleet is.
+/// the cost of probing per round does not grow with the fleet.
 static constexpr size_t ProbesPerRound = 8;
-static constexpr size_t NewsFanOut = 4;
+static constexpr size_t UpdateFanOut = 4;
 static constexpr Duration ProbeTimeout = fromMillis(500);
-static constexpr Duration NewsTimeout = fromSeconds(1);
+static constexpr Duration UpdateTimeout = fromSeconds(1);
 
 bool LeavingServerTable::mergeStatus(const std::string &Address,
-                                     const LeavingStatus &Sign) {
-  LeavingStatus &Known = this->Signs[Address];
-  if (Sign.AtMillis <= Known.AtMillis)
+                                     const LeavingStatus &Status) {
+  LeavingStatus &Known = this->Statuses[Address];
+  if (Status.AtMillis <= Known.AtMillis)
     return false;
-  const bool IsNews =
-      Sign.IsLeaving != Known.IsLeaving ||
-      (Sign.IsLeaving && Sign.AtMillis - Known.AtMillis >= SignRenewMillis);
-  if (IsNews || !Sign.IsLeaving)
-    Known = Sign;
-  return IsNews;
+  const bool HasChanged =
+      Status.IsLeaving != Known.IsLeaving ||
+      (Status.IsLeaving &&
+       Status.AtMillis - Known.AtMillis >= StatusRenewMillis);
+  if (HasChanged || !Status.IsLeaving)
+    Known = Status;
+  return HasChanged;
 }
 
 bool LeavingServerTable::mergeList(uint64_t Revision,
@@ -60,8 +61,8 @@
 
 std::set<std::string> LeavingServerTable::getLeaving(int64_t NowMillis) const {
   std::set<std::string> Leaving = this->List;
-  for (const auto &[Address, Sign] : this->Signs)
-    if (Sign.IsLeaving && NowMillis - Sign.AtMillis < SignLifeMillis)
+  for (const auto &[Address, Status] : this->Statuses)
+    if (Status.IsLeaving && NowMillis - Status.AtMillis < StatusExpiryMillis)
       Leaving.insert(Address);
   return Leaving;
 }
@@ -72,7 +73,7 @@
 
 void LeavingAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("leaving.news", [this](const Json::Value &Params) {
-    return this->answerNews(Params);
+    return this->handleUpdate(Params);
   });
 }
 
@@ -81,11 +82,11 @@
                          const std::vector<std::string> &Working,
                          size_t Count) {
   const uint64_t KeyHash = hashText(Key);
-  const uint64_t Own = hashText(Self, KeyHash);
+  const uint64_t SelfHash = hashText(Self, KeyHash);
   const auto Before = std::count_if(
       Working.begin(), Working.end(), [&](const std::string &Other) {
         const uint64_t Hash = hashText(Other, KeyHash);
-        return Hash > Own || (Hash == Own && Other < Self);
+        return Hash > SelfHash || (Hash == SelfHash && Other < Self);
       });
   return static_cast<size_t>(Before) < Count;
 }
@@ -112,32 +113,34 @@
       Peers.push_back(Address.value());
   }
   this->Members.addSeeds(Peers);
-  bool IsNews = false;
+  bool HasChanged = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    IsNews = this->Board.mergeList(List.value().Revision, std::move(Leaving));
+    HasChanged =
+        this->Table.mergeList(List.value().Revision, std::move(Leaving));
   }
-  if (IsNews)
-    this->spread(this->makeListNews(), "");
+  if (HasChanged)
+    this->gossip(this->buildListUpdate(), "");
 }
 
 /// Lists the servers that this daemon probes. Ranking every server against
-/// every daemon is dear, so it is done only when either has changed.
-void LeavingAgent::updateDuties(const FleetRuntimeRef &Fleet) {
+/// every daemon is expensive, so the list is rebuilt only when either has
+/// changed.
+void LeavingAgent::updateProbeTargets(const FleetRuntimeRef &Fleet) {
   const uint64_t Members = this->Members.getWorkingVersion();
-  if (this->DutiesOf == Fleet && this->DutiesAt == Members)
+  if (this->TargetsFleet == Fleet && this->TargetsVersion == Members)
     return;
-  this->DutiesOf = Fleet;
-  this->DutiesAt = Members;
-  this->Duties.clear();
-  this->NextDuty = 0;
+  this->TargetsFleet = Fleet;
+  this->TargetsVersion = Members;
+  this->ProbeTargets.clear();
+  this->NextTarget = 0;
   const std::vector<std::string> Working = this->Members.getWorking();
   for (const ServiceRuntimeRef &Service : Fleet->getServices())
     for (size_t I = 0; I < Service->countServers(); ++I) {
       const std::string Address = Service->getServer(I).Address.format();
       if (isAmongFirst(Address, this->Context.Config.Name, Working,
                        ProbersPerServer))
-        this->Duties.push_back({Service, I});
+        this->ProbeTargets.push_back({Service, I});
     }
 }
 
@@ -145,17 +148,17 @@
   const FleetRuntimeRef Fleet = this->Context.Fleet.get();
   if (!Fleet)
     return;
-  this->updateDuties(Fleet);
-  const size_t Count = std::min(ProbesPerRound, this->Duties.size());
+  this->updateProbeTargets(Fleet);
+  const size_t Count = std::min(ProbesPerRound, this->ProbeTargets.size());
   for (size_t I = 0; I < Count; ++I) {
-    const ProbeDuty &Duty = this->Duties[this->NextDuty];
-    this->probeServer(Duty.Service, Duty.Server);
-    this->NextDuty = (this->NextDuty + 1) % this->Duties.size();
+    const ProbeTarget &Target = this->ProbeTargets[this->NextTarget];
+    this->probeServer(Target.Service, Target.Server);
+    this->NextTarget = (this->NextTarget + 1) % this->ProbeTargets.size();
   }
 }
 
-/// Asks one server how it is. Health that is red, or not answered, proves
-/// nothing here: only a server that says it is leaving is believed.
+/// Probes one server. A failed health check or a missing answer proves nothing
+/// here: only a server's own statement that it is leaving counts.
 void LeavingAgent::probeServer(const ServiceRuntimeRef &Service,
                                size_t Server) {
   const Endpoint Address = Service->getServer(Server).Address;
@@ -170,20 +173,20 @@
     return;
   if (State["load"].isNumeric())
     Service->noteLoad(Server, State["load"].asDouble(), readSteadyClock());
-  const LeavingStatus Sign{State.get("state", "").asString() == "leaving",
-                           readCalendarMillis()};
-  bool IsNews = false;
+  const LeavingStatus Status{State.get("state", "").asString() == "leaving",
+                             readCalendarMillis()};
+  bool HasChanged = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    IsNews = this->Board.mergeStatus(Address.format(), Sign);
+    HasChanged = this->Table.mergeStatus(Address.format(), Status);
   }
-  if (!IsNews)
+  if (!HasChanged)
     return;
-  Json::Value News;
-  News["address"] = Address.format();
-  News["leaving"] = Sign.IsLeaving;
-  News["at"] = static_cast<Json::Int64>(Sign.AtMillis);
-  this->spread(News, "");
+  Json::Value Update;
+  Update["address"] = Address.format();
+  Update["leaving"] = Status.IsLeaving;
+  Update["at"] = static_cast<Json::Int64>(Status.AtMillis);
+  this->gossip(Update, "");
 }
 
 void LeavingAgent::apply() {
@@ -193,56 +196,57 @@
   std::set<std::string> Leaving;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    Leaving = this->Board.getLeaving(readCalendarMillis());
+    Leaving = this->Table.getLeaving(readCalendarMillis());
   }
   for (const ServiceRuntimeRef &Service : Fleet->getServices())
     Service->setLeavingAddresses(Leaving, readSteadyClock());
 }
 
-void LeavingAgent::spread(const Json::Value &News, const std::string &Except) {
-  for (const MemberRecord &Peer : this->Members.choose(NewsFanOut, Except))
-    this->Context.Calls.trySubmit([this, Peer, News] {
-      (void)this->Context.Caller.call(Peer.Control, "leaving.news", News,
-                                      NewsTimeout);
+void LeavingAgent::gossip(const Json::Value &Update,
+                          const std::string &Except) {
+  for (const MemberRecord &Peer : this->Members.choose(UpdateFanOut, Except))
+    this->Context.Calls.trySubmit([this, Peer, Update] {
+      (void)this->Context.Caller.call(Peer.Control, "leaving.news", Update,
+                                      UpdateTimeout);
     });
 }
 
-Json::Value LeavingAgent::makeListNews() {
+Json::Value LeavingAgent::buildListUpdate() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  Json::Value News;
-  News["revision"] = static_cast<Json::UInt64>(this->Board.getListRevision());
-  News["list"] = Json::arrayValue;
-  for (const std::string &Address : this->Board.getList())
-    News["list"].append(Address);
-  return News;
+  Json::Value Update;
+  Update["revision"] = static_cast<Json::UInt64>(this->Table.getListRevision());
+  Update["list"] = Json::arrayValue;
+  for (const std::string &Address : this->Table.getList())
+    Update["list"].append(Address);
+  return Update;
 }
 
-Json::Value LeavingAgent::answerNews(const Json::Value &Params) {
-  bool IsNews = false;
+Json::Value LeavingAgent::handleUpdate(const Json::Value &Params) {
+  bool HasChanged = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (Params.isMember("list")) {
       std::set<std::string> Addresses;
       for (const Json::Value &Address : Params["list"])
         Addresses.insert(Address.asString());
-      IsNews = this->Board.mergeList(Params["revision"].asUInt64(),
-                                     std::move(Addresses));
+      HasChanged = this->Table.mergeList(Params["revision"].asUInt64(),
+                                         std::move(Addresses));
     } else {
-      IsNews = this->Board.mergeStatus(
+      HasChanged = this->Table.mergeStatus(
           Params["address"].asString(),
           {Params["leaving"].asBool(), Params["at"].asInt64()});
     }
   }
-  if (IsNews) {
+  if (HasChanged) {
     this->apply();
-    this->spread(Params, "");
+    this->gossip(Params, "");
   }
   return Json::Value(Json::objectValue);
 }
 
 void LeavingAgent::writeVersions(Json::Value &Message) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  Message["vms"] = static_cast<Json::UInt64>(this->Board.getListRevision());
+  Message["vms"] = static_cast<Json::UInt64>(this->Table.getListRevision());
 }
 
 void LeavingAgent::readVersions(const MemberRecord &Peer,
@@ -251,14 +255,14 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     IsPeerBehind =
-        Message.get("vms", 0).asUInt64() < this->Board.getListRevision();
+        Message.get("vms", 0).asUInt64() < this->Table.getListRevision();
   }
   if (!IsPeerBehind)
     return;
-  const Json::Value News = this->makeListNews();
-  this->Context.Calls.trySubmit([this, Peer, News] {
-    (void)this->Context.Caller.call(Peer.Control, "leaving.news", News,
-                                    NewsTimeout);
+  const Json::Value Update = this->buildListUpdate();
+  this->Context.Calls.trySubmit([this, Peer, Update] {
+    (void)this->Context.Caller.call(Peer.Control, "leaving.news", Update,
+                                    UpdateTimeout);
   });
 }
 
--- a/lib/Daemon/MembershipAgent.cpp
+++ b/lib/Daemon/MembershipAgent.cpp
@@ -1,4 +1,4 @@
-//===- MembershipAgent.cpp - Talks with other daemons about who there is --===//
+//===- MembershipAgent.cpp - Membership protocol with peers ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Messages carry records as short arrays, since they are sent every second.
+/// Messages carry records as short arrays, because they are sent every second.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,11 +20,11 @@
 namespace canvaswick {
 
 static constexpr Duration PingTimeout = fromMillis(400);
-static constexpr Duration AskTimeout = fromMillis(900);
-static constexpr size_t Helpers = 3;
+static constexpr Duration IndirectPingTimeout = fromMillis(900);
+static constexpr size_t PingHelpers = 3;
 
-/// Every so many rounds an address that is no member is asked.
-static constexpr uint64_t StrangerRounds = 10;
+/// One in this many rounds pings a seed address that is not a member.
+static constexpr uint64_t UnknownSeedRounds = 10;
 
 Json::Value encodeMember(const MemberRecord &Record) {
   Json::Value Value(Json::arrayValue);
@@ -69,10 +69,10 @@
 
 void MembershipAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("member.ping", [this](const Json::Value &Params) {
-    return this->answerPing(Params);
+    return this->handlePing(Params);
   });
   Dispatcher.add("member.ping-for", [this](const Json::Value &Params) {
-    return this->answerPingFor(Params);
+    return this->handlePingFor(Params);
   });
 }
 
@@ -93,7 +93,7 @@
   return Message;
 }
 
-void MembershipAgent::takeMessage(const Json::Value &Message) {
+void MembershipAgent::mergeMessage(const Json::Value &Message) {
   MemberRecord From;
   if (!decodeMember(Message["from"], From))
     return;
@@ -117,13 +117,13 @@
     this->Reader(From, Message);
 }
 
-Json::Value MembershipAgent::answerPing(const Json::Value &Params) {
-  this->takeMessage(Params);
+Json::Value MembershipAgent::handlePing(const Json::Value &Params) {
+  this->mergeMessage(Params);
   const std::string From = Params["from"][0].asString();
   return this->makeMessage(From, Params.get("all", false).asBool());
 }
 
-Json::Value MembershipAgent::answerPingFor(const Json::Value &Params) {
+Json::Value MembershipAgent::handlePingFor(const Json::Value &Params) {
   MemberRecord Target;
   Json::Value Answer;
   Answer["ok"] =
@@ -138,32 +138,32 @@
       Target.Control, "member.ping", Message, Timeout);
   if (!Answer)
     return false;
-  this->takeMessage(Answer.value());
+  this->mergeMessage(Answer.value());
   return true;
 }
 
-/// Asks some others to ping a member that did not answer us: the way to it may
-/// be cut for us alone.
-bool MembershipAgent::askOthers(const MemberRecord &Target) {
+/// Asks other members to ping a member that did not answer: only the path from
+/// this daemon may be broken.
+bool MembershipAgent::pingIndirectly(const MemberRecord &Target) {
   Json::Value Params;
   Params["target"] = encodeMember(Target);
-  for (const MemberRecord &Helper : this->choose(Helpers, Target.Name)) {
+  for (const MemberRecord &Helper : this->choose(PingHelpers, Target.Name)) {
     Result<Json::Value> Answer = this->Context.Caller.call(
-        Helper.Control, "member.ping-for", Params, AskTimeout);
+        Helper.Control, "member.ping-for", Params, IndirectPingTimeout);
     if (Answer && Answer.value().get("ok", false).asBool())
       return true;
   }
   return false;
 }
 
-/// Asks one address for all members. Returns whether it answered.
+/// Requests all members from one address. Returns whether it answered.
 bool MembershipAgent::tryJoin(const Endpoint &Seed) {
   Json::Value Message = this->makeMessage("", false);
   Message["all"] = true;
   Result<Json::Value> Answer =
       this->Context.Caller.call(Seed, "member.ping", Message, PingTimeout);
   if (Answer)
-    this->takeMessage(Answer.value());
+    this->mergeMessage(Answer.value());
   return Answer.has_value();
 }
 
@@ -179,11 +179,11 @@
       return;
 }
 
-/// Asks one address that should be a daemon but is no member here. Two parts of
-/// the fleet that were cut off for so long that they forgot each other find
-/// each other again this way.
-void MembershipAgent::greetStranger() {
-  std::vector<Endpoint> Strangers;
+/// Pings one seed address that is not a member. This reunites two parts of the
+/// fleet after a partition that lasted so long that each dropped the other's
+/// members.
+void MembershipAgent::contactUnknownSeed() {
+  std::vector<Endpoint> UnknownSeeds;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     const std::vector<MemberRecord> Known = this->Table.getAll();
@@ -193,17 +193,17 @@
                                          return Record.Control == Seed;
                                        });
       if (!IsKnown)
-        Strangers.push_back(Seed);
+        UnknownSeeds.push_back(Seed);
     }
-    std::shuffle(Strangers.begin(), Strangers.end(), this->Random);
+    std::shuffle(UnknownSeeds.begin(), UnknownSeeds.end(), this->Random);
   }
-  if (!Strangers.empty())
-    this->tryJoin(Strangers.front());
+  if (!UnknownSeeds.empty())
+    this->tryJoin(UnknownSeeds.front());
 }
 
 void MembershipAgent::runRound() {
-  if (++this->Rounds % StrangerRounds == 0)
-    this->greetStranger();
+  if (++this->Rounds % UnknownSeedRounds == 0)
+    this->contactUnknownSeed();
   std::optional<MemberRecord> Target;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -211,7 +211,8 @@
   }
   if (!Target) {
     this->join();
-  } else if (!this->ping(*Target, PingTimeout) && !this->askOthers(*Target)) {
+  } else if (!this->ping(*Target, PingTimeout) &&
+             !this->pingIndirectly(*Target)) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Table.noteUnreachable(Target->Name, readSteadyClock());
   }
@@ -238,8 +239,8 @@
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Table.leave();
   }
-  // Tell a few at once; they pass it on.
-  for (const MemberRecord &Peer : this->choose(Helpers, ""))
+  // A few peers learn of it at once and pass it on.
+  for (const MemberRecord &Peer : this->choose(PingHelpers, ""))
     this->ping(Peer, PingTimeout);
 }
 
--- a/lib/Daemon/OperatorApi.cpp
+++ b/lib/Daemon/OperatorApi.cpp
@@ -1,4 +1,4 @@
-//===- OperatorApi.cpp - What operators may ask a daemon ------------------===//
+//===- OperatorApi.cpp - Operators' queries -------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads the live state and writes it as JSON; changes nothing.
+/// Reads the current state and encodes it as JSON. Changes nothing.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,23 +23,24 @@
 
 OperatorApi::OperatorApi(const ControlContext &Context,
                          MembershipAgent &Members, ConfigAgent &Config,
-                         const RequestGuard &Guard,
+                         const RequestGuard &Quarantine,
                          OrganisationGate &Organisations)
-    : Context(Context), Members(Members), Config(Config), Guard(Guard),
-      Organisations(Organisations) {}
+    : Context(Context), Members(Members), Config(Config),
+      Quarantine(Quarantine), Organisations(Organisations) {}
 
 void OperatorApi::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("operator.status",
-                 [this](const Json::Value &) { return this->answerStatus(); });
+                 [this](const Json::Value &) { return this->handleStatus(); });
   Dispatcher.add("operator.explain", [this](const Json::Value &Params) {
-    return this->answerExplain(Params);
+    return this->handleExplain(Params);
   });
   Dispatcher.add("operator.burn",
-                 [this](const Json::Value &) { return this->answerBurn(); });
-  Dispatcher.add("operator.held",
-                 [this](const Json::Value &) { return this->answerHeld(); });
+                 [this](const Json::Value &) { return this->handleBurn(); });
+  Dispatcher.add("operator.held", [this](const Json::Value &) {
+    return this->handleQuarantined();
+  });
   Dispatcher.add("operator.organisations", [this](const Json::Value &) {
-    return this->answerOrganisations();
+    return this->handleOrganisations();
   });
 }
 
@@ -64,7 +65,7 @@
   return Value;
 }
 
-Json::Value OperatorApi::answerStatus() const {
+Json::Value OperatorApi::handleStatus() const {
   const TimePoint Now = readSteadyClock();
   Json::Value Answer;
   Answer["name"] = this->Context.Config.Name;
@@ -91,7 +92,7 @@
   return Answer;
 }
 
-Json::Value OperatorApi::answerExplain(const Json::Value &Params) const {
+Json::Value OperatorApi::handleExplain(const Json::Value &Params) const {
   const FleetRuntimeRef Fleet = this->Context.Fleet.get();
   const std::string Service = Params["service"].asString();
   const std::string Server = Params["server"].asString();
@@ -111,7 +112,7 @@
       {ErrorKind::NotFound, "this daemon does not use " + Server});
 }
 
-Json::Value OperatorApi::answerBurn() const {
+Json::Value OperatorApi::handleBurn() const {
   const TimePoint Now = readSteadyClock();
   Json::Value Answer;
   Answer["samples"] = Json::arrayValue;
@@ -138,11 +139,11 @@
   return Answer;
 }
 
-Json::Value OperatorApi::answerHeld() const {
+Json::Value OperatorApi::handleQuarantined() const {
   const TimePoint Now = readSteadyClock();
   Json::Value Answer;
   Answer["requests"] = Json::arrayValue;
-  for (const SuspectStatus &Status : this->Guard.describe()) {
+  for (const SuspectStatus &Status : this->Quarantine.describe()) {
     Json::Value Entry;
     Entry["asks"] = fmt::format("{:016x}", Status.Record.Request);
     Entry["held"] = Status.IsHeld;
@@ -157,12 +158,12 @@
 
 std::vector<AllowanceStatus> OperatorApi::listOrganisations() const {
   const TimePoint Now = readSteadyClock();
-  return this->Organisations.with([Now](FleetAllowance &All) {
-    return All.describe(MaxListedOrganisations, Now);
+  return this->Organisations.with([Now](FleetAllowance &Quota) {
+    return Quota.describe(MaxListedOrganisations, Now);
   });
 }
 
-Json::Value OperatorApi::answerOrganisations() const {
+Json::Value OperatorApi::handleOrganisations() const {
   Json::Value Answer;
   Answer["organisations"] = Json::arrayValue;
   for (const AllowanceStatus &Status : this->listOrganisations()) {
@@ -188,10 +189,12 @@
                       this->Config.getConfirmedAgeMillis());
   Text +=
       fmt::format("canvaswick_members {}\n", this->Members.getWorking().size());
-  Text += formatPoisonRequests(this->Guard.describe());
+  Text += formatPoisonRequests(this->Quarantine.describe());
   Text += formatOrganisations(this->listOrganisations());
-  Text += formatNotices(this->Context.Notices.with(
-      [](const ServerNotices &All) { return All.count(readSteadyClock()); }));
+  Text +=
+      formatNotices(this->Context.Notices.with([](const ServerNotices &Known) {
+        return Known.count(readSteadyClock());
+      }));
   const FleetRuntimeRef Fleet = this->Context.Fleet.get();
   if (!Fleet)
     return Text;
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -1,4 +1,4 @@
-//===- PeerExchange.cpp - What a gateway and its peers share --------------===//
+//===- PeerExchange.cpp - A gateway's exchange with peers -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The health rounds send; the link's thread takes what comes; threads of
-/// requests borrow.
+/// The health rounds send, the link's thread handles received messages, and the
+/// threads of requests borrow retries.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,64 +18,72 @@
 
 namespace canvaswick {
 
-/// How often another hall hears of this one's servers: a few times within the
-/// shortest spells, and at a price of bytes between halls.
+/// How often a hall sends its estimates to other halls: several times within
+/// the shortest failure episodes, limited by the traffic between halls.
 static constexpr Duration EstimateInterval = fromMillis(400);
 
-/// How often a daemon that has just started hears of its hall's experience:
-/// before the balancer, which asks once a second, has sent it much.
+/// How often a hall sends its estimates to its own daemons, for those that have
+/// just started: before the load balancer, which checks readiness once a
+/// second, sends them many requests.
 static constexpr Duration NewcomerInterval = fromMillis(500);
 
-/// How often a daemon that watches the store says again when it last heard from
-/// it: once more at least while others still count on what it said before, in
-/// case that message was lost.
+/// How often a daemon that watches the store reports the time of the store's
+/// last answer: at least twice within the time for which others rely on one
+/// report, in case a message is lost.
 static constexpr Duration WatcherInterval = fromMillis(300);
 
-/// How often a hall says again under which requests servers ended: a few times
-/// within the three seconds in which all must know it, as messages get lost.
-static constexpr Duration SuspectInterval = fromMillis(500);
+/// How often a hall repeats its report on poison requests: several times within
+/// the three seconds in which all daemons must learn of them, because messages
+/// may be lost.
+static constexpr Duration PoisonReportInterval = fromMillis(500);
 
-/// Ends and answers in one such message; at under 50 bytes each they fit.
-static constexpr size_t MostSuspectRows = 20;
+/// The maximum number of ends and answers in such a message. Each takes less
+/// than 50 bytes, so they fit into a datagram.
+static constexpr size_t MaxPoisonRows = 20;
 
-/// Time that a daemon gives to one message of a peer, on the long run. Together
-/// the daemons of a hall send each other one in this time, so that what one
-/// receives does not grow with the hall: 250 a second.
-static constexpr Duration TimeOfMessage = fromMillis(4);
+/// The average time between two messages within a hall. All daemons of a hall
+/// together send one message per interval to each other, so that a daemon
+/// receives at most 250 a second, however many daemons the hall has.
+static constexpr Duration MessageInterval = fromMillis(4);
 
-/// Messages that may leave at once after a quiet time.
-static constexpr double MostRights = 5;
+/// The size of the token bucket: messages that may be sent at once after an
+/// idle time.
+static constexpr double MaxSendTokens = 5;
 
-/// How often a daemon says again what it has in flight. A lost message that one
-/// has ended would otherwise look like a server that does not answer.
-static constexpr Duration InFlightRepeat = fromMillis(250);
+/// How often a daemon repeats its list of requests in flight. Otherwise the
+/// loss of the message that a request has ended would look like a server that
+/// does not answer.
+static constexpr Duration InFlightResendInterval = fromMillis(250);
 
-/// Where organisations have limits, a daemon speaks to its hall at least this
-/// often, so that silence shows that it is not reached.
+/// If organisations have limits, a daemon sends to its hall at least this
+/// often, so that missing messages show that it is unreachable.
 static constexpr Duration HeartbeatInterval = fromMillis(250);
 
-/// How often a hall tells others of organisations that come near their limit,
-/// of those that ask more than the hall's part, and of all.
-static constexpr Duration HallLevelInterval = fromMillis(200);
-static constexpr Duration UrgentLevelInterval = fromMillis(50);
-static constexpr Duration AllLevelInterval = fromMillis(1000);
+/// How often a hall reports to other halls: organisations close to their limit,
+/// organisations whose demand exceeds the hall's part, and all organisations.
+static constexpr Duration HallUsageInterval = fromMillis(200);
+static constexpr Duration UrgentUsageInterval = fromMillis(50);
+static constexpr Duration FullUsageInterval = fromMillis(1000);
 
 PeerExchange::PeerExchange(const DaemonRecord &Self,
-                           const FleetRuntimeSlot &Fleet, RequestGuard &Guard,
+                           const FleetRuntimeSlot &Fleet,
+                           RequestGuard &Quarantine,
                            OrganisationGate &Organisations,
                            ServerNoticeBoard &Notices, CounterTable &Counters,
-                           PeerLink::Handler Heard,
+                           PeerLink::Handler OnMessage,
                            const PolicySwitches &Switches)
-    : Name(Self.Name), Hall(Self.Hall), Fleet(Fleet), Guard(Guard),
+    : Name(Self.Name), Hall(Self.Hall), Fleet(Fleet), Quarantine(Quarantine),
       Organisations(Organisations), Notices(Notices), Counters(Counters),
-      Heard(std::move(Heard)), Switches(Switches), Rights(MostRights),
-      Loans(std::random_device()(), Counters,
-            [this](const RetryLoan &Loan, bool AsksRemoteHall) {
-              this->Link.sendLoanRequest(Loan, AsksRemoteHall);
-            }),
+      OnMessage(std::move(OnMessage)), Switches(Switches),
+      SendTokens(MaxSendTokens),
+      Borrower(std::random_device()(), Counters,
+               [this](const RetryLoan &Loan, bool AsksRemoteHall) {
+                 this->Link.sendLoanRequest(Loan, AsksRemoteHall);
+               }),
       Link(Self, static_cast<uint64_t>(readCalendarMillis()), Counters,
-           [this](const PeerMessage &Message) { this->takeMessage(Message); }) {
-}
+           [this](const PeerMessage &Message) {
+             this->handleMessage(Message);
+           }) {}
 
 Result<void> PeerExchange::start() { return this->Link.start(); }
 
@@ -83,42 +91,46 @@
 
 void PeerExchange::setPeers(const std::vector<DaemonRecord> &Daemons) {
   this->Link.setPeers(Daemons);
-  std::vector<std::string> Near;
-  std::map<std::string, size_t> Far;
+  std::vector<std::string> LocalPeers;
+  std::map<std::string, size_t> RemotePeers;
   for (const DaemonRecord &Each : Daemons)
     if (Each.Hall != this->Hall)
-      ++Far[Each.Hall];
+      ++RemotePeers[Each.Hall];
     else if (Each.Name != this->Name)
-      Near.push_back(Each.Name);
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.getHeard().setFleet(Near, Far, readSteadyClock());
+      LocalPeers.push_back(Each.Name);
+  this->Organisations.with([&](FleetAllowance &Quota) {
+    Quota.getHeard().setFleet(LocalPeers, RemotePeers, readSteadyClock());
   });
 }
 
-void PeerExchange::setStoreState(const StoreState &State, bool IsNews,
+void PeerExchange::setStoreState(const StoreState &State, bool ShouldNotify,
                                  TimePoint Now) {
   this->IsWatching = State.IsWatching;
   this->Link.setStoreState(State);
-  if (IsNews)
+  if (ShouldNotify)
     this->Link.sendStoreState(Now);
 }
 
-/// Takes the right to one message now. The caller holds NewsMutex.
-bool PeerExchange::takeRight(TimePoint Now) {
-  const double Each = toSeconds(TimeOfMessage) *
-                      static_cast<double>(this->Link.countHallDaemons());
-  const double Grown = toSeconds(Now - this->RightsAt) / Each;
-  this->Rights = std::min(MostRights, this->Rights + std::max(0.0, Grown));
-  this->RightsAt = std::max(this->RightsAt, Now);
-  if (this->Rights < 1)
+/// Takes the token for one message. Returns false if there is none. The caller
+/// holds UpdateMutex.
+bool PeerExchange::takeSendToken(TimePoint Now) {
+  const double SecondsPerToken =
+      toSeconds(MessageInterval) *
+      static_cast<double>(this->Link.countHallDaemons());
+  const double Earned = toSeconds(Now - this->TokensUpdated) / SecondsPerToken;
+  this->SendTokens =
+      std::min(MaxSendTokens, this->SendTokens + std::max(0.0, Earned));
+  this->TokensUpdated = std::max(this->TokensUpdated, Now);
+  if (this->SendTokens < 1)
     return false;
-  this->Rights -= 1;
+  this->SendTokens -= 1;
   return true;
 }
 
-/// Sends what was seen since the last message and all that is in flight. The
-/// caller holds NewsMutex, so that messages leave in the order of their counts.
-void PeerExchange::sendNews(const FleetRuntime &Current, TimePoint Now) {
+/// Sends the observations since the last message and all requests in flight.
+/// The caller holds UpdateMutex, so that messages are sent in the order of
+/// their sequence numbers.
+void PeerExchange::sendUpdate(const FleetRuntime &Current, TimePoint Now) {
   std::vector<Observation> Observations;
   std::vector<InFlightReport> InFlight;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
@@ -127,17 +139,17 @@
     if (this->Switches.isOn(Mechanism::SharedInFlight))
       Service->addInFlight(InFlight, Now);
   }
-  this->HasNews = false;
+  this->HasPendingUpdate = false;
   this->HadInFlight = !InFlight.empty();
-  this->NewsAt = Now;
+  this->LastUpdate = Now;
   std::vector<AllowanceLevel> Usages =
-      this->Organisations.with([Now](FleetAllowance &All) {
-        return All.takeNews(PeerLink::MaxPiggybackedUsages, Now);
+      this->Organisations.with([Now](FleetAllowance &Quota) {
+        return Quota.takeNews(PeerLink::MaxPiggybackedUsages, Now);
       });
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
-    Limits = this->Notices.with([Now](ServerNotices &All) {
-      return All.takeNews(PeerLink::MaxPiggybackedLimits, Now);
+    Limits = this->Notices.with([Now](ServerNotices &Known) {
+      return Known.takeNews(PeerLink::MaxPiggybackedLimits, Now);
     });
   if (this->Switches.isOn(Mechanism::PooledObservations))
     this->Link.sendObservations(std::move(Observations), InFlight,
@@ -148,104 +160,108 @@
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
-  std::lock_guard<std::mutex> Lock(this->NewsMutex);
-  this->HasNews = true;
-  if (this->Switches.isOn(Mechanism::SharedInFlight) && this->takeRight(Now))
-    this->sendNews(*Current, Now);
+  std::lock_guard<std::mutex> Lock(this->UpdateMutex);
+  this->HasPendingUpdate = true;
+  if (this->Switches.isOn(Mechanism::SharedInFlight) &&
+      this->takeSendToken(Now))
+    this->sendUpdate(*Current, Now);
 }
 
-/// Sends what could not be sent at once, and says again what is in flight.
-void PeerExchange::repeatInFlight(const FleetRuntime &Current, TimePoint Now) {
-  std::lock_guard<std::mutex> Lock(this->NewsMutex);
-  const bool IsRepeatDue =
-      this->HadInFlight && Now - this->NewsAt >= InFlightRepeat;
-  if (!this->HasNews && !IsRepeatDue)
+/// Sends an update that had no token at first, or repeats the requests in
+/// flight when that is due.
+void PeerExchange::sendDueUpdate(const FleetRuntime &Current, TimePoint Now) {
+  std::lock_guard<std::mutex> Lock(this->UpdateMutex);
+  const bool IsResendDue =
+      this->HadInFlight && Now - this->LastUpdate >= InFlightResendInterval;
+  if (!this->HasPendingUpdate && !IsResendDue)
     return;
-  if (!this->Switches.isOn(Mechanism::SharedInFlight) || this->takeRight(Now))
-    this->sendNews(Current, Now);
+  if (!this->Switches.isOn(Mechanism::SharedInFlight) ||
+      this->takeSendToken(Now))
+    this->sendUpdate(Current, Now);
 }
 
-/// Returns what other halls should hear now of organisations, or nothing if
-/// nothing is due or another daemon of this hall tells it.
+/// Returns the usage to report to other halls now, or nothing if none is due or
+/// another daemon reports for this hall.
 std::optional<std::vector<AllowanceLevel>>
-PeerExchange::takeHallNews(TimePoint Now) {
-  const Duration Since = Now - this->HallLevelsAt;
-  if (Since < UrgentLevelInterval)
+PeerExchange::collectHallUsage(TimePoint Now) {
+  const Duration Since = Now - this->HallUsageSent;
+  if (Since < UrgentUsageInterval)
     return std::nullopt;
-  const bool WantsAll = Now - this->AllLevelsAt >= AllLevelInterval;
-  std::optional<std::vector<AllowanceLevel>> News;
-  this->Organisations.with([&](FleetAllowance &All) {
-    if (!All.getHeard().isFirst(this->Name, Now))
+  const bool WantsAll = Now - this->FullHallUsageSent >= FullUsageInterval;
+  std::optional<std::vector<AllowanceLevel>> Update;
+  this->Organisations.with([&](FleetAllowance &Quota) {
+    if (!Quota.getHeard().isFirst(this->Name, Now))
       return;
-    if (Since >= HallLevelInterval || All.isUrgent(Now))
-      News = All.getHallLevels(WantsAll, Now);
+    if (Since >= HallUsageInterval || Quota.isUrgent(Now))
+      Update = Quota.getHallLevels(WantsAll, Now);
   });
-  if (!News)
+  if (!Update)
     return std::nullopt;
-  this->HallLevelsAt = Now;
+  this->HallUsageSent = Now;
   if (WantsAll)
-    this->AllLevelsAt = Now;
-  return News;
+    this->FullHallUsageSent = Now;
+  return Update;
 }
 
-/// Speaks to this hall if that is due, and for it to the other halls if that is
-/// this daemon's part.
-void PeerExchange::tellOrganisations(const FleetRuntime &Current,
-                                     TimePoint Now) {
+/// Sends a heartbeat to this hall if one is due, and the hall's usage to other
+/// halls if this daemon is the hall reporter.
+void PeerExchange::reportQuotaUsage(const FleetRuntime &Current,
+                                    TimePoint Now) {
   if (!this->Organisations.with(
-          [](FleetAllowance &All) { return All.hasLimits(); }))
+          [](FleetAllowance &Quota) { return Quota.hasLimits(); }))
     return;
   {
-    std::lock_guard<std::mutex> Lock(this->NewsMutex);
-    if (Now - this->NewsAt >= HeartbeatInterval)
-      this->sendNews(Current, Now);
+    std::lock_guard<std::mutex> Lock(this->UpdateMutex);
+    if (Now - this->LastUpdate >= HeartbeatInterval)
+      this->sendUpdate(Current, Now);
   }
-  if (const auto News = this->takeHallNews(Now))
-    this->Link.sendHallUsages(*News);
+  if (const auto Update = this->collectHallUsage(Now))
+    this->Link.sendHallUsages(*Update);
 }
 
 void PeerExchange::runRound(const FleetRuntime &Current, Duration Interval,
                             TimePoint Now) {
-  this->repeatInFlight(Current, Now);
-  this->tellOrganisations(Current, Now);
-  if (this->IsWatching && Now - this->WatcherNewsAt >= WatcherInterval) {
-    this->WatcherNewsAt = Now;
+  this->sendDueUpdate(Current, Now);
+  this->reportQuotaUsage(Current, Now);
+  if (this->IsWatching && Now - this->StoreStateSent >= WatcherInterval) {
+    this->StoreStateSent = Now;
     this->Link.sendStoreState(Now);
   }
-  if (this->isMyTurn(SuspectInterval, Interval))
-    this->retellSuspects(Now);
+  if (this->drawTurn(PoisonReportInterval, Interval))
+    this->resendPoisonRequests(Now);
   if (this->Switches.isOn(Mechanism::HallEstimates) &&
-      this->isMyTurn(EstimateInterval, Interval))
+      this->drawTurn(EstimateInterval, Interval))
     this->sendEstimates(Current, Now);
   if (this->Switches.isOn(Mechanism::NewcomerEstimates) &&
-      this->isMyTurn(NewcomerInterval, Interval))
+      this->drawTurn(NewcomerInterval, Interval))
     this->sendUsedEstimates(Current, Now);
 }
 
-void PeerExchange::reportPoisonRequests(const SuspectNews &News,
+void PeerExchange::reportPoisonRequests(const SuspectNews &Update,
                                         TimePoint Now) {
-  this->Link.sendPoisonReport(makePoisonReport(News, Now));
+  this->Link.sendPoisonReport(makePoisonReport(Update, Now));
 }
 
-/// Says again what the hall knows of requests under which servers ended, for
-/// those that missed it or have just started.
-void PeerExchange::retellSuspects(TimePoint Now) {
-  const SuspectNews News = this->Guard.makeNews(MostSuspectRows, Now);
-  if (!News.isEmpty())
-    this->reportPoisonRequests(News, Now);
+/// Repeats the report on poison requests, for daemons that missed it or have
+/// just started.
+void PeerExchange::resendPoisonRequests(TimePoint Now) {
+  const SuspectNews Update = this->Quarantine.makeNews(MaxPoisonRows, Now);
+  if (!Update.isEmpty())
+    this->reportPoisonRequests(Update, Now);
 }
 
-/// Draws whether this daemon is the one of its hall to speak in this round, so
-/// that together they do once in Wanted. All think nearly the same.
-bool PeerExchange::isMyTurn(Duration Wanted, Duration Interval) {
+/// Decides at random whether this daemon sends for its hall in this round, so
+/// that the hall sends about once per Wanted. It need not matter which daemon
+/// does: their knowledge is nearly the same.
+bool PeerExchange::drawTurn(Duration Wanted, Duration Interval) {
   const double Rounds = toSeconds(Wanted) / toSeconds(Interval);
   const double Daemons = static_cast<double>(this->Link.countHallDaemons());
   std::bernoulli_distribution IsDue(std::min(1.0, 1 / (Rounds * Daemons)));
   return IsDue(this->Random);
 }
 
-/// Tells other halls what this one thinks of its servers and how its requests
-/// fare.
+/// Sends this hall's estimates of its servers and its failure rates to other
+/// halls.
 void PeerExchange::sendEstimates(const FleetRuntime &Current, TimePoint Now) {
   std::vector<Estimate> Estimates;
   std::vector<HallRate> Rates;
@@ -256,15 +272,15 @@
   }
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
-    Limits = this->Notices.with([Now](const ServerNotices &All) {
-      return All.listLimits(PeerLink::MaxPiggybackedLimits, Now);
+    Limits = this->Notices.with([Now](const ServerNotices &Known) {
+      return Known.listLimits(PeerLink::MaxPiggybackedLimits, Now);
     });
   this->Link.sendEstimates(std::move(Estimates), std::move(Rates),
                            std::move(Limits));
 }
 
-/// Tells daemons of this hall that have just started what it thinks of all
-/// servers that it has used.
+/// Sends estimates of all servers that this daemon has used to its hall, for
+/// daemons that have just started.
 void PeerExchange::sendUsedEstimates(const FleetRuntime &Current,
                                      TimePoint Now) {
   std::vector<Estimate> Estimates;
@@ -277,12 +293,13 @@
 
 bool PeerExchange::borrowRepeat(ServiceRuntime &Service, TimePoint Now) {
   return this->Switches.isOn(Mechanism::RepeatLoans) &&
-         this->Loans.borrow(Service, Now);
+         this->Borrower.borrow(Service, Now);
 }
 
-/// Lends to a peer that asks, and takes what one lends.
-void PeerExchange::takeLoans(const FleetRuntime &Current,
-                             const PeerMessage &Message, TimePoint Now) {
+/// Grants requested loans if a retry is left, and passes on the grants that
+/// arrive.
+void PeerExchange::handleLoans(const FleetRuntime &Current,
+                               const PeerMessage &Message, TimePoint Now) {
   for (const RetryLoan &Loan : Message.LoanRequests)
     for (const ServiceRuntimeRef &Service : Current.getServices())
       if (Service->getId() == Loan.Service && Service->tryLendRepeat(Now)) {
@@ -290,12 +307,12 @@
         this->Link.sendLoanGrant(Message.Source, Loan);
       }
   for (const RetryLoan &Loan : Message.LoanGrants)
-    this->Loans.handleGrant(Loan);
+    this->Borrower.handleGrant(Loan);
 }
 
-/// Takes what a peer saw and thinks, for one service.
-void PeerExchange::takeEvidence(ServiceRuntime &Service,
-                                const PeerMessage &Message, TimePoint Now) {
+/// Applies a peer's observations and estimates to one service.
+void PeerExchange::applyEvidence(ServiceRuntime &Service,
+                                 const PeerMessage &Message, TimePoint Now) {
   for (const Observation &Each : Message.Observations)
     Service.takeObservation(Each, Now);
   if (Message.InFlight && Message.Hall == this->Hall)
@@ -313,32 +330,33 @@
       logNotice(Change, "");
 }
 
-/// Takes what a peer says of organisations. Any message of this hall shows that
-/// its daemon is reached.
-void PeerExchange::takeLevels(const PeerMessage &Message, TimePoint Now) {
-  this->Organisations.with([&](FleetAllowance &All) {
+/// Applies a peer's usage report. Any message from this hall shows that its
+/// sender is reachable.
+void PeerExchange::applyQuotaUsage(const PeerMessage &Message, TimePoint Now) {
+  this->Organisations.with([&](FleetAllowance &Quota) {
     if (Message.Hall == this->Hall)
-      All.takePeerLevels(Message.Source, Message.Usages, Now);
+      Quota.takePeerLevels(Message.Source, Message.Usages, Now);
     else if (Message.HallUsages)
-      All.takeHallLevels(Message.Hall, Message.Source, *Message.HallUsages,
-                         Now);
+      Quota.takeHallLevels(Message.Hall, Message.Source, *Message.HallUsages,
+                           Now);
   });
 }
 
-/// Takes what a peer says, on the link's thread.
-void PeerExchange::takeMessage(const PeerMessage &Message) {
-  if (this->Heard)
-    this->Heard(Message);
+/// Handles a peer's message on the link's thread.
+void PeerExchange::handleMessage(const PeerMessage &Message) {
+  if (this->OnMessage)
+    this->OnMessage(Message);
   const TimePoint Now = readSteadyClock();
-  this->takeLevels(Message, Now);
+  this->applyQuotaUsage(Message, Now);
   if (!Message.PoisonRequests.isEmpty())
-    this->Guard.takeNews(readPoisonReport(Message.PoisonRequests, Now), Now);
+    this->Quarantine.takeNews(readPoisonReport(Message.PoisonRequests, Now),
+                              Now);
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
-  this->takeLoans(*Current, Message, Now);
+  this->handleLoans(*Current, Message, Now);
   for (const ServiceRuntimeRef &Service : Current->getServices())
-    this->takeEvidence(*Service, Message, Now);
+    this->applyEvidence(*Service, Message, Now);
 }
 
 } // namespace canvaswick
