--- a/lib/Daemon/PeerExchange.h
+++ b/lib/Daemon/PeerExchange.h
@@ -1,4 +1,4 @@
-//===- PeerExchange.h - What a gateway and its peers share ------*- C++ -*-===//
+//===- PeerExchange.h - A gateway's exchange with peers ---------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Decides what of a daemon's knowledge goes to which peers and how often, and
-/// hands what comes from them to the services: observations, estimates, rates,
-/// rights to repeats and how far the copy of the store goes. Private to this
-/// library.
+/// Decides what a daemon sends to which peers and how often, and passes what it
+/// receives to the services: observations, estimates, failure rates, retry
+/// loans and the position of the store's replica. Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,89 +28,91 @@
 
 namespace canvaswick {
 
-/// The exchange of one daemon with its peers. Thread-safe, but for runRound.
+/// The exchange of one daemon with its peers. Thread-safe except for runRound.
 class PeerExchange {
 public:
-  /// Self is how peers know this daemon; Fleet holds what it serves by, Guard
-  /// what it knows of requests under which servers end, Organisations what
-  /// these may send. Heard, which may be empty, is called first with each
+  /// Self is the record by which peers know this daemon, Fleet the state that
+  /// it serves, Quarantine its knowledge of poison requests, Organisations
+  /// their quotas. OnMessage, which may be empty, is called first for each
   /// message, on the link's thread.
   PeerExchange(const DaemonRecord &Self, const FleetRuntimeSlot &Fleet,
-               RequestGuard &Guard, OrganisationGate &Organisations,
+               RequestGuard &Quarantine, OrganisationGate &Organisations,
                ServerNoticeBoard &Notices, CounterTable &Counters,
-               PeerLink::Handler Heard, const PolicySwitches &Switches);
+               PeerLink::Handler OnMessage, const PolicySwitches &Switches);
 
-  /// Binds the socket and starts to receive. Fails with Io.
+  /// Binds the socket and starts to receive. Fails like PeerLink::start.
   Result<void> start();
 
-  /// Ends the receiving thread.
+  /// Stops the receiving thread.
   void stop();
 
-  /// Takes the daemons of the fleet, this one included or not.
+  /// Sets the daemons of the fleet. This daemon may be among them.
   void setPeers(const std::vector<DaemonRecord> &Daemons);
 
-  /// Says where this daemon stands with the store. IsNews: peers are told at
-  /// once.
-  void setStoreState(const StoreState &State, bool IsNews, TimePoint Now);
+  /// Sets this daemon's state with regard to the store. Peers are notified at
+  /// once if ShouldNotify is set.
+  void setStoreState(const StoreState &State, bool ShouldNotify, TimePoint Now);
 
-  /// Tells peers what has not been told yet and, when it is due, what this
-  /// daemon thinks of servers. Interval is the time between two rounds,
-  /// which one thread runs.
+  /// Sends pending updates and, when they are due, this daemon's estimates of
+  /// servers. Interval is the time between two rounds. All rounds run on one
+  /// thread.
   void runRound(const FleetRuntime &Current, Duration Interval, TimePoint Now);
 
-  /// Tells peers that a request has begun or ended, at once unless this daemon
-  /// has said much of late: then the next round does.
+  /// Reports to peers that a request has begun or ended: at once, or in the
+  /// next round if this daemon has used up its send rate.
   void notifyRequestChange(TimePoint Now);
 
-  /// Tells peers at once under which request a server ended, or that one was
-  /// answered.
-  void reportPoisonRequests(const SuspectNews &News, TimePoint Now);
+  /// Reports to peers at once that a server crashed during a request, or that a
+  /// suspected request was answered.
+  void reportPoisonRequests(const SuspectNews &Update, TimePoint Now);
 
-  /// Borrows the right to one repeat of a service from peers.
+  /// Borrows one retry of a service from peers. Returns whether one was
+  /// granted.
   bool borrowRepeat(ServiceRuntime &Service, TimePoint Now);
 
 private:
-  bool takeRight(TimePoint Now);
-  void sendNews(const FleetRuntime &Current, TimePoint Now);
-  void repeatInFlight(const FleetRuntime &Current, TimePoint Now);
-  bool isMyTurn(Duration Wanted, Duration Interval);
+  bool takeSendToken(TimePoint Now);
+  void sendUpdate(const FleetRuntime &Current, TimePoint Now);
+  void sendDueUpdate(const FleetRuntime &Current, TimePoint Now);
+  bool drawTurn(Duration Wanted, Duration Interval);
   void sendEstimates(const FleetRuntime &Current, TimePoint Now);
   void sendUsedEstimates(const FleetRuntime &Current, TimePoint Now);
-  void retellSuspects(TimePoint Now);
-  std::optional<std::vector<AllowanceLevel>> takeHallNews(TimePoint Now);
-  void tellOrganisations(const FleetRuntime &Current, TimePoint Now);
-  void takeLevels(const PeerMessage &Message, TimePoint Now);
-  void takeMessage(const PeerMessage &Message);
-  void takeLoans(const FleetRuntime &Current, const PeerMessage &Message,
-                 TimePoint Now);
-  void takeEvidence(ServiceRuntime &Service, const PeerMessage &Message,
-                    TimePoint Now);
+  void resendPoisonRequests(TimePoint Now);
+  std::optional<std::vector<AllowanceLevel>> collectHallUsage(TimePoint Now);
+  void reportQuotaUsage(const FleetRuntime &Current, TimePoint Now);
+  void applyQuotaUsage(const PeerMessage &Message, TimePoint Now);
+  void handleMessage(const PeerMessage &Message);
+  void handleLoans(const FleetRuntime &Current, const PeerMessage &Message,
+                   TimePoint Now);
+  void applyEvidence(ServiceRuntime &Service, const PeerMessage &Message,
+                     TimePoint Now);
 
   const std::string Name;
   const std::string Hall;
   const FleetRuntimeSlot &Fleet;
-  RequestGuard &Guard;
+  RequestGuard &Quarantine;
   OrganisationGate &Organisations;
   ServerNoticeBoard &Notices;
   CounterTable &Counters;
-  const PeerLink::Handler Heard;
+  const PeerLink::Handler OnMessage;
   std::atomic<bool> IsWatching{false};
   /// Used by the rounds only.
-  TimePoint WatcherNewsAt{};
-  TimePoint HallLevelsAt{};
-  TimePoint AllLevelsAt{};
+  TimePoint StoreStateSent{};
+  TimePoint HallUsageSent{};
+  TimePoint FullHallUsageSent{};
   std::mt19937_64 Random{std::random_device()()};
   const PolicySwitches Switches;
-  /// Guards what stands below it.
-  std::mutex NewsMutex;
-  /// Messages that may go out at once, and when they were last counted.
-  double Rights;
-  TimePoint RightsAt{};
-  TimePoint NewsAt{};
-  bool HasNews = false;
+  /// Guards the members from here to HadInFlight.
+  std::mutex UpdateMutex;
+  /// Token bucket that limits the rate of messages, and when it was last
+  /// refilled.
+  double SendTokens;
+  TimePoint TokensUpdated{};
+  TimePoint LastUpdate{};
+  bool HasPendingUpdate = false;
   bool HadInFlight = false;
-  RetryBorrower Loans;
-  /// Last: its thread reaches all others.
+  RetryBorrower Borrower;
+  /// Declared last, because its thread uses all other members.
   PeerLink Link;
 };
 
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -1,4 +1,4 @@
-//===- PeerLink.cpp - Observations between daemons, by datagrams ----------===//
+//===- PeerLink.cpp - Datagrams between daemons ---------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One UDP socket; a thread receives, anyone sends.
+/// Uses one UDP socket. One thread receives; any thread may send.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,29 +26,34 @@
 
 namespace canvaswick {
 
-/// Longest datagram: one that crosses any link in one piece.
+/// The maximum size of a datagram, which crosses common links without
+/// fragmentation.
 static constexpr size_t MaxDatagramBytes = 1400;
 
-/// Rows in one datagram; at under 30 bytes each they fit.
-static constexpr size_t MaxListed = 40;
+/// The maximum number of rows in one datagram. Each takes less than 30 bytes,
+/// so they fit.
+static constexpr size_t MaxRows = 40;
 static constexpr size_t MaxRates = 10;
 
-/// Levels in one datagram; at under 33 bytes each they fit.
-static constexpr size_t MaxLevels = 36;
+/// The maximum number of usage rows in one datagram. Each takes less than 33
+/// bytes, so they fit.
+static constexpr size_t MaxUsages = 36;
 
-/// Requests in flight in one datagram, among the MaxListed rows.
+/// The maximum number of requests in flight in one datagram; they count towards
+/// MaxRows.
 static constexpr size_t MaxInFlight = 30;
 
-/// Peers that are asked at once for a repeat, near ones first and then one of
-/// another hall too: a hall whose servers fail runs out as a whole. What two
-/// give in vain is lost to the fleet for a window.
-static constexpr size_t AskedAtOnce = 2;
+/// The number of peers from which a loan is requested at once: of the same hall
+/// at first, then including one of another hall, because a hall whose servers
+/// fail runs out of retries as a whole. It is small because a grant that is not
+/// used is lost to the fleet for a window.
+static constexpr size_t PeersPerRequest = 2;
 
-/// Messages that are remembered, to leave out what comes twice.
-static constexpr size_t RecentKept = 512;
+/// The number of messages that are remembered to drop duplicates.
+static constexpr size_t MaxRecentMessages = 512;
 
-/// How often the receiving thread looks whether it should end.
-static constexpr int ReceiveMillis = 500;
+/// The interval at which the receiving thread checks whether to stop.
+static constexpr int ReceiveTimeoutMillis = 500;
 
 PeerLink::PeerLink(DaemonRecord Self, uint64_t FirstSequence,
                    CounterTable &Counters, Handler Handle)
@@ -68,14 +73,14 @@
   sockaddr_in Address;
   if (!makeSocketAddress(this->Self.Peer, Address))
     return makeError(ErrorKind::InvalidArgument,
-                     "not an address: " + this->Self.Peer.format());
+                     "cannot parse the address " + this->Self.Peer.format());
   this->Descriptor =
       ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (this->Descriptor < 0 ||
       ::bind(this->Descriptor, reinterpret_cast<const sockaddr *>(&Address),
              sizeof(Address)) != 0)
     return makeError(ErrorKind::Io,
-                     "cannot bind to udp " + this->Self.Peer.format());
+                     "cannot bind to UDP address " + this->Self.Peer.format());
   this->Thread = std::thread([this] { this->runThread(); });
   return outcome::success();
 }
@@ -92,19 +97,19 @@
 
 void PeerLink::setPeers(std::vector<DaemonRecord> Peers) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Near.clear();
-  this->Far.clear();
+  this->LocalPeers.clear();
+  this->RemotePeers.clear();
   for (DaemonRecord &Peer : Peers) {
     if (Peer.Name == this->Self.Name)
       continue;
     if (Peer.Hall == this->Self.Hall)
-      this->Near.push_back(std::move(Peer));
+      this->LocalPeers.push_back(std::move(Peer));
     else
-      this->Far[Peer.Hall].push_back(std::move(Peer));
+      this->RemotePeers[Peer.Hall].push_back(std::move(Peer));
   }
 }
 
-/// Sends one datagram, unless the link has been stopped. The caller holds the
+/// Sends one datagram unless the link has been stopped. The caller holds the
 /// mutex.
 void PeerLink::sendTo(const Endpoint &Peer, const std::string &Text) {
   if (this->Descriptor < 0)
@@ -112,7 +117,7 @@
   sockaddr_in Address;
   if (!makeSocketAddress(Peer, Address))
     return;
-  // A datagram that cannot be sent now is worth nothing later.
+  // A datagram that cannot be sent now is dropped: later it would be outdated.
   const ssize_t Sent =
       ::sendto(this->Descriptor, Text.data(), Text.size(), 0,
                reinterpret_cast<const sockaddr *>(&Address), sizeof(Address));
@@ -124,17 +129,17 @@
 
 void PeerLink::sendWithinHall(const std::string &Text) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const DaemonRecord &Peer : this->Near)
+  for (const DaemonRecord &Peer : this->LocalPeers)
     this->sendTo(Peer.Peer, Text);
 }
 
 void PeerLink::sendToOtherHalls(const std::string &Text) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const auto &[Hall, Peers] : this->Far)
+  for (const auto &[Hall, Peers] : this->RemotePeers)
     this->sendTo(Peers[this->Random() % Peers.size()].Peer, Text);
 }
 
-/// Called without the mutex.
+/// Fills in the header of a message. The caller does not hold the mutex.
 PeerMessage PeerLink::makeMessage() {
   PeerMessage Message;
   Message.Source = this->Self.Name;
@@ -145,14 +150,14 @@
   return Message;
 }
 
-/// Takes at most Count elements off the end of All.
+/// Removes up to Count elements from the end of All and returns them.
 template <typename T>
-static std::vector<T> takeSome(std::vector<T> &All, size_t Count) {
-  const size_t Taken = std::min(All.size(), Count);
-  const auto First = All.end() - static_cast<ptrdiff_t>(Taken);
-  std::vector<T> Some(First, All.end());
+static std::vector<T> extractLast(std::vector<T> &All, size_t Count) {
+  const size_t Extracted = std::min(All.size(), Count);
+  const auto First = All.end() - static_cast<ptrdiff_t>(Extracted);
+  std::vector<T> Last(First, All.end());
   All.erase(First, All.end());
-  return Some;
+  return Last;
 }
 
 void PeerLink::sendObservations(std::vector<Observation> Observations,
@@ -163,17 +168,18 @@
   First.Usages = std::move(Usages);
   First.Limits = std::move(Limits);
   First.InFlight = InFlight;
-  // One that has more than this out says little by each of them.
+  // With more requests in flight than this, each one carries little
+  // information.
   if (First.InFlight->size() > MaxInFlight)
     First.InFlight->resize(MaxInFlight);
-  const size_t Taken =
+  const size_t UsedRows =
       First.InFlight->size() + First.Usages.size() + First.Limits.size();
   First.Observations =
-      takeSome(Observations, MaxListed - std::min(MaxListed, Taken));
+      extractLast(Observations, MaxRows - std::min(MaxRows, UsedRows));
   this->sendWithinHall(encodePeerMessage(First));
   while (!Observations.empty()) {
     PeerMessage Message = this->makeMessage();
-    Message.Observations = takeSome(Observations, MaxListed);
+    Message.Observations = extractLast(Observations, MaxRows);
     this->sendWithinHall(encodePeerMessage(Message));
   }
 }
@@ -181,7 +187,7 @@
 void PeerLink::sendHallUsages(std::vector<AllowanceLevel> Usages) {
   do {
     PeerMessage Message = this->makeMessage();
-    Message.HallUsages = takeSome(Usages, MaxLevels);
+    Message.HallUsages = extractLast(Usages, MaxUsages);
     this->sendToOtherHalls(encodePeerMessage(Message));
   } while (!Usages.empty());
 }
@@ -192,8 +198,8 @@
   while (!Estimates.empty() || !Rates.empty()) {
     PeerMessage Message = this->makeMessage();
     Message.Limits = std::exchange(Limits, {});
-    Message.Rates = takeSome(Rates, MaxRates);
-    Message.Estimates = takeSome(Estimates, MaxListed - Message.Limits.size());
+    Message.Rates = extractLast(Rates, MaxRates);
+    Message.Estimates = extractLast(Estimates, MaxRows - Message.Limits.size());
     this->sendToOtherHalls(encodePeerMessage(Message));
   }
 }
@@ -201,7 +207,7 @@
 void PeerLink::sendLocalEstimates(std::vector<Estimate> Estimates) {
   while (!Estimates.empty()) {
     PeerMessage Message = this->makeMessage();
-    Message.Estimates = takeSome(Estimates, MaxListed);
+    Message.Estimates = extractLast(Estimates, MaxRows);
     this->sendWithinHall(encodePeerMessage(Message));
   }
 }
@@ -225,20 +231,22 @@
   this->sendToOtherHalls(Text);
 }
 
-/// Draws whom to ask for a repeat. The caller holds the mutex.
-std::vector<DaemonRecord> PeerLink::drawAsked(bool AsksRemoteHall) {
-  const size_t FarCount = AsksRemoteHall && !this->Far.empty() ? 1 : 0;
-  std::vector<DaemonRecord> Drawn;
-  std::sample(this->Near.begin(), this->Near.end(), std::back_inserter(Drawn),
-              AskedAtOnce - FarCount, this->Random);
-  if (FarCount > 0) {
-    const auto Hall =
-        std::next(this->Far.begin(),
-                  static_cast<ptrdiff_t>(this->Random() % this->Far.size()));
+/// Chooses the peers from which to request a loan. The caller holds the mutex.
+std::vector<DaemonRecord> PeerLink::chooseLenders(bool AsksRemoteHall) {
+  const size_t RemoteCount =
+      AsksRemoteHall && !this->RemotePeers.empty() ? 1 : 0;
+  std::vector<DaemonRecord> Chosen;
+  std::sample(this->LocalPeers.begin(), this->LocalPeers.end(),
+              std::back_inserter(Chosen), PeersPerRequest - RemoteCount,
+              this->Random);
+  if (RemoteCount > 0) {
+    const auto Hall = std::next(
+        this->RemotePeers.begin(),
+        static_cast<ptrdiff_t>(this->Random() % this->RemotePeers.size()));
     std::sample(Hall->second.begin(), Hall->second.end(),
-                std::back_inserter(Drawn), FarCount, this->Random);
+                std::back_inserter(Chosen), RemoteCount, this->Random);
   }
-  return Drawn;
+  return Chosen;
 }
 
 void PeerLink::sendLoanRequest(const RetryLoan &Loan, bool AsksRemoteHall) {
@@ -246,7 +254,7 @@
   Message.LoanRequests.push_back(Loan);
   const std::string Text = encodePeerMessage(Message);
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const DaemonRecord &Peer : this->drawAsked(AsksRemoteHall))
+  for (const DaemonRecord &Peer : this->chooseLenders(AsksRemoteHall))
     this->sendTo(Peer.Peer, Text);
 }
 
@@ -255,14 +263,14 @@
   Message.LoanGrants.push_back(Loan);
   const std::string Text = encodePeerMessage(Message);
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto SendToAsker = [&](const std::vector<DaemonRecord> &Peers) {
+  const auto SendToBorrower = [&](const std::vector<DaemonRecord> &Peers) {
     for (const DaemonRecord &Peer : Peers)
       if (Peer.Name == Daemon)
         this->sendTo(Peer.Peer, Text);
   };
-  SendToAsker(this->Near);
-  for (const auto &[Hall, Peers] : this->Far)
-    SendToAsker(Peers);
+  SendToBorrower(this->LocalPeers);
+  for (const auto &[Hall, Peers] : this->RemotePeers)
+    SendToBorrower(Peers);
 }
 
 void PeerLink::setStoreState(const StoreState &State) {
@@ -272,15 +280,16 @@
 
 size_t PeerLink::countHallDaemons() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Near.size() + 1;
+  return this->LocalPeers.size() + 1;
 }
 
 bool PeerLink::isNew(const PeerMessage &Message) {
-  const std::pair<std::string, uint64_t> Mark(Message.Source, Message.Sequence);
-  if (!this->Recent.insert(Mark).second)
+  const std::pair<std::string, uint64_t> MessageId(Message.Source,
+                                                   Message.Sequence);
+  if (!this->Recent.insert(MessageId).second)
     return false;
-  this->RecentOrder.push_back(Mark);
-  if (this->RecentOrder.size() > RecentKept) {
+  this->RecentOrder.push_back(MessageId);
+  if (this->RecentOrder.size() > MaxRecentMessages) {
     this->Recent.erase(this->RecentOrder.front());
     this->RecentOrder.pop_front();
   }
@@ -295,21 +304,22 @@
                Message.error().Message, Text.size());
     return;
   }
-  PeerMessage &Taken = Message.value();
-  if (Taken.Source == this->Self.Name || !this->isNew(Taken))
+  PeerMessage &Received = Message.value();
+  if (Received.Source == this->Self.Name || !this->isNew(Received))
     return;
   this->Counters.add(Counter::PeerDatagramsTaken);
-  // What is asked of this daemon, or lent to it, is for nobody else.
-  const bool IsForAll = Taken.LoanRequests.empty() && Taken.LoanGrants.empty();
-  if (Taken.Hall != this->Self.Hall && !Taken.IsRelayed && IsForAll) {
-    Taken.IsRelayed = true;
-    this->sendWithinHall(encodePeerMessage(Taken));
+  // Loan requests and grants are for this daemon only and are not relayed.
+  const bool IsForAll =
+      Received.LoanRequests.empty() && Received.LoanGrants.empty();
+  if (Received.Hall != this->Self.Hall && !Received.IsRelayed && IsForAll) {
+    Received.IsRelayed = true;
+    this->sendWithinHall(encodePeerMessage(Received));
   }
-  this->Handle(Taken);
+  this->Handle(Received);
 }
 
-/// Throws away what has come so far. After a standstill that is what peers said
-/// during it: taken now, its ages would count from now.
+/// Discards all received datagrams. After a pause of the process these are what
+/// peers sent during the pause: the ages in them would be counted from now.
 size_t PeerLink::dropReceived() const {
   char Byte = 0;
   size_t Dropped = 0;
@@ -320,14 +330,14 @@
 
 void PeerLink::runThread() {
   std::string Buffer;
-  StandstillWatch Watch(fromMillis(ReceiveMillis));
+  StandstillWatch Watch(fromMillis(ReceiveTimeoutMillis));
   while (!this->IsStopping) {
     pollfd Poll{this->Descriptor, POLLIN, 0};
-    const int Ready = ::poll(&Poll, 1, ReceiveMillis);
-    const Duration Stood = Watch.noteRound(readSteadyClock());
-    if (Stood > Duration::zero()) {
+    const int Ready = ::poll(&Poll, 1, ReceiveTimeoutMillis);
+    const Duration Paused = Watch.noteRound(readSteadyClock());
+    if (Paused > Duration::zero()) {
       logWarning("peer-messages-dropped", "count={} stood-ms={}",
-                 this->dropReceived(), toMillis(Stood));
+                 this->dropReceived(), toMillis(Paused));
       continue;
     }
     if (Ready <= 0)
--- a/lib/Daemon/PeerMessage.cpp
+++ b/lib/Daemon/PeerMessage.cpp
@@ -1,4 +1,4 @@
-//===- PeerMessage.cpp - What daemons tell each other ---------------------===//
+//===- PeerMessage.cpp - Datagram messages between daemons ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// JSON of short fields. Lists hold short arrays: the name of a server or
-/// service in hexadecimal digits, then numbers.
+/// Messages are JSON objects with short field names. Lists hold short arrays:
+/// the id of a server or service in hexadecimal digits, then numbers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,12 +23,12 @@
 
 namespace canvaswick {
 
-/// A probability in thousandths is no more than one.
-static constexpr int MostPerMille = 1000;
+/// The greatest probability in thousandths.
+static constexpr int MaxPerMille = 1000;
 
-/// A day: a daemon that has not heard from the store for longer is refused like
-/// any other message of a wrong shape.
-static constexpr uint64_t MostHeardMillis = 24 * 3600 * 1000;
+/// One day. A message with a longer time since the store's last answer is
+/// rejected as malformed.
+static constexpr uint64_t MaxStoreAnswerMillis = 24 * 3600 * 1000;
 
 static Json::Value encodeLoans(const std::vector<RetryLoan> &Loans) {
   Json::Value Rows(Json::arrayValue);
@@ -53,8 +53,8 @@
   return Rows;
 }
 
-/// Limits travel in thousandths of a request a second, their ages in whole
-/// milliseconds.
+/// Encodes limits in thousandths of a request per second and their ages in
+/// whole milliseconds.
 static Json::Value encodeLimits(const std::vector<LimitReport> &Limits) {
   Json::Value Rows(Json::arrayValue);
   for (const LimitReport &Each : Limits) {
@@ -151,7 +151,7 @@
     return false;
   Given.PerMille = Pair[1].asInt();
   Given.LoadTenths = Pair[2].asInt();
-  return Given.PerMille >= 0 && Given.PerMille <= MostPerMille &&
+  return Given.PerMille >= 0 && Given.PerMille <= MaxPerMille &&
          Given.LoadTenths >= 0 && decodeHex(Pair[0], Given.Server);
 }
 
@@ -164,8 +164,8 @@
          decodeHex(Row[0], Request.Server);
 }
 
-/// Decodes a number that is at least -1, which stands for one that is not
-/// known. So does a row that ends before it.
+/// Decodes a number that is at least -1, where -1 means unknown. A row that
+/// ends before Place means unknown, too.
 static bool decodeOptionalCount(const Json::Value &Row, Json::ArrayIndex Place,
                                 int &Count) {
   Count = -1;
@@ -191,8 +191,8 @@
   return true;
 }
 
-/// Decodes the rows of a list onto the end of All. Fails with What if one has a
-/// wrong shape.
+/// Decodes the rows of a list and appends them to All. Fails with What if a row
+/// is malformed.
 template <typename T>
 static Result<void> decodeList(const Json::Value &List,
                                bool (*Decode)(const Json::Value &, T &),
@@ -206,7 +206,7 @@
   return outcome::success();
 }
 
-/// Decodes a list that a message need not have.
+/// Decodes an optional list.
 template <typename T>
 static Result<void> decodeOptionalList(const Json::Value &List,
                                        bool (*Decode)(const Json::Value &, T &),
@@ -218,23 +218,23 @@
   return decodeList(List, Decode, What, All);
 }
 
-/// Decodes an age that a message need not have.
-static Result<std::optional<Duration>> decodeHeardAgo(const Json::Value &Age) {
+/// Decodes an optional age.
+static Result<std::optional<Duration>> decodeAge(const Json::Value &Age) {
   if (Age.isNull())
     return std::optional<Duration>();
-  if (!Age.isUInt64() || Age.asUInt64() > MostHeardMillis)
-    return makeError(ErrorKind::InvalidArgument, "not an age");
+  if (!Age.isUInt64() || Age.asUInt64() > MaxStoreAnswerMillis)
+    return makeError(ErrorKind::InvalidArgument, "malformed age");
   return std::optional<Duration>(
       fromMillis(static_cast<int64_t>(Age.asUInt64())));
 }
 
-/// Decodes the epoch of a position. A daemon that knows of none names none, and
-/// is behind all that do.
+/// Decodes the epoch of a position. A daemon of a version without epochs sends
+/// none and counts as epoch 0, before all others.
 static Result<uint64_t> decodeEpoch(const Json::Value &Epoch) {
   if (Epoch.isNull())
     return uint64_t{0};
   if (!Epoch.isUInt64())
-    return makeError(ErrorKind::InvalidArgument, "not an epoch");
+    return makeError(ErrorKind::InvalidArgument, "malformed epoch");
   return Epoch.asUInt64();
 }
 
@@ -243,43 +243,44 @@
   if (!parseJson(Text, Value) || !Value.isObject() ||
       !Value["from"].isString() || !Value["hall"].isString() ||
       !Value["seq"].isUInt64() || !Value["seen"].isArray())
-    return makeError(ErrorKind::InvalidArgument, "not a message of a peer");
+    return makeError(ErrorKind::InvalidArgument, "malformed peer message");
   PeerMessage Message;
   Message.Source = Value["from"].asString();
   Message.Hall = Value["hall"].asString();
   Message.Sequence = Value["seq"].asUInt64();
   if (!Value["as-of"].isUInt64())
-    return makeError(ErrorKind::InvalidArgument, "no revision");
+    return makeError(ErrorKind::InvalidArgument,
+                     "peer message without a revision");
   Message.AsOf.Revision = Value["as-of"].asUInt64();
   BOOST_OUTCOME_TRY(Message.AsOf.Epoch, decodeEpoch(Value["epoch"]));
-  BOOST_OUTCOME_TRY(Message.SinceStoreAnswer,
-                    decodeHeardAgo(Value["heard-ms"]));
+  BOOST_OUTCOME_TRY(Message.SinceStoreAnswer, decodeAge(Value["heard-ms"]));
   Message.IsRelayed = Value["relayed"].isBool() && Value["relayed"].asBool();
   BOOST_OUTCOME_TRY(decodeList(Value["seen"], decodeObservation,
-                               "not an observation", Message.Observations));
+                               "malformed observation", Message.Observations));
   if (!Value["out"].isNull()) {
     Message.InFlight.emplace();
     BOOST_OUTCOME_TRY(decodeOptionalList(Value["out"], decodeInFlight,
-                                         "not a request in flight",
+                                         "malformed request in flight",
                                          *Message.InFlight));
   }
-  BOOST_OUTCOME_TRY(decodeOptionalList(Value["rates"], decodeRate, "not a rate",
-                                       Message.Rates));
+  BOOST_OUTCOME_TRY(decodeOptionalList(
+      Value["rates"], decodeRate, "malformed failure rate", Message.Rates));
   BOOST_OUTCOME_TRY(decodeOptionalList(Value["thinks"], decodeEstimate,
-                                       "not an estimate", Message.Estimates));
+                                       "malformed estimate",
+                                       Message.Estimates));
   BOOST_OUTCOME_TRY(decodeOptionalList(Value["asks"], decodeLoan,
-                                       "not a right asked for",
+                                       "malformed loan request",
                                        Message.LoanRequests));
   BOOST_OUTCOME_TRY(decodeOptionalList(
-      Value["lends"], decodeLoan, "not a right given", Message.LoanGrants));
-  BOOST_OUTCOME_TRY(decodeOptionalList(Value["orgs"], decodeUsage,
-                                       "not a level", Message.Usages));
+      Value["lends"], decodeLoan, "malformed loan grant", Message.LoanGrants));
+  BOOST_OUTCOME_TRY(decodeOptionalList(
+      Value["orgs"], decodeUsage, "malformed quota usage", Message.Usages));
   BOOST_OUTCOME_TRY(decodeOptionalList(
-      Value["limits"], decodeLimit, "not a limit of a server", Message.Limits));
+      Value["limits"], decodeLimit, "malformed server limit", Message.Limits));
   if (!Value["hall-orgs"].isNull()) {
     Message.HallUsages.emplace();
     BOOST_OUTCOME_TRY(decodeOptionalList(Value["hall-orgs"], decodeUsage,
-                                         "not a level of a hall",
+                                         "malformed hall usage",
                                          *Message.HallUsages));
   }
   BOOST_OUTCOME_TRY(Message.PoisonRequests, decodePoisonReport(Value));
--- a/lib/Daemon/PoisonRequestAgent.cpp
+++ b/lib/Daemon/PoisonRequestAgent.cpp
@@ -1,4 +1,4 @@
-//===- PoisonRequestAgent.cpp - Fatal requests among signed peers ---------===//
+//===- PoisonRequestAgent.cpp - Poison requests among signed peers --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// News by calls that may be lost; what is lost comes with a ping.
+/// Updates travel by calls whose failure is ignored; a lost update arrives with
+/// a later ping.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,46 +17,46 @@
 
 namespace canvaswick {
 
-/// Where the records are kept at the platform.
+/// The key of the records at the platform.
 static constexpr const char *RecordsKey = "suspects";
 
-/// Peers that are told at once. Each passes on what is news to it: with four,
-/// all but a few of 1,000 daemons have it after six steps, and those hear of it
-/// in their next ping.
-static constexpr size_t NewsFanOut = 4;
-static constexpr Duration NewsTimeout = fromSeconds(1);
+/// The number of peers to which an update is sent at once. Each passes on what
+/// is new to it: with four, all but a few of 1,000 daemons have it after six
+/// steps, and the rest receive it with their next ping.
+static constexpr size_t UpdateFanOut = 4;
+static constexpr Duration UpdateTimeout = fromSeconds(1);
 
-/// Ends and answers in one ping.
-static constexpr size_t MostPingRows = 20;
+/// The maximum number of ends and answers in one ping.
+static constexpr size_t MaxPingRows = 20;
 
-/// How often the records are read while there are suspects. Without any they
+/// How often the records are read while requests are suspected. Otherwise they
 /// are read once, at the start.
 static constexpr Duration ReadInterval = fromSeconds(5);
 
 PoisonRequestAgent::PoisonRequestAgent(const ControlContext &Context,
                                        MembershipAgent &Members,
-                                       RequestGuard &Guard)
-    : Context(Context), Members(Members), Guard(Guard),
-      Book(
-          Guard, [this] { return this->readPage(); },
+                                       RequestGuard &Quarantine)
+    : Context(Context), Members(Members), Quarantine(Quarantine),
+      Store(
+          Quarantine, [this] { return this->readRecords(); },
           [this](const std::string &Text, const StorePosition &Expected) {
-            return this->writePage(Text, Expected);
+            return this->writeRecords(Text, Expected);
           }) {
-  Guard.setNewsListener([this](const SuspectNews &News, TimePoint Now) {
-    this->spread(News, Now);
+  Quarantine.setNewsListener([this](const SuspectNews &Update, TimePoint Now) {
+    this->gossip(Update, Now);
   });
-  Guard.setTryClaim([this](const SuspectRecord &Record) {
-    return this->Book.claimProbe(Record, readInstant());
+  Quarantine.setTryClaim([this](const SuspectRecord &Record) {
+    return this->Store.claimProbe(Record, readInstant());
   });
 }
 
 void PoisonRequestAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("suspects.news", [this](const Json::Value &Params) {
-    return this->answerNews(Params);
+    return this->handleUpdate(Params);
   });
 }
 
-Result<StoredRecords> PoisonRequestAgent::readPage() const {
+Result<StoredRecords> PoisonRequestAgent::readRecords() const {
   Result<PlatformValue> Value = this->Context.Platform.get(RecordsKey);
   if (Value)
     return StoredRecords{std::move(Value.value().Value),
@@ -66,8 +67,8 @@
 }
 
 Result<StorePosition>
-PoisonRequestAgent::writePage(const std::string &Text,
-                              const StorePosition &Expected) const {
+PoisonRequestAgent::writeRecords(const std::string &Text,
+                                 const StorePosition &Expected) const {
   BOOST_OUTCOME_TRY(
       uint64_t Revision,
       this->Context.Platform.put(RecordsKey, Text, Expected.Revision));
@@ -75,51 +76,52 @@
 }
 
 void PoisonRequestAgent::runRound(const Instant &Now) {
-  this->Guard.forgetOld(Now.Steady);
-  const bool IsDue = !this->HasRead || !this->Guard.describe().empty();
-  if (IsDue && Now.Steady - this->ReadAt >= ReadInterval) {
-    this->ReadAt = Now.Steady;
-    const Result<void> Taken = this->Book.refresh(Now);
-    if (Taken)
+  this->Quarantine.forgetOld(Now.Steady);
+  const bool IsDue = !this->HasRead || !this->Quarantine.describe().empty();
+  if (IsDue && Now.Steady - this->LastRead >= ReadInterval) {
+    this->LastRead = Now.Steady;
+    const Result<void> Accepted = this->Store.refresh(Now);
+    if (Accepted)
       this->HasRead = true;
     else
-      logWarning("suspects-not-read", "what={:?}", Taken.error().Message);
+      logWarning("suspects-not-read", "what={:?}", Accepted.error().Message);
   }
-  this->Book.runRound(Now);
+  this->Store.runRound(Now);
 }
 
-void PoisonRequestAgent::spread(const SuspectNews &News, TimePoint Now) {
+void PoisonRequestAgent::gossip(const SuspectNews &Update, TimePoint Now) {
   Json::Value Message(Json::objectValue);
-  encodePoisonReport(makePoisonReport(News, Now), Message);
-  for (const MemberRecord &Peer : this->Members.choose(NewsFanOut, ""))
+  encodePoisonReport(makePoisonReport(Update, Now), Message);
+  for (const MemberRecord &Peer : this->Members.choose(UpdateFanOut, ""))
     this->Context.Calls.trySubmit([this, Peer, Message] {
       (void)this->Context.Caller.call(Peer.Control, "suspects.news", Message,
-                                      NewsTimeout);
+                                      UpdateTimeout);
     });
 }
 
-Json::Value PoisonRequestAgent::answerNews(const Json::Value &Params) {
+Json::Value PoisonRequestAgent::handleUpdate(const Json::Value &Params) {
   const TimePoint Now = readSteadyClock();
   const Result<PoisonRequestReport> Report = decodePoisonReport(Params);
   if (!Report)
     return makeCallError(Report.error());
-  const SuspectNews Taken =
-      this->Guard.takeNews(readPoisonReport(Report.value(), Now), Now);
-  if (!Taken.isEmpty())
-    this->spread(Taken, Now);
+  const SuspectNews Accepted =
+      this->Quarantine.takeNews(readPoisonReport(Report.value(), Now), Now);
+  if (!Accepted.isEmpty())
+    this->gossip(Accepted, Now);
   return Json::Value(Json::objectValue);
 }
 
 void PoisonRequestAgent::writeUpdate(Json::Value &Message,
                                      TimePoint Now) const {
   encodePoisonReport(
-      makePoisonReport(this->Guard.makeNews(MostPingRows, Now), Now), Message);
+      makePoisonReport(this->Quarantine.makeNews(MaxPingRows, Now), Now),
+      Message);
 }
 
 void PoisonRequestAgent::readUpdate(const Json::Value &Message, TimePoint Now) {
   const Result<PoisonRequestReport> Report = decodePoisonReport(Message);
   if (Report)
-    (void)this->Guard.takeNews(readPoisonReport(Report.value(), Now), Now);
+    (void)this->Quarantine.takeNews(readPoisonReport(Report.value(), Now), Now);
   else
     logWarning("peer-message-refused", "what={:?}", Report.error().Message);
 }
--- a/lib/Daemon/PoisonRequestReport.cpp
+++ b/lib/Daemon/PoisonRequestReport.cpp
@@ -1,4 +1,4 @@
-//===- PoisonRequestReport.cpp - What daemons tell of fatal requests ------===//
+//===- PoisonRequestReport.cpp - Poison requests in messages and records --===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Rows in JSON, checked field by field.
+/// Rows are JSON arrays that are validated field by field.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,48 +22,49 @@
 
 namespace canvaswick {
 
-/// Ages and lengths above this are no ages.
-static constexpr int64_t MostMillis = 24 * 3600 * 1000;
+/// The greatest valid age or duration in milliseconds.
+static constexpr int64_t MaxMillis = 24 * 3600 * 1000;
 
-/// Rows of one list in one message or record; more were never written by a
-/// daemon.
-static constexpr Json::ArrayIndex MostRows = 256;
+/// The maximum number of rows in one list of a message or record; daemons never
+/// write more.
+static constexpr Json::ArrayIndex MaxRows = 256;
 
-/// Tries are hours apart after the first few.
-static constexpr int MostTries = 1000000;
+/// The greatest valid number of probes, which no request reaches: after the
+/// first few, probes are hours apart.
+static constexpr int MaxProbes = 1000000;
 
-/// A record without a change for this long is left out when another is written:
-/// longer than the longest wait for a try.
-static constexpr int64_t RecordLifeMillis = 12 * 3600 * 1000;
+/// A record that has not changed for this long is dropped at the next write.
+/// Longer than the longest wait for a probe.
+static constexpr int64_t RecordExpiryMillis = 12 * 3600 * 1000;
 
-/// Records that are kept; the oldest go.
-static constexpr size_t MostRecords = 64;
+/// The maximum number of stored records; the oldest are dropped.
+static constexpr size_t MaxRecords = 64;
 
-PoisonRequestReport makePoisonReport(const SuspectNews &News, TimePoint Now) {
+PoisonRequestReport makePoisonReport(const SuspectNews &Update, TimePoint Now) {
   const auto GetAge = [Now](TimePoint At) {
-    return std::clamp<int64_t>(toMillis(Now - At), 0, MostMillis);
+    return std::clamp<int64_t>(toMillis(Now - At), 0, MaxMillis);
   };
   PoisonRequestReport Report;
-  for (const RequestEnd &Each : News.Ends)
+  for (const RequestEnd &Each : Update.Ends)
     Report.Ends.push_back(
         {Each.Request, Each.Server,
-         std::clamp<int64_t>(toMillis(Each.Ended - Each.Began), 0, MostMillis),
+         std::clamp<int64_t>(toMillis(Each.Ended - Each.Began), 0, MaxMillis),
          GetAge(Each.Ended), Each.Id});
-  for (const RequestAnswer &Each : News.Answers)
+  for (const RequestAnswer &Each : Update.Answers)
     Report.Answers.push_back({Each.Request, GetAge(Each.At)});
   return Report;
 }
 
 SuspectNews readPoisonReport(const PoisonRequestReport &Report, TimePoint Now) {
-  SuspectNews News;
+  SuspectNews Update;
   for (const EndReport &Each : Report.Ends) {
     const TimePoint Ended = Now - fromMillis(Each.AgoMs);
-    News.Ends.push_back({Each.Request, Each.Server,
-                         Ended - fromMillis(Each.TookMs), Ended, Each.Id});
+    Update.Ends.push_back({Each.Request, Each.Server,
+                           Ended - fromMillis(Each.TookMs), Ended, Each.Id});
   }
   for (const AnswerReport &Each : Report.Answers)
-    News.Answers.push_back({Each.Request, Now - fromMillis(Each.AgoMs)});
-  return News;
+    Update.Answers.push_back({Each.Request, Now - fromMillis(Each.AgoMs)});
+  return Update;
 }
 
 static Json::Value encodeEnd(const EndReport &Each) {
@@ -92,7 +93,7 @@
   if (!Value.isInt64())
     return false;
   Millis = Value.asInt64();
-  return Millis >= 0 && Millis <= MostMillis;
+  return Millis >= 0 && Millis <= MaxMillis;
 }
 
 static bool decodeEnd(const Json::Value &Row, EndReport &Each) {
@@ -106,7 +107,7 @@
          decodeMillis(Row[1], Each.AgoMs);
 }
 
-/// Reads a list that may be missing.
+/// Decodes an optional list.
 template <typename T>
 static Result<std::vector<T>>
 decodeRows(const Json::Value &List, bool (*Decode)(const Json::Value &, T &),
@@ -114,7 +115,7 @@
   std::vector<T> Rows;
   if (List.isNull())
     return Rows;
-  if (!List.isArray() || List.size() > MostRows)
+  if (!List.isArray() || List.size() > MaxRows)
     return makeError(ErrorKind::InvalidArgument, What);
   for (const Json::Value &Row : List) {
     T Each;
@@ -160,7 +161,7 @@
 static bool decodeRecord(const Json::Value &Entry, const Instant &Now,
                          SuspectRecord &Record) {
   if (!Entry.isObject() || !Entry["ends"].isArray() ||
-      Entry["ends"].size() == 0 || Entry["ends"].size() > MostRows ||
+      Entry["ends"].size() == 0 || Entry["ends"].size() > MaxRows ||
       !decodeHex(Entry["asks"], Record.Request) || !Entry["tries"].isInt() ||
       !Entry["changed-ms"].isInt64() || !Entry["ended-ms"].isInt64())
     return false;
@@ -173,14 +174,15 @@
       return false;
     Report.Ends.push_back(Each);
   }
-  // A clock that is off by more than anything here counts changes nothing else.
+  // Clamped, so that a wrong clock cannot place the end in the future or more
+  // than a day ago.
   const int64_t EndedMillis =
-      std::clamp(Entry["ended-ms"].asInt64(), Now.CalendarMillis - MostMillis,
+      std::clamp(Entry["ended-ms"].asInt64(), Now.CalendarMillis - MaxMillis,
                  Now.CalendarMillis);
   const TimePoint Last =
       Now.Steady - fromMillis(Now.CalendarMillis - EndedMillis);
   Record.Ends = readPoisonReport(Report, Last).Ends;
-  return Record.Tries >= 0 && Record.Tries <= MostTries &&
+  return Record.Tries >= 0 && Record.Tries <= MaxProbes &&
          std::is_sorted(Record.Ends.begin(), Record.Ends.end(),
                         [](const RequestEnd &Left, const RequestEnd &Right) {
                           return Left.Ended < Right.Ended;
@@ -191,22 +193,23 @@
                                                  const Instant &Now) {
   Json::Value Value;
   if (!parseJson(Text, Value) || !Value.isObject() ||
-      !Value["requests"].isArray() || Value["requests"].size() > MostRows)
-    return makeError(ErrorKind::InvalidArgument, "not a list of requests");
+      !Value["requests"].isArray() || Value["requests"].size() > MaxRows)
+    return makeError(ErrorKind::InvalidArgument,
+                     "malformed list of request records");
   std::vector<SuspectRecord> Records;
   for (const Json::Value &Entry : Value["requests"]) {
     SuspectRecord Record;
     if (!decodeRecord(Entry, Now, Record))
-      return makeError(ErrorKind::InvalidArgument, "not a request's record");
+      return makeError(ErrorKind::InvalidArgument, "malformed request record");
     Records.push_back(std::move(Record));
   }
   return Records;
 }
 
-/// Returns what a record and a later one of the same request say together, as a
-/// table would take them.
-static SuspectRecord mergeTwo(const SuspectRecord &Known,
-                              const SuspectRecord &More) {
+/// Returns the combination of a record and a later one of the same request, as
+/// a table would merge them.
+static SuspectRecord mergeRecords(const SuspectRecord &Known,
+                                  const SuspectRecord &More) {
   SuspectTable Both;
   Both.takeRecords({Known}, More.Ends.back().Ended);
   for (const RequestEnd &End : More.Ends)
@@ -220,14 +223,14 @@
                  int64_t NowMillis) {
   for (const SuspectRecord &Known : Records)
     if (Known.Request == Record.Request && !Record.Ends.empty())
-      Record = mergeTwo(Known, Record);
+      Record = mergeRecords(Known, Record);
   Record.ChangedMillis = NowMillis;
   std::erase_if(Records, [&](const SuspectRecord &Known) {
     return Known.Request == Record.Request ||
-           NowMillis - Known.ChangedMillis > RecordLifeMillis;
+           NowMillis - Known.ChangedMillis > RecordExpiryMillis;
   });
   Records.push_back(std::move(Record));
-  if (Records.size() > MostRecords)
+  if (Records.size() > MaxRecords)
     Records.erase(std::min_element(
         Records.begin(), Records.end(),
         [](const SuspectRecord &Left, const SuspectRecord &Right) {
--- a/lib/Daemon/PoisonRequestStore.cpp
+++ b/lib/Daemon/PoisonRequestStore.cpp
@@ -1,4 +1,4 @@
-//===- PoisonRequestStore.cpp - Records of fatal requests, kept outside ---===//
+//===- PoisonRequestStore.cpp - Stored records of poison requests ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Read, change, write if unchanged.
+/// Each change is a read, followed by a write on condition that the value is
+/// unchanged.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,71 +19,73 @@
 
 namespace canvaswick {
 
-/// After a write that failed: another daemon has mostly written the same, and
-/// that is known here a moment later.
-static constexpr Duration RetryWait = fromSeconds(2);
+/// The minimum time between two writes. When a write fails, another daemon has
+/// usually written the same, and this daemon learns of that a moment later.
+static constexpr Duration WriteInterval = fromSeconds(2);
 
-/// Decodes a page. No page is one without records.
-static Result<std::vector<SuspectRecord>> decodePage(const StoredRecords &Page,
-                                                     const Instant &Now) {
-  if (Page.At.isNone())
+/// Decodes the stored value. A missing value has no records.
+static Result<std::vector<SuspectRecord>>
+decodeStored(const StoredRecords &Stored, const Instant &Now) {
+  if (Stored.At.isNone())
     return std::vector<SuspectRecord>();
-  return decodeRecords(Page.Text, Now);
+  return decodeRecords(Stored.Text, Now);
 }
 
-/// Decodes a page that is about to be replaced. What cannot be read names no
-/// request.
-static std::vector<SuspectRecord> decodeOldPage(const StoredRecords &Page,
-                                                const Instant &Now) {
-  Result<std::vector<SuspectRecord>> Records = decodePage(Page, Now);
+/// Decodes a value that is about to be replaced. A malformed value has no
+/// records.
+static std::vector<SuspectRecord> decodeReplaced(const StoredRecords &Stored,
+                                                 const Instant &Now) {
+  Result<std::vector<SuspectRecord>> Records = decodeStored(Stored, Now);
   if (Records)
     return std::move(Records.value());
-  logWarning("suspects-replaced", "at={} what={:?}", Page.At,
+  logWarning("suspects-replaced", "at={} what={:?}", Stored.At,
              Records.error().Message);
   return {};
 }
 
 Result<void> PoisonRequestStore::refresh(const Instant &Now) {
-  BOOST_OUTCOME_TRY(StoredRecords Page, this->Read());
-  bool IsOfNewEpoch = false;
+  BOOST_OUTCOME_TRY(StoredRecords Stored, this->Read());
+  bool HasNewEpoch = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    if (Page.At == this->TakenAt)
+    if (Stored.At == this->AppliedPosition)
       return outcome::success();
-    IsOfNewEpoch = Page.At.Epoch != this->TakenAt.Epoch;
-    this->TakenAt = Page.At;
+    HasNewEpoch = Stored.At.Epoch != this->AppliedPosition.Epoch;
+    this->AppliedPosition = Stored.At;
   }
-  // What was written may be lost: that it is missing clears nobody.
-  if (IsOfNewEpoch)
-    this->Guard.loseRecords();
-  const Result<std::vector<SuspectRecord>> Records = decodePage(Page, Now);
+  // In a new epoch the records may be lost, so a missing record does not clear
+  // its request.
+  if (HasNewEpoch)
+    this->Quarantine.loseRecords();
+  const Result<std::vector<SuspectRecord>> Records = decodeStored(Stored, Now);
   if (Records) {
-    this->Guard.takeRecords(Records.value(), Now.Steady);
+    this->Quarantine.takeRecords(Records.value(), Now.Steady);
     return outcome::success();
   }
-  // Somebody else wrote there: what is known stays, and is written again.
-  logWarning("suspects-refused", "at={} what={:?}", Page.At,
+  // Another program has overwritten the value. The known records remain and are
+  // written again.
+  logWarning("suspects-refused", "at={} what={:?}", Stored.At,
              Records.error().Message);
-  this->Guard.loseRecords();
+  this->Quarantine.loseRecords();
   return outcome::success();
 }
 
-/// Brings records up to what this daemon knows. Returns whether any changed.
-bool PoisonRequestStore::change(std::vector<SuspectRecord> &Records,
-                                const Instant &Now) const {
+/// Adds this daemon's knowledge to the records. Returns whether any changed.
+bool PoisonRequestStore::updateRecords(std::vector<SuspectRecord> &Records,
+                                       const Instant &Now) const {
   bool IsChanged = false;
-  for (SuspectRecord &Record : this->Guard.listUnrecorded()) {
+  for (SuspectRecord &Record : this->Quarantine.listUnrecorded()) {
     mergeRecord(Records, std::move(Record), Now.CalendarMillis);
     IsChanged = true;
   }
-  for (const RequestDigest Request : this->Guard.listCleared())
+  for (const RequestDigest Request : this->Quarantine.listCleared())
     IsChanged |= removeRecord(Records, Request);
   return IsChanged;
 }
 
-bool PoisonRequestStore::writeAll(const std::vector<SuspectRecord> &Records,
-                                  const StorePosition &Expected,
-                                  const Instant &Now) {
+bool PoisonRequestStore::writeRecords(const std::vector<SuspectRecord> &Records,
+                                      const StorePosition &Expected,
+                                      const Instant &Now) {
   Result<StorePosition> Written =
       this->Write(encodeRecords(Records, Now), Expected);
   if (Written) {
@@ -96,35 +99,35 @@
 }
 
 void PoisonRequestStore::runRound(const Instant &Now) {
-  const bool HasNews = !this->Guard.listUnrecorded().empty() ||
-                       !this->Guard.listCleared().empty();
-  if (!HasNews || Now.Steady < this->RetryAt)
+  const bool HasChanges = !this->Quarantine.listUnrecorded().empty() ||
+                          !this->Quarantine.listCleared().empty();
+  if (!HasChanges || Now.Steady < this->NextWrite)
     return;
-  this->RetryAt = Now.Steady + RetryWait;
-  const Result<StoredRecords> Page = this->Read();
-  if (!Page)
+  this->NextWrite = Now.Steady + WriteInterval;
+  const Result<StoredRecords> Stored = this->Read();
+  if (!Stored)
     return;
-  std::vector<SuspectRecord> Records = decodeOldPage(Page.value(), Now);
-  if (this->change(Records, Now))
-    this->writeAll(Records, Page.value().At, Now);
+  std::vector<SuspectRecord> Records = decodeReplaced(Stored.value(), Now);
+  if (this->updateRecords(Records, Now))
+    this->writeRecords(Records, Stored.value().At, Now);
 }
 
 bool PoisonRequestStore::claimProbe(const SuspectRecord &Record,
                                     const Instant &Now) {
-  const Result<StoredRecords> Page = this->Read();
-  if (!Page)
+  const Result<StoredRecords> Stored = this->Read();
+  if (!Stored)
     return false;
-  std::vector<SuspectRecord> Records = decodeOldPage(Page.value(), Now);
-  const bool IsTaken = std::any_of(
+  std::vector<SuspectRecord> Records = decodeReplaced(Stored.value(), Now);
+  const bool IsClaimed = std::any_of(
       Records.begin(), Records.end(), [&Record](const SuspectRecord &Known) {
         return Known.Request == Record.Request && Known.Tries > Record.Tries;
       });
-  if (IsTaken)
+  if (IsClaimed)
     return false;
-  SuspectRecord Tried = Record;
-  ++Tried.Tries;
-  mergeRecord(Records, std::move(Tried), Now.CalendarMillis);
-  return this->writeAll(Records, Page.value().At, Now);
+  SuspectRecord Probed = Record;
+  ++Probed.Tries;
+  mergeRecord(Records, std::move(Probed), Now.CalendarMillis);
+  return this->writeRecords(Records, Stored.value().At, Now);
 }
 
 } // namespace canvaswick
--- a/lib/Daemon/QuotaAgent.cpp
+++ b/lib/Daemon/QuotaAgent.cpp
@@ -1,4 +1,4 @@
-//===- QuotaAgent.cpp - Daemons tell what organisations ask ---------------===//
+//===- QuotaAgent.cpp - Quota exchange between daemons --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One round each quarter of a second, and what is done with what others say.
+/// Sends one report each quarter of a second and applies what peers report.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,19 +18,21 @@
 
 namespace canvaswick {
 
-/// A call that takes longer says nothing that the next one does not say better.
-static constexpr Duration TellTimeout = 2 * SpeakInterval;
+/// A report that takes longer is superseded by the next one.
+static constexpr Duration ReportTimeout = 2 * SpeakInterval;
 
-/// Threads for calls, and calls that wait for one: those of a round in the
-/// largest hall that CAPACITY.md has.
+/// The number of threads for calls and of calls that may wait for one. The
+/// queue holds the calls of one round in the largest hall that CAPACITY.md
+/// plans for.
 static constexpr WorkerPoolLimits CallLimits = {.Most = 4, .Queue = 512};
 
-/// A message tells of this many organisations at most; the others come next.
-static constexpr size_t MostLevels = 200;
+/// The maximum number of organisations in a message; the others follow in the
+/// next one.
+static constexpr size_t MaxUsages = 200;
 
-/// In one of so many rounds a hall tells of all organisations, in the others of
-/// those that come near their limit.
-static constexpr uint64_t RoundsOfAll = 4;
+/// One in this many rounds reports all organisations of a hall to the other
+/// halls; the others report only organisations that are close to their limit.
+static constexpr uint64_t RoundsPerFullReport = 4;
 
 Json::Value encodeQuotaMessage(const QuotaMessage &Message) {
   Json::Value Value(Json::objectValue);
@@ -40,25 +42,25 @@
   Value["o"] = encodeUsages(Message.Usages);
   Value["a"] = encodeUsages(Message.HallUsages);
   Value["p"] = Json::arrayValue;
-  for (const HallUsage &Word : Message.RelayedHalls) {
+  for (const HallUsage &Report : Message.RelayedHalls) {
     Json::Value Entry(Json::objectValue);
-    Entry["h"] = Word.Hall;
-    Entry["f"] = Word.Reporter;
-    Entry["n"] = static_cast<Json::UInt64>(Word.Sequence);
-    Entry["a"] = encodeUsages(Word.Usages);
+    Entry["h"] = Report.Hall;
+    Entry["f"] = Report.Reporter;
+    Entry["n"] = static_cast<Json::UInt64>(Report.Sequence);
+    Entry["a"] = encodeUsages(Report.Usages);
     Value["p"].append(std::move(Entry));
   }
   return Value;
 }
 
-static bool decodeHallWord(const Json::Value &Value, HallUsage &Word) {
+static bool decodeHallUsage(const Json::Value &Value, HallUsage &Report) {
   if (!Value.isObject() || !Value["h"].isString() || !Value["f"].isString() ||
       !Value["n"].isUInt64())
     return false;
-  Word.Hall = Value["h"].asString();
-  Word.Reporter = Value["f"].asString();
-  Word.Sequence = Value["n"].asUInt64();
-  return decodeUsages(Value["a"], Word.Usages);
+  Report.Hall = Value["h"].asString();
+  Report.Reporter = Value["f"].asString();
+  Report.Sequence = Value["n"].asUInt64();
+  return decodeUsages(Value["a"], Report.Usages);
 }
 
 bool decodeQuotaMessage(const Json::Value &Value, QuotaMessage &Message) {
@@ -69,10 +71,10 @@
   Message.Hall = Value["h"].asString();
   Message.Sequence = Value["n"].asUInt64();
   for (const Json::Value &Entry : Value["p"]) {
-    HallUsage Word;
-    if (!decodeHallWord(Entry, Word))
+    HallUsage Report;
+    if (!decodeHallUsage(Entry, Report))
       return false;
-    Message.RelayedHalls.push_back(std::move(Word));
+    Message.RelayedHalls.push_back(std::move(Report));
   }
   return decodeUsages(Value["o"], Message.Usages) &&
          decodeUsages(Value["a"], Message.HallUsages);
@@ -86,37 +88,37 @@
 
 void QuotaAgent::addMethods(JsonRpcDispatcher &Dispatcher) {
   Dispatcher.add("allowances.tell", [this](const Json::Value &Params) {
-    return this->answerTell(Params);
+    return this->handleReport(Params);
   });
 }
 
 void QuotaAgent::stop() { this->Calls.stop(); }
 
-//===-- Telling -----------------------------------------------------------===//
+//===-- Sending -----------------------------------------------------------===//
 
-/// Looks up who there is, if that has changed.
-void QuotaAgent::updateFleet(TimePoint Now) {
+/// Updates the lists of peers if the membership has changed.
+void QuotaAgent::updatePeers(TimePoint Now) {
   const uint64_t Version = this->Members.getWorkingVersion();
-  if (std::exchange(this->FleetVersion, Version) == Version)
+  if (std::exchange(this->PeersVersion, Version) == Version)
     return;
-  this->Near.clear();
-  this->Far.clear();
-  std::vector<std::string> NearNames;
-  std::map<std::string, size_t> FarCounts;
+  this->LocalPeers.clear();
+  this->RemotePeers.clear();
+  std::vector<std::string> LocalNames;
+  std::map<std::string, size_t> RemoteCounts;
   for (const std::string &Name : this->Members.getWorking()) {
     const std::optional<MemberRecord> Member = this->Members.find(Name);
     if (!Member || Name == this->Context.Config.Name)
       continue;
     if (Member->Hall == this->Context.Config.Hall) {
-      this->Near.push_back(*Member);
-      NearNames.push_back(Name);
+      this->LocalPeers.push_back(*Member);
+      LocalNames.push_back(Name);
     } else {
-      this->Far[Member->Hall].push_back(*Member);
-      ++FarCounts[Member->Hall];
+      this->RemotePeers[Member->Hall].push_back(*Member);
+      ++RemoteCounts[Member->Hall];
     }
   }
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.getHeard().setFleet(NearNames, FarCounts, Now);
+  this->Organisations.with([&](FleetAllowance &Quota) {
+    Quota.getHeard().setFleet(LocalNames, RemoteCounts, Now);
   });
 }
 
@@ -126,124 +128,126 @@
   Message.Hall = this->Context.Config.Hall;
   Message.Sequence = ++this->Sequence;
   Message.Usages = this->Organisations.with(
-      [Now](FleetAllowance &All) { return All.takeNews(MostLevels, Now); });
+      [Now](FleetAllowance &Quota) { return Quota.takeNews(MaxUsages, Now); });
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (auto &[Hall, Word] : this->ToPass)
-    Message.RelayedHalls.push_back(std::move(Word));
-  this->ToPass.clear();
+  for (auto &[Hall, Report] : this->PendingRelay)
+    Message.RelayedHalls.push_back(std::move(Report));
+  this->PendingRelay.clear();
   return Message;
 }
 
-/// Returns whether it is this daemon that speaks for its hall.
-bool QuotaAgent::isHallDue(TimePoint Now) {
-  return !this->Far.empty() &&
-         this->Organisations.with([&](FleetAllowance &All) {
-           return All.getHeard().isFirst(this->Context.Config.Name, Now);
+/// Returns whether this daemon is the reporter of its hall.
+bool QuotaAgent::isReporter(TimePoint Now) {
+  return !this->RemotePeers.empty() &&
+         this->Organisations.with([&](FleetAllowance &Quota) {
+           return Quota.getHeard().isFirst(this->Context.Config.Name, Now);
          });
 }
 
-/// Tells one daemon of each other hall, another one each time: a daemon that
-/// cannot be reached holds up one message.
-void QuotaAgent::tellHalls(const QuotaMessage &Base, TimePoint Now) {
+/// Sends a report to one daemon of each other hall. It picks one at random each
+/// time, so that an unreachable daemon delays a single report.
+void QuotaAgent::reportToHalls(const QuotaMessage &Base, TimePoint Now) {
   QuotaMessage Message;
   Message.Source = Base.Source;
   Message.Hall = Base.Hall;
   Message.Sequence = Base.Sequence;
-  const bool WantsAll = this->Rounds % RoundsOfAll == 0;
+  const bool WantsAll = this->Rounds % RoundsPerFullReport == 0;
   Message.HallUsages =
-      this->Organisations.with([WantsAll, Now](FleetAllowance &All) {
-        return All.getHallLevels(WantsAll, Now);
+      this->Organisations.with([WantsAll, Now](FleetAllowance &Quota) {
+        return Quota.getHallLevels(WantsAll, Now);
       });
   const Json::Value Encoded = encodeQuotaMessage(Message);
-  for (const auto &[Hall, Daemons] : this->Far) {
+  for (const auto &[Hall, Daemons] : this->RemotePeers) {
     std::uniform_int_distribution<size_t> Any(0, Daemons.size() - 1);
-    this->tell(Daemons[Any(this->Random)], Encoded);
+    this->sendMessage(Daemons[Any(this->Random)], Encoded);
   }
 }
 
 void QuotaAgent::runRound(TimePoint Now) {
   const bool HasLimits = this->Organisations.with(
-      [](FleetAllowance &All) { return All.hasLimits(); });
+      [](FleetAllowance &Quota) { return Quota.hasLimits(); });
   if (!HasLimits)
     return;
-  this->updateFleet(Now);
+  this->updatePeers(Now);
   ++this->Rounds;
   const QuotaMessage Message = this->makeMessage(Now);
   const Json::Value Encoded = encodeQuotaMessage(Message);
-  for (const MemberRecord &Peer : this->Near)
-    this->tell(Peer, Encoded);
-  if (this->isHallDue(Now))
-    this->tellHalls(Message, Now);
+  for (const MemberRecord &Peer : this->LocalPeers)
+    this->sendMessage(Peer, Encoded);
+  if (this->isReporter(Now))
+    this->reportToHalls(Message, Now);
 }
 
-/// Calls a peer, unless the last call to it is still under way: counts are
-/// absolute, so that the next message makes up for one that is left out.
-void QuotaAgent::tell(const MemberRecord &Peer, const Json::Value &Message) {
+/// Calls a peer unless the last call to it is still in flight. Counts are
+/// absolute, so the next message makes up for a skipped one.
+void QuotaAgent::sendMessage(const MemberRecord &Peer,
+                             const Json::Value &Message) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    if (!this->Busy.insert(Peer.Name).second)
+    if (!this->Unanswered.insert(Peer.Name).second)
       return;
   }
   const auto Call = [this, Peer, Message] {
-    // A peer that does not answer shows by its silence in turn.
+    // The result is ignored: an unreachable peer is detected because its own
+    // reports stop.
     (void)this->Context.Caller.call(Peer.Control, "allowances.tell", Message,
-                                    TellTimeout);
+                                    ReportTimeout);
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->Busy.erase(Peer.Name);
+    this->Unanswered.erase(Peer.Name);
   };
   if (this->Calls.trySubmit(Call))
     return;
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Busy.erase(Peer.Name);
+  this->Unanswered.erase(Peer.Name);
 }
 
-//===-- Hearing -----------------------------------------------------------===//
+//===-- Receiving ---------------------------------------------------------===//
 
-/// Notes a message of a daemon. Returns whether none later came before. The
-/// caller holds no lock.
-bool QuotaAgent::isLater(const std::string &Source, uint64_t Sequence) {
+/// Records the sequence number of a daemon's message. Returns whether it is
+/// newer than all before. The caller holds no lock.
+bool QuotaAgent::isNewer(const std::string &Source, uint64_t Sequence) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  uint64_t &Last = this->Taken[Source];
+  uint64_t &Last = this->LastSequence[Source];
   if (Sequence <= Last)
     return false;
   Last = Sequence;
   return true;
 }
 
-void QuotaAgent::takeHall(const HallUsage &Word, TimePoint Now) {
-  if (Word.Hall == this->Context.Config.Hall)
+void QuotaAgent::mergeHallUsage(const HallUsage &Report, TimePoint Now) {
+  if (Report.Hall == this->Context.Config.Hall)
     return;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    uint64_t &Last = this->TakenAsTeller[Word.Reporter];
-    if (Word.Sequence <= Last)
+    uint64_t &Last = this->LastHallSequence[Report.Reporter];
+    if (Report.Sequence <= Last)
       return;
-    Last = Word.Sequence;
+    Last = Report.Sequence;
   }
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.takeHallLevels(Word.Hall, Word.Reporter, Word.Usages, Now);
+  this->Organisations.with([&](FleetAllowance &Quota) {
+    Quota.takeHallLevels(Report.Hall, Report.Reporter, Report.Usages, Now);
   });
 }
 
 void QuotaAgent::applyMessage(const QuotaMessage &Message, TimePoint Now) {
   if (Message.Hall != this->Context.Config.Hall) {
-    const HallUsage Word = {Message.Hall, Message.Source, Message.Sequence,
-                            Message.HallUsages};
-    this->takeHall(Word, Now);
+    const HallUsage Report = {Message.Hall, Message.Source, Message.Sequence,
+                              Message.HallUsages};
+    this->mergeHallUsage(Report, Now);
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->ToPass[Word.Hall] = Word;
+    this->PendingRelay[Report.Hall] = Report;
     return;
   }
-  if (!this->isLater(Message.Source, Message.Sequence))
+  if (!this->isNewer(Message.Source, Message.Sequence))
     return;
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.takePeerLevels(Message.Source, Message.Usages, Now);
+  this->Organisations.with([&](FleetAllowance &Quota) {
+    Quota.takePeerLevels(Message.Source, Message.Usages, Now);
   });
-  for (const HallUsage &Word : Message.RelayedHalls)
-    this->takeHall(Word, Now);
+  for (const HallUsage &Report : Message.RelayedHalls)
+    this->mergeHallUsage(Report, Now);
 }
 
-Json::Value QuotaAgent::answerTell(const Json::Value &Params) {
+Json::Value QuotaAgent::handleReport(const Json::Value &Params) {
   QuotaMessage Message;
   if (!decodeQuotaMessage(Params, Message))
     return makeCallError(
--- a/lib/Daemon/QuotaEncoding.cpp
+++ b/lib/Daemon/QuotaEncoding.cpp
@@ -1,4 +1,4 @@
-//===- QuotaEncoding.cpp - Levels of organisations in messages ------------===//
+//===- QuotaEncoding.cpp - Encoding of organisations' usage ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Short arrays in place of objects, since there may be many.
+/// Rows are short arrays instead of objects, because there may be many of them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,31 +20,32 @@
 
 namespace canvaswick {
 
-/// A level's requests a second count in these parts of one. More than the most
-/// are taken for a mistake.
-static constexpr double AskedParts = 100;
-static constexpr double MostAsked = 1e9;
+/// Demand is encoded in fractions 1/DemandScale of a request per second. A
+/// demand above MaxDemand is rejected as malformed.
+static constexpr double DemandScale = 100;
+static constexpr double MaxDemand = 1e9;
 
 Json::Value encodeUsages(const std::vector<AllowanceLevel> &Usages) {
   Json::Value Rows(Json::arrayValue);
-  for (const AllowanceLevel &Each : Usages) {
+  for (const AllowanceLevel &Usage : Usages) {
     Json::Value Row(Json::arrayValue);
-    Row.append(fmt::format("{:x}", Each.Organisation));
-    Row.append(static_cast<Json::Int64>(std::llround(Each.Asked * AskedParts)));
-    Row.append(static_cast<Json::Int64>(Each.Admitted));
+    Row.append(fmt::format("{:x}", Usage.Organisation));
+    Row.append(
+        static_cast<Json::Int64>(std::llround(Usage.Asked * DemandScale)));
+    Row.append(static_cast<Json::Int64>(Usage.Admitted));
     Rows.append(Row);
   }
   return Rows;
 }
 
-bool decodeUsage(const Json::Value &Row, AllowanceLevel &Level) {
+bool decodeUsage(const Json::Value &Row, AllowanceLevel &Usage) {
   if (!Row.isArray() || Row.size() != 3 || !Row[1].isInt64() ||
       !Row[2].isInt64())
     return false;
-  Level.Asked = static_cast<double>(Row[1].asInt64()) / AskedParts;
-  Level.Admitted = Row[2].asInt64();
-  return Level.Asked >= 0 && Level.Asked <= MostAsked &&
-         decodeHex(Row[0], Level.Organisation);
+  Usage.Asked = static_cast<double>(Row[1].asInt64()) / DemandScale;
+  Usage.Admitted = Row[2].asInt64();
+  return Usage.Asked >= 0 && Usage.Asked <= MaxDemand &&
+         decodeHex(Row[0], Usage.Organisation);
 }
 
 bool decodeUsages(const Json::Value &Rows,
@@ -52,10 +53,10 @@
   if (!Rows.isArray())
     return false;
   for (const Json::Value &Row : Rows) {
-    AllowanceLevel Level;
-    if (!decodeUsage(Row, Level))
+    AllowanceLevel Usage;
+    if (!decodeUsage(Row, Usage))
       return false;
-    Usages.push_back(Level);
+    Usages.push_back(Usage);
   }
   return true;
 }
--- a/lib/Daemon/RetryBorrower.cpp
+++ b/lib/Daemon/RetryBorrower.cpp
@@ -1,4 +1,4 @@
-//===- RetryBorrower.cpp - Rights to repeats, lent between daemons --------===//
+//===- RetryBorrower.cpp - Retry loans between daemons --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The thread of a request asks and waits; the thread of the link to peers
-/// brings answers.
+/// The thread of a request sends a loan request and waits. The link's thread
+/// delivers grants.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,36 +16,40 @@
 
 namespace canvaswick {
 
-/// How often peers are asked for one right, and how long each time is waited:
-/// within a hall an answer takes about a millisecond, more where a machine has
-/// little processor time. All rounds are far below LoanLife.
+/// The maximum number of rounds of requests for one loan, and the time to wait
+/// in each. Within a hall an answer takes about a millisecond, more on a VM
+/// with little processor time. All rounds together are far shorter than the
+/// timeout of a loan.
 static constexpr int MaxRounds = 3;
 static constexpr Duration RoundWait = fromMillis(15);
 
-/// After peers were asked in vain, they are left alone for this long: where the
-/// whole hall has run out, asking only makes answers late.
-static constexpr Duration QuietTime = fromMillis(250);
+/// After a request that no peer granted, none is sent for this time: when the
+/// whole hall has run out of retries, further requests only delay answers to
+/// callers.
+static constexpr Duration BackoffTime = fromMillis(250);
 
 RetryBorrower::RetryBorrower(uint64_t FirstNumber, CounterTable &Counters,
-                             Sender Ask)
-    : Counters(Counters), Ask(std::move(Ask)), NextNumber(FirstNumber) {}
+                             Sender SendRequest)
+    : Counters(Counters), SendRequest(std::move(SendRequest)),
+      NextNumber(FirstNumber) {}
 
-bool RetryBorrower::isWorthAsking(const RetryLoan &Loan, TimePoint Now) {
-  std::erase_if(this->QuietUntil,
+bool RetryBorrower::canAskPeers(const RetryLoan &Loan, TimePoint Now) {
+  std::erase_if(this->BackoffUntil,
                 [Now](const auto &Entry) { return Now >= Entry.second; });
-  return this->QuietUntil.count(Loan.Service) == 0;
+  return this->BackoffUntil.count(Loan.Service) == 0;
 }
 
-/// Asks round after round until an answer comes. Called without the mutex.
-bool RetryBorrower::waitForAnswer(const RetryLoan &Loan) {
+/// Sends requests in rounds until a grant arrives. The caller does not hold the
+/// mutex.
+bool RetryBorrower::waitForGrant(const RetryLoan &Loan) {
   for (int Round = 0; Round < MaxRounds; ++Round) {
-    this->Ask(Loan, Round > 0);
+    this->SendRequest(Loan, Round > 0);
     std::unique_lock<std::mutex> Lock(this->Mutex);
-    const bool IsAnswered =
-        this->Answered.wait_for(Lock, RoundWait, [this, &Loan] {
-          return this->Open[Loan.Number].IsAnswered;
+    const bool IsGranted =
+        this->GrantReceived.wait_for(Lock, RoundWait, [this, &Loan] {
+          return this->Pending[Loan.Number].IsGranted;
         });
-    if (IsAnswered)
+    if (IsGranted)
       return true;
   }
   return false;
@@ -56,35 +60,35 @@
   Loan.Service = Service.getId();
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    if (!this->isWorthAsking(Loan, Now))
+    if (!this->canAskPeers(Loan, Now))
       return false;
     Loan.Number = this->NextNumber++;
-    this->Open[Loan.Number] = {ServiceRuntimeRef(&Service), Now};
+    this->Pending[Loan.Number] = {ServiceRuntimeRef(&Service), Now};
   }
-  const bool IsAnswered = this->waitForAnswer(Loan);
+  const bool IsGranted = this->waitForGrant(Loan);
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->Open.erase(Loan.Number);
-    if (!IsAnswered)
-      this->QuietUntil[Loan.Service] = Now + QuietTime;
+    this->Pending.erase(Loan.Number);
+    if (!IsGranted)
+      this->BackoffUntil[Loan.Service] = Now + BackoffTime;
   }
-  const bool IsTaken = IsAnswered && Service.tryRepeatUnrun(readSteadyClock());
-  this->Counters.add(IsTaken ? Counter::RepeatsBorrowed
-                             : Counter::RepeatsAskedInVain);
-  return IsTaken;
+  const bool IsUsed = IsGranted && Service.tryRepeatUnrun(readSteadyClock());
+  this->Counters.add(IsUsed ? Counter::RepeatsBorrowed
+                            : Counter::RepeatsAskedInVain);
+  return IsUsed;
 }
 
 void RetryBorrower::handleGrant(const RetryLoan &Loan) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    const auto Found = this->Open.find(Loan.Number);
-    if (Found == this->Open.end() ||
+    const auto Found = this->Pending.find(Loan.Number);
+    if (Found == this->Pending.end() ||
         Found->second.Service->getId() != Loan.Service)
       return;
-    Found->second.Service->borrowRepeat(Found->second.AskedAt + LoanLife);
-    Found->second.IsAnswered = true;
+    Found->second.Service->borrowRepeat(Found->second.RequestedAt + LoanLife);
+    Found->second.IsGranted = true;
   }
-  this->Answered.notify_all();
+  this->GrantReceived.notify_all();
 }
 
 } // namespace canvaswick
--- a/tools/canvaswickd/canvaswickd.cpp
+++ b/tools/canvaswickd/canvaswickd.cpp
@@ -1,4 +1,4 @@
-//===- canvaswickd.cpp - The daemon's program -----------------------------===//
+//===- canvaswickd.cpp - The daemon's main program ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Loads the settings, runs the daemon until a signal, stops it in order.
+/// Loads the settings, runs the daemon until a signal arrives, and stops it in
+/// order.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,8 @@
               "variable CANVASWICK_NODE_FILE");
 DEFINE_bool(check_settings, false, "Check the settings and exit");
 DEFINE_int64(grace_ms, 3000,
-             "Time between turning readiness red and closing kept connections");
+             "Milliseconds between failing readiness checks and closing idle "
+             "connections");
 
 using namespace canvaswick;
 
@@ -41,7 +43,8 @@
   return outcome::success();
 }
 
-/// Runs a daemon with its own interface. Returns only if it cannot start.
+/// Runs a daemon that serves its own control interface. Returns only if the
+/// daemon cannot start.
 static int runDaemon(const DaemonConfig &Config) {
   Daemon Server(Config);
   Result<void> Started = Server.start();
@@ -51,18 +54,19 @@
   }
   waitForStopSignal();
   Server.beginStop();
-  // The balancer sees red readiness during this time and sends nothing new.
+  // The load balancer's readiness checks fail during this time, so it sends no
+  // new requests.
   const bool IsHurried = waitForSecondStopSignal(FLAGS_grace_ms);
   const double Seconds =
       IsHurried ? 0 : static_cast<double>(Config.StopSeconds);
   const bool AllEnded =
       Server.finishStop(readSteadyClock() + fromSeconds(Seconds));
   stopLogWriter();
-  // Threads that still hold a request end with the process.
+  // Threads that still process a request end with the process.
   std::_Exit(toInt(AllEnded ? ExitCode::Success : ExitCode::CutShort));
 }
 
-/// Returns the path of the settings file, or an empty text.
+/// Returns the path of the settings file, or an empty string if none is set.
 static std::string findSettingsPath() {
   if (!FLAGS_settings.empty())
     return FLAGS_settings;
@@ -70,19 +74,21 @@
   return Path ? Path : "";
 }
 
-/// The platform kills the process when its grace time is over. New connections
-/// may come until the balancer has noticed that readiness is red, which takes
-/// it two checks a second apart.
-static constexpr double AcceptingPart = 0.5;
-static constexpr Duration LongestAccepting = fromSeconds(3);
+/// The platform kills the process when its grace period is over. During the
+/// first part of it the daemon accepts new connections, until the load balancer
+/// has noticed that readiness checks fail, which takes it two checks a second
+/// apart.
+static constexpr double AcceptingFraction = 0.5;
+static constexpr Duration MaxAcceptingTime = fromSeconds(3);
 
-/// Time left for the process to end.
+/// The time reserved for the process to exit.
 static constexpr Duration ExitMargin = fromMillis(400);
 
-/// How often the settings file is read again: it may change without a signal.
+/// The interval at which the settings file is read again: it may change without
+/// a signal.
 static constexpr int64_t FileCheckMillis = 1000;
 
-/// Takes the settings file's new content, if it is good.
+/// Applies the new content of the settings file if it is valid.
 static void reloadSettings(platform::PlatformDaemon &Server,
                            const std::string &Path, DaemonConfig &Current) {
   Result<DaemonConfig> Loaded = loadDaemonConfig(Path);
@@ -96,7 +102,8 @@
           toMillis(Current.Grace), Current.FloorPercent);
 }
 
-/// Serves until a signal asks to stop. Returns the grace time then in force.
+/// Serves until a stop signal arrives. Returns the grace period in force at
+/// that time.
 static Duration serveUntilStopped(platform::PlatformDaemon &Server,
                                   DaemonConfig Current) {
   const std::string Path = findSettingsPath();
@@ -115,7 +122,8 @@
   }
 }
 
-/// Runs a daemon on the users' platform. Returns only if it cannot start.
+/// Runs a daemon on the users' platform. Returns only if the daemon cannot
+/// start.
 static int runPlatformDaemon(const DaemonConfig &Config) {
   platform::PlatformDaemon Server(Config);
   Result<void> Started = Server.start();
@@ -126,8 +134,8 @@
   const Duration Grace = serveUntilStopped(Server, Config);
   const TimePoint Deadline = readSteadyClock() + Grace - ExitMargin;
   Server.beginStop();
-  const Duration Accepting =
-      std::min(LongestAccepting, fromSeconds(toSeconds(Grace) * AcceptingPart));
+  const Duration Accepting = std::min(
+      MaxAcceptingTime, fromSeconds(toSeconds(Grace) * AcceptingFraction));
   waitForSecondStopSignal(toMillis(Accepting));
   const bool AllEnded = Server.finishStop(Deadline);
   stopLogWriter();
