--- a/unittests/Daemon/DirectoryCallsTest.cpp
+++ b/unittests/Daemon/DirectoryCallsTest.cpp
@@ -1,4 +1,4 @@
-//===- DirectoryCallsTest.cpp - Tests of the copy between daemons ---------===//
+//===- DirectoryCallsTest.cpp - Tests of the store's replication ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What a daemon tells of its copy: whole, packed, or without what is large.
+/// Tests how a daemon answers requests for changes: in full, packed, or without
+/// large values.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,14 +25,14 @@
 
 using namespace canvaswick;
 
-/// A copy as large as that of a fleet of 443 daemons before 720 servers.
-static ItemChanges makeCopy() {
+/// A replica as large as that of a fleet of 443 daemons with 720 servers.
+static ItemChanges makeReplica() {
   std::mt19937_64 Random(1);
-  ItemChanges Copy;
-  Copy.IsAll = true;
-  Copy.AsOf = {0, 5000};
+  ItemChanges Replica;
+  Replica.IsAll = true;
+  Replica.AsOf = {0, 5000};
   for (int I = 0; I < 720; ++I)
-    Copy.Items.push_back(
+    Replica.Items.push_back(
         {fmt::format("servers/i-{:010x}", Random() >> 24),
          fmt::format(R"({{"address":"10.{}.64.{}:8665","info":{{"service":)"
                      R"("nyse17b","version":"v{}","zone":"hall-{}",)"
@@ -42,103 +43,107 @@
          {0, 1000 + Random() % 4000},
          false});
   for (int I = 0; I < 443; ++I)
-    Copy.Items.push_back(
+    Replica.Items.push_back(
         {fmt::format("canvaswick/daemons/front-hall-{}-{}", I % 5, I),
          fmt::format(R"({{"control":"10.{}.0.{}:8761","hall":"hall-{}","peer":)"
                      R"("10.{}.0.{}:7780"}})",
                      I % 5, I / 5, I % 5, I % 5, I / 5),
          {0, 1000 + Random() % 4000},
          false});
-  return Copy;
+  return Replica;
 }
 
-static const ItemChanges SmallNews{
+static const ItemChanges SmallChanges{
     false, false, {{"k", "v", {0, 7}, false}}, {}, {0, 7}};
 
-/// News and a configuration of some size.
-static ItemChanges makeLargeNews() {
-  ItemChanges Changes = SmallNews;
+/// A small change and a large configuration.
+static ItemChanges makeLargeChanges() {
+  ItemChanges Changes = SmallChanges;
   Changes.Items.push_back({"config", std::string(5000, 'c'), {0, 6}, false});
   return Changes;
 }
 
-TEST_CASE("few items travel as they are, many packed, and come back alike") {
-  const Json::Value Few = packChanges(encodeChanges(SmallNews));
+TEST_CASE("few items are sent as they are, many are packed, and both decode "
+          "equally") {
+  const Json::Value Few = packChanges(encodeChanges(SmallChanges));
   CHECK(Few.isMember("items"));
-  CHECK(decodeChanges(Few).value().Items == SmallNews.Items);
-  const ItemChanges Copy = makeCopy();
-  const Json::Value Encoded = encodeChanges(Copy);
+  CHECK(decodeChanges(Few).value().Items == SmallChanges.Items);
+  const ItemChanges Replica = makeReplica();
+  const Json::Value Encoded = encodeChanges(Replica);
   const TimePoint Began = readSteadyClock();
   const Json::Value Packed = packChanges(Encoded);
   const Duration PackTime = readSteadyClock() - Began;
   const size_t Before = writeJson(Encoded).size();
   const size_t After = writeJson(Packed).size();
-  MESSAGE("a copy of 1,163 items: ", Before, " bytes, packed ", After, " in ",
-          PackTime.count(), " us");
-  // What a thin link carries in an eighth of the time.
+  MESSAGE("a replica of 1,163 items: ", Before, " bytes, packed ", After,
+          " in ", PackTime.count(), " us");
+  // Packing must save at least three quarters, for daemons with slow links.
   CHECK(After * 4 < Before);
   const Result<ItemChanges> Back = decodeChanges(Packed);
   REQUIRE(Back);
-  CHECK(Back.value().Items == Copy.Items);
+  CHECK(Back.value().Items == Replica.Items);
   CHECK(Back.value().IsAll);
-  CHECK(Back.value().AsOf == Copy.AsOf);
+  CHECK(Back.value().AsOf == Replica.AsOf);
 }
 
-TEST_CASE("large values travel only if asked for and if there is room") {
-  bool HasRoom = true;
-  ChangesResponder Answerer(
-      [](const ChangesRequest &) { return makeLargeNews(); },
-      [&HasRoom] { return HasRoom; });
-  const auto Ask = [&](bool WantsLarge) {
-    return decodeChanges(Answerer.answer({{0, 3}, WantsLarge, {}})).value();
+TEST_CASE("large values are sent only if requested and if there is capacity") {
+  bool HasCapacity = true;
+  ChangesResponder Responder(
+      [](const ChangesRequest &) { return makeLargeChanges(); },
+      [&HasCapacity] { return HasCapacity; });
+  const auto Request = [&](bool WantsLarge) {
+    return decodeChanges(Responder.answer({{0, 3}, WantsLarge, {}})).value();
   };
-  CHECK(Ask(true).Items.size() == 2);
-  CHECK_FALSE(Ask(true).IsPartial);
-  CHECK(Ask(false).IsPartial);
-  CHECK(Ask(false).Items == SmallNews.Items);
-  HasRoom = false;
-  CHECK(Ask(true).IsPartial);
-  CHECK(Ask(true).Items == SmallNews.Items);
+  CHECK(Request(true).Items.size() == 2);
+  CHECK_FALSE(Request(true).IsPartial);
+  CHECK(Request(false).IsPartial);
+  CHECK(Request(false).Items == SmallChanges.Items);
+  HasCapacity = false;
+  CHECK(Request(true).IsPartial);
+  CHECK(Request(true).Items == SmallChanges.Items);
 }
 
-TEST_CASE("news without large values are whole, whatever room there is") {
-  ChangesResponder Answerer([](const ChangesRequest &) { return SmallNews; },
-                            [] { return false; });
+TEST_CASE("changes without large values are complete without capacity") {
+  ChangesResponder Responder(
+      [](const ChangesRequest &) { return SmallChanges; },
+      [] { return false; });
   CHECK_FALSE(
-      decodeChanges(Answerer.answer({{0, 3}, false, {}})).value().IsPartial);
+      decodeChanges(Responder.answer({{0, 3}, false, {}})).value().IsPartial);
 }
 
-TEST_CASE("a whole copy is refused where there is no room, with a reason") {
-  bool HasRoom = false;
-  ChangesResponder Answerer([](const ChangesRequest &) { return makeCopy(); },
-                            [&HasRoom] { return HasRoom; });
-  CHECK(Answerer.answer({{0, 0}, true, {}})["error"].asString() ==
+TEST_CASE("a full replica is refused with a reason if there is no capacity") {
+  bool HasCapacity = false;
+  ChangesResponder Responder(
+      [](const ChangesRequest &) { return makeReplica(); },
+      [&HasCapacity] { return HasCapacity; });
+  CHECK(Responder.answer({{0, 0}, true, {}})["error"].asString() ==
         getName(ErrorKind::Unavailable));
-  HasRoom = true;
-  CHECK(
-      decodeChanges(Answerer.answer({{0, 0}, true, {}})).value().Items.size() ==
-      1163);
+  HasCapacity = true;
+  CHECK(decodeChanges(Responder.answer({{0, 0}, true, {}}))
+            .value()
+            .Items.size() == 1163);
 }
 
-TEST_CASE("what was packed is told again until the copy has moved on") {
-  ItemChanges Copy = makeCopy();
-  ChangesResponder Answerer([&Copy](const ChangesRequest &) { return Copy; },
-                            [] { return true; });
-  const Json::Value First = Answerer.answer({{0, 0}, true, {}});
-  CHECK(Answerer.answer({{0, 0}, true, {}}) == First);
-  Copy.AsOf = {0, 6000};
-  Copy.Items.pop_back();
-  CHECK(decodeChanges(Answerer.answer({{0, 0}, true, {}})).value().AsOf ==
+TEST_CASE("a packed response is reused until the replica changes") {
+  ItemChanges Replica = makeReplica();
+  ChangesResponder Responder(
+      [&Replica](const ChangesRequest &) { return Replica; },
+      [] { return true; });
+  const Json::Value First = Responder.answer({{0, 0}, true, {}});
+  CHECK(Responder.answer({{0, 0}, true, {}}) == First);
+  Replica.AsOf = {0, 6000};
+  Replica.Items.pop_back();
+  CHECK(decodeChanges(Responder.answer({{0, 0}, true, {}})).value().AsOf ==
         StorePosition(0, 6000));
-  // Many different questions push each other out and are answered all the same.
+  // More distinct requests than the cache holds are all answered correctly.
   for (uint64_t After = 1; After < 30; ++After)
     CHECK(
-        decodeChanges(Answerer.answer({{0, After}, true, {}})).value().Items ==
-        Copy.Items);
+        decodeChanges(Responder.answer({{0, After}, true, {}})).value().Items ==
+        Replica.Items);
 }
 
-TEST_CASE("fields of a wrong kind and broken packed items are refused") {
-  Json::Value Good = packChanges(encodeChanges(makeCopy()));
+TEST_CASE("malformed fields and corrupt packed items are rejected") {
+  Json::Value Good = packChanges(encodeChanges(makeReplica()));
   REQUIRE(decodeChanges(Good));
   for (const char *Field : {"as-of", "all", "partial", "packed"}) {
     CAPTURE(Field);
@@ -157,7 +162,7 @@
   CHECK_FALSE(decodeChanges(NoRows));
 }
 
-TEST_CASE("who holds the version before gets the difference at once") {
+TEST_CASE("a daemon that holds the previous version gets a delta") {
   ItemTable Table;
   std::string Config(20000, 'x');
   for (size_t I = 0; I < Config.size(); I += 100)
@@ -166,14 +171,14 @@
   Table.apply({"config", Config + "one route more}", {0, 6}, false});
   Table.apply({"k", "v", {0, 7}, false});
   Table.advanceTo({0, 7});
-  // No room for what is large: a difference is small.
-  ChangesResponder Answerer(
+  // There is no capacity for large values, but a delta is small.
+  ChangesResponder Responder(
       [&Table](const ChangesRequest &Request) {
         return Table.getChangesAfter(Request.After, Request.Held);
       },
       [] { return false; });
   const ItemChanges Changes =
-      decodeChanges(Answerer.answer({{0, 3}, false, {{"config", {0, 3}}}}))
+      decodeChanges(Responder.answer({{0, 3}, false, {{"config", {0, 3}}}}))
           .value();
   CHECK_FALSE(Changes.IsPartial);
   CHECK(Changes.Items.size() == 1);
@@ -183,9 +188,9 @@
   const Result<StoreItem> Item = Behind.resolve(Changes.Deltas[0]);
   REQUIRE(Item);
   CHECK(Item.value() == *Table.find("config"));
-  // Who holds another version, or none, is told the whole.
+  // A daemon that holds another version, or none, does not get the delta.
   for (const ItemPositions &Held : {ItemPositions{{"config", {0, 2}}}, {}})
-    CHECK(decodeChanges(Answerer.answer({{0, 3}, false, Held}))
+    CHECK(decodeChanges(Responder.answer({{0, 3}, false, Held}))
               .value()
               .IsPartial);
   ItemTable Other;
@@ -193,7 +198,7 @@
   CHECK_FALSE(Other.resolve(Changes.Deltas[0]));
 }
 
-TEST_CASE("requests and differences of a wrong shape are refused") {
+TEST_CASE("malformed requests and deltas are rejected") {
   const ChangesRequest Request{{0, 5}, false, {{"config", {0, 3}}}};
   const Json::Value Good = encodeRequest(Request);
   REQUIRE(decodeRequest(Good));
@@ -207,7 +212,7 @@
   Json::Value NoRevision = Good;
   NoRevision["held"]["config"] = "x";
   CHECK_FALSE(decodeRequest(NoRevision));
-  ItemChanges Changes = SmallNews;
+  ItemChanges Changes = SmallChanges;
   Changes.Deltas.push_back(
       {"config", {0, 6}, {0, 3}, {1, {{0, 5, "own"}, {7, 2, ""}}}});
   const Json::Value Encoded = encodeChanges(Changes);
@@ -222,9 +227,9 @@
   CHECK_FALSE(decodeChanges(NoPlace));
 }
 
-TEST_CASE("any bytes as packed items are refused or read, never more") {
+TEST_CASE("arbitrary bytes as packed items never throw") {
   CHECK(rc::check([](const std::string &Bytes) {
-    Json::Value Value = encodeChanges(SmallNews);
+    Json::Value Value = encodeChanges(SmallChanges);
     Value.removeMember("items");
     Value["packed"] = encodeBase64(Bytes);
     (void)decodeChanges(Value);
@@ -233,7 +238,8 @@
   }));
 }
 
-TEST_CASE("who knows no epochs is answered as one of this epoch, and apart") {
+TEST_CASE(
+    "a peer without epochs is answered as in the current epoch, cached apart") {
   ItemTable Table;
   std::vector<StoreItem> All;
   for (uint64_t I = 0; I < 100; ++I)
@@ -244,25 +250,25 @@
   Table.replaceAll(All, {2, 110});
   Table.apply({"servers/new", std::string(3000, 'y'), {2, 111}, false});
   Table.advanceTo({2, 111});
-  bool HasRoom = true;
-  ChangesResponder Answerer(
+  bool HasCapacity = true;
+  ChangesResponder Responder(
       [&Table](const ChangesRequest &Request) {
         const uint64_t Epoch = Request.HasEpoch ? Request.After.Epoch : 2;
         return Table.getChangesAfter({Epoch, Request.After.Revision});
       },
-      [&HasRoom] { return HasRoom; });
+      [&HasCapacity] { return HasCapacity; });
   const ChangesRequest Without{{0, 110}, true, {}, false};
   const ChangesRequest Earlier{{0, 110}, true, {}, true};
   for (int Time = 0; Time < 2; ++Time) {
-    const auto News = decodeChanges(Answerer.answer(Without));
-    REQUIRE(News);
-    CHECK(News.value().Items.size() == 1);
-    const auto Whole = decodeChanges(Answerer.answer(Earlier));
-    REQUIRE(Whole);
-    CHECK(Whole.value().Items.size() == 101);
+    const auto Changes = decodeChanges(Responder.answer(Without));
+    REQUIRE(Changes);
+    CHECK(Changes.value().Items.size() == 1);
+    const auto Full = decodeChanges(Responder.answer(Earlier));
+    REQUIRE(Full);
+    CHECK(Full.value().Items.size() == 101);
   }
-  // Its news are small and need no room; a whole copy does.
-  HasRoom = false;
-  CHECK(decodeChanges(Answerer.answer(Without)));
-  CHECK_FALSE(decodeChanges(Answerer.answer(Earlier)));
+  // Changes are small and need no capacity; a full replica does.
+  HasCapacity = false;
+  CHECK(decodeChanges(Responder.answer(Without)));
+  CHECK_FALSE(decodeChanges(Responder.answer(Earlier)));
 }
--- a/unittests/Daemon/PeerLinkTest.cpp
+++ b/unittests/Daemon/PeerLinkTest.cpp
@@ -1,4 +1,4 @@
-//===- PeerLinkTest.cpp - Tests of who hears which message ----------------===//
+//===- PeerLinkTest.cpp - Tests of the datagrams' recipients --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Who hears what in two halls.
+/// Tests which daemons of two halls receive which message.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,25 +30,25 @@
 
 namespace {
 
-/// One daemon's link and what it has heard.
+/// One daemon's link and the messages that it has received.
 struct Listener {
   Listener(const std::string &Name, const std::string &Hall, int Number,
            uint16_t Port)
       : Self{Name, Hall, {}, {fmt::format("127.0.7.{}", Number), Port}},
         Link(Self, 1, Counters, [this](const PeerMessage &Message) {
           std::lock_guard<std::mutex> Lock(this->Mutex);
-          this->Heard.push_back(Message);
+          this->Received.push_back(Message);
         }) {}
 
-  size_t countHeard() {
+  size_t countReceived() {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    return this->Heard.size();
+    return this->Received.size();
   }
 
   const DaemonRecord Self;
   CounterTable Counters;
   std::mutex Mutex;
-  std::vector<PeerMessage> Heard;
+  std::vector<PeerMessage> Received;
   PeerLink Link;
 };
 
@@ -79,7 +79,7 @@
     for (int Round = 0; Round < 300; ++Round) {
       bool IsDone = true;
       for (size_t I = First; I <= Last; ++I)
-        IsDone = IsDone && All[I]->countHeard() >= Count;
+        IsDone = IsDone && All[I]->countReceived() >= Count;
       if (IsDone)
         return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -91,22 +91,23 @@
                                 {{6, 1.5, fromMillis(20)}});
   CHECK(WaitFor(1, 2, 1));
   for (size_t I = 1; I < 3; ++I) {
-    REQUIRE(All[I]->Heard[0].InFlight.has_value());
-    CHECK(All[I]->Heard[0].InFlight->size() == 1);
-    CHECK(All[I]->Heard[0].Usages.size() == 1);
-    CHECK(All[I]->Heard[0].Limits.size() == 1);
+    REQUIRE(All[I]->Received[0].InFlight.has_value());
+    CHECK(All[I]->Received[0].InFlight->size() == 1);
+    CHECK(All[I]->Received[0].Usages.size() == 1);
+    CHECK(All[I]->Received[0].Limits.size() == 1);
   }
   All[0]->Link.sendEstimates({{9, 345}}, {}, {{6, 1.5, fromMillis(20)}});
   CHECK(WaitFor(3, 5, 1));
   for (size_t I = 3; I < 6; ++I) {
-    CHECK(All[I]->Heard.size() == 1);
-    CHECK(All[I]->Heard[0].Estimates.size() == 1);
-    CHECK(All[I]->Heard[0].Limits.size() == 1);
+    CHECK(All[I]->Received.size() == 1);
+    CHECK(All[I]->Received[0].Estimates.size() == 1);
+    CHECK(All[I]->Received[0].Limits.size() == 1);
   }
-  CHECK(All[0]->countHeard() == 0);
+  CHECK(All[0]->countReceived() == 0);
 }
 
-TEST_CASE("a watcher tells its hall how long ago the store answered it") {
+TEST_CASE(
+    "a watcher reports the time since the store's last answer to its hall") {
   const std::vector<std::unique_ptr<Listener>> All = startTwoHalls();
   const TimePoint Now = readSteadyClock();
   std::optional<Duration> Expected;
@@ -118,14 +119,14 @@
   SUBCASE("it follows others") {}
   All[0]->Link.setStoreState(State);
   All[0]->Link.sendStoreState(Now);
-  for (int Round = 0; Round < 300 && All[1]->countHeard() == 0; ++Round)
+  for (int Round = 0; Round < 300 && All[1]->countReceived() == 0; ++Round)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  REQUIRE(All[1]->countHeard() == 1);
-  CHECK(All[1]->Heard[0].AsOf == StorePosition(0, 7));
-  CHECK(All[1]->Heard[0].SinceStoreAnswer == Expected);
+  REQUIRE(All[1]->countReceived() == 1);
+  CHECK(All[1]->Received[0].AsOf == StorePosition(0, 7));
+  CHECK(All[1]->Received[0].SinceStoreAnswer == Expected);
 }
 
-/// Sends a datagram from a socket of its own.
+/// Sends a datagram from a separate socket.
 static void sendRaw(const Endpoint &To, const std::string &Text) {
   sockaddr_in Address{};
   Address.sin_family = AF_INET;
@@ -139,23 +140,23 @@
   ::close(Socket);
 }
 
-// The failure. One datagram of 1,400 opening brackets ended the daemon.
-// The cause. The library that reads JSON throws where values lie too deep in
-// each other, and nothing caught that on the link's thread.
-TEST_CASE("a datagram that holds anything does not end the daemon") {
+// Guards against a datagram that terminates the daemon. The JSON library throws
+// an exception when values are nested too deeply, as in 1,400 opening brackets,
+// and the link's thread did not catch it.
+TEST_CASE("a malformed datagram does not terminate the daemon") {
   const std::vector<std::unique_ptr<Listener>> All = startTwoHalls();
   sendRaw(All[0]->Self.Peer, std::string(1400, '['));
   sendRaw(All[0]->Self.Peer, std::string(1400, '{'));
   sendRaw(All[0]->Self.Peer, std::string(1400, '\0'));
-  // It still hears its hall.
+  // The daemon still receives messages of its hall.
   All[1]->Link.setStoreState({{0, 9}, true, readSteadyClock()});
   All[1]->Link.sendStoreState(readSteadyClock());
-  for (int Round = 0; Round < 300 && All[0]->countHeard() == 0; ++Round)
+  for (int Round = 0; Round < 300 && All[0]->countReceived() == 0; ++Round)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  CHECK(All[0]->countHeard() > 0);
+  CHECK(All[0]->countReceived() > 0);
 }
 
-TEST_CASE("a link that has been stopped sends nothing") {
+TEST_CASE("a stopped link sends nothing") {
   const std::vector<std::unique_ptr<Listener>> All = startTwoHalls();
   All[0]->Link.stop();
   All[0]->Link.sendStoreState(readSteadyClock());
@@ -163,23 +164,23 @@
   CHECK(All[0]->Counters.get(Counter::PeerSendFailures) == 0);
 }
 
-TEST_CASE("a right to a repeat is asked of few and given to who asked") {
+TEST_CASE("a loan is requested from few peers and granted to the borrower") {
   const std::vector<std::unique_ptr<Listener>> All = startTwoHalls();
-  bool IsFar = false;
-  SUBCASE("of the own hall") {}
-  SUBCASE("of another hall too") { IsFar = true; }
-  All[0]->Link.sendLoanRequest({7, 1}, IsFar);
-  All[IsFar ? 4 : 1]->Link.sendLoanGrant("d0", {7, 1});
-  for (int Round = 0; Round < 300 && All[0]->countHeard() == 0; ++Round)
+  bool AsksRemoteHall = false;
+  SUBCASE("of the same hall") {}
+  SUBCASE("of another hall, too") { AsksRemoteHall = true; }
+  All[0]->Link.sendLoanRequest({7, 1}, AsksRemoteHall);
+  All[AsksRemoteHall ? 4 : 1]->Link.sendLoanGrant("d0", {7, 1});
+  for (int Round = 0; Round < 300 && All[0]->countReceived() == 0; ++Round)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  // What else was sent has come by then, or will not.
+  // Waits for any other message that was sent.
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
-  REQUIRE(All[0]->countHeard() == 1);
-  CHECK(All[0]->Heard[0].LoanGrants == std::vector<RetryLoan>{{7, 1}});
-  size_t Near = 0;
-  size_t Far = 0;
+  REQUIRE(All[0]->countReceived() == 1);
+  CHECK(All[0]->Received[0].LoanGrants == std::vector<RetryLoan>{{7, 1}});
+  size_t LocalCount = 0;
+  size_t RemoteCount = 0;
   for (size_t I = 1; I < 6; ++I)
-    (I < 3 ? Near : Far) += All[I]->countHeard();
-  CHECK(Near == (IsFar ? 1 : 2));
-  CHECK(Far == (IsFar ? 1 : 0));
+    (I < 3 ? LocalCount : RemoteCount) += All[I]->countReceived();
+  CHECK(LocalCount == (AsksRemoteHall ? 1 : 2));
+  CHECK(RemoteCount == (AsksRemoteHall ? 1 : 0));
 }
--- a/unittests/Daemon/PeerMessageTest.cpp
+++ b/unittests/Daemon/PeerMessageTest.cpp
@@ -1,4 +1,4 @@
-//===- PeerMessageTest.cpp - Tests of what daemons send -------------------===//
+//===- PeerMessageTest.cpp - Tests of peer messages -----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The text of messages and of changes of the directory, whole and damaged.
+/// Tests the encoding of peer messages and of changes of the store, valid and
+/// damaged.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -52,7 +53,7 @@
   CHECK(Back.value() == Message);
 }
 
-TEST_CASE("a message that speaks of nothing in flight says so or is silent") {
+TEST_CASE("no requests in flight differ from no report of requests in flight") {
   PeerMessage Silent = makeMessage();
   Silent.InFlight.reset();
   PeerMessage Nothing = makeMessage();
@@ -61,7 +62,7 @@
   CHECK(decodePeerMessage(encodePeerMessage(Nothing)).value().InFlight);
 }
 
-TEST_CASE("a message of a wrong shape is an error") {
+TEST_CASE("malformed messages are rejected") {
   CHECK_FALSE(decodePeerMessage(""));
   CHECK_FALSE(decodePeerMessage("{}"));
   Json::Value Value;
@@ -148,7 +149,7 @@
   }));
 }
 
-TEST_CASE("changes of a directory survive encoding") {
+TEST_CASE("changes of the store survive encoding") {
   ItemChanges Changes;
   Changes.IsAll = true;
   Changes.AsOf = {0, 9};
--- a/unittests/Daemon/PoisonRequestReportTest.cpp
+++ b/unittests/Daemon/PoisonRequestReportTest.cpp
@@ -1,4 +1,4 @@
-//===- PoisonRequestReportTest.cpp - Tests of records and of who gets a ---===//
+//===- PoisonRequestReportTest.cpp - Tests of poison request records ------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Records survive their text, merge, and are refused if they are of a wrong
-/// shape; a right to a try is given once.
+/// Tests that records keep their content when encoded and merged, that
+/// malformed ones are rejected, and that only one daemon claims a probe.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -44,52 +44,52 @@
   return Record;
 }
 
-/// The place where records are kept, as several daemons see it.
-struct Shelf {
-  PoisonRequestStore open(RequestGuard &Guard) {
+/// The storage of the records, shared by several daemons.
+struct FakeStore {
+  PoisonRequestStore open(RequestGuard &Quarantine) {
     return PoisonRequestStore(
-        Guard, [this] { return this->read(); },
+        Quarantine, [this] { return this->read(); },
         [this](const std::string &Text, const StorePosition &Expected) {
           return this->write(Text, Expected);
         });
   }
 
-  Result<StoredRecords> read() { return this->Page; }
+  Result<StoredRecords> read() { return this->Stored; }
 
   Result<StorePosition> write(const std::string &Text,
                               const StorePosition &Expected) {
     if (this->IsDown)
       return makeError(ErrorKind::Unavailable, "down");
-    if (Expected != this->Page.At)
+    if (Expected != this->Stored.At)
       return makeError(ErrorKind::Conflict, "another revision");
     ++this->Writes;
-    this->Page = {Text, {Expected.Epoch, Expected.Revision + 1}};
-    return this->Page.At;
+    this->Stored = {Text, {Expected.Epoch, Expected.Revision + 1}};
+    return this->Stored.At;
   }
 
-  StoredRecords Page;
+  StoredRecords Stored;
   bool IsDown = false;
   int Writes = 0;
 };
 
-/// A daemon as far as records go.
-struct Reader {
-  explicit Reader(Shelf &Where) : Book(Where.open(Guard)) {}
+/// A daemon's quarantine and its access to the records.
+struct TestDaemon {
+  explicit TestDaemon(FakeStore &Storage) : Store(Storage.open(Quarantine)) {}
 
-  void see(int Server, double Ended) {
-    this->Guard.noteEnd({Fatal, static_cast<EndedServer>(Server),
-                         at(Ended - 0.02).Steady, at(Ended).Steady},
-                        at(Ended).Steady);
+  void recordEnd(int Server, double Ended) {
+    this->Quarantine.noteEnd({Fatal, static_cast<EndedServer>(Server),
+                              at(Ended - 0.02).Steady, at(Ended).Steady},
+                             at(Ended).Steady);
   }
 
   CounterTable Counters;
-  RequestGuard Guard{Counters};
-  PoisonRequestStore Book;
+  RequestGuard Quarantine{Counters};
+  PoisonRequestStore Store;
 };
 
 } // namespace
 
-TEST_CASE("records survive their text, to the millisecond") {
+TEST_CASE("records survive encoding with a precision of one millisecond") {
   std::vector<SuspectRecord> Records{makeRecord(Fatal, 3), makeRecord(5, 2)};
   Records[0].Tries = 4;
   const Result<std::vector<SuspectRecord>> Back =
@@ -98,14 +98,14 @@
   CHECK(Back.value() == Records);
 }
 
-TEST_CASE("a clock that is off by hours makes no record of the future") {
+TEST_CASE("a clock that is wrong by hours places no crash in the future") {
   const std::string Text = encodeRecords({makeRecord(Fatal, 3)}, at(36000));
   const Result<std::vector<SuspectRecord>> Back = decodeRecords(Text, at(0));
   REQUIRE(Back);
   CHECK(Back.value()[0].Ends.back().Ended <= at(36000).Steady);
 }
 
-TEST_CASE("records of a wrong shape are refused, field by field") {
+TEST_CASE("malformed records are rejected for each field") {
   Json::Value Value;
   REQUIRE(parseJson(encodeRecords({makeRecord(Fatal, 2)}, at(10)), Value));
   const auto Refused = [](const Json::Value &Changed) {
@@ -139,7 +139,7 @@
   }));
 }
 
-TEST_CASE("records merge, and old ones make room") {
+TEST_CASE("records are merged and old ones are dropped") {
   std::vector<SuspectRecord> Records{makeRecord(Fatal, 2)};
   SuspectRecord More = makeRecord(Fatal, 3);
   More.Ends.erase(More.Ends.begin());
@@ -157,81 +157,82 @@
   CHECK_FALSE(removeRecord(Records, 7));
 }
 
-TEST_CASE("of all daemons that want a try one gets it") {
-  Shelf Where;
-  Reader One(Where);
-  Reader Two(Where);
+TEST_CASE("only one daemon can claim a probe") {
+  FakeStore Storage;
+  TestDaemon One(Storage);
+  TestDaemon Two(Storage);
   for (int I = 0; I < 3; ++I)
-    One.see(I, I);
-  One.Book.runRound(at(3));
-  REQUIRE(Two.Book.refresh(at(3)));
-  const SuspectRecord Known = Two.Guard.describe().at(0).Record;
+    One.recordEnd(I, I);
+  One.Store.runRound(at(3));
+  REQUIRE(Two.Store.refresh(at(3)));
+  const SuspectRecord Known = Two.Quarantine.describe().at(0).Record;
   CHECK(Known.Ends.size() == 3);
-  CHECK(One.Book.claimProbe(Known, at(5)));
-  // It has not heard of the first one's try yet.
-  CHECK_FALSE(Two.Book.claimProbe(Known, at(5)));
-  Where.IsDown = true;
-  CHECK_FALSE(One.Book.claimProbe(makeRecord(5, 3), at(6)));
+  CHECK(One.Store.claimProbe(Known, at(5)));
+  // The second daemon does not know yet that the first one claimed the probe.
+  CHECK_FALSE(Two.Store.claimProbe(Known, at(5)));
+  Storage.IsDown = true;
+  CHECK_FALSE(One.Store.claimProbe(makeRecord(5, 3), at(6)));
 }
 
-TEST_CASE("one end is not worth a call; more are written once") {
-  Shelf Where;
-  Reader One(Where);
-  One.see(1, 0);
-  One.Book.runRound(at(1));
-  CHECK(Where.Writes == 0);
-  One.see(2, 1);
-  Where.IsDown = true;
-  One.Book.runRound(at(2));
-  Where.IsDown = false;
-  One.Book.runRound(at(2.5));
-  CHECK(Where.Writes == 0);
-  One.Book.runRound(at(5));
-  REQUIRE(One.Book.refresh(at(5)));
-  One.Book.runRound(at(8));
-  CHECK(Where.Writes == 1);
+TEST_CASE("a single crash is not stored; more are stored once") {
+  FakeStore Storage;
+  TestDaemon One(Storage);
+  One.recordEnd(1, 0);
+  One.Store.runRound(at(1));
+  CHECK(Storage.Writes == 0);
+  One.recordEnd(2, 1);
+  Storage.IsDown = true;
+  One.Store.runRound(at(2));
+  Storage.IsDown = false;
+  One.Store.runRound(at(2.5));
+  CHECK(Storage.Writes == 0);
+  One.Store.runRound(at(5));
+  REQUIRE(One.Store.refresh(at(5)));
+  One.Store.runRound(at(8));
+  CHECK(Storage.Writes == 1);
 }
 
-TEST_CASE("a value that cannot be read holds nobody back, and is replaced") {
-  Shelf Where;
-  Where.Page = {"{\"requests\": 3}", {0, 9}};
-  Reader One(Where);
-  REQUIRE(One.Book.refresh(at(0)));
-  One.see(1, 0);
-  One.see(2, 1);
-  One.Book.runRound(at(2));
-  CHECK(decodeRecords(Where.Page.Text, at(2)).value().size() == 1);
+TEST_CASE("a malformed value quarantines no request and is replaced") {
+  FakeStore Storage;
+  Storage.Stored = {"{\"requests\": 3}", {0, 9}};
+  TestDaemon One(Storage);
+  REQUIRE(One.Store.refresh(at(0)));
+  One.recordEnd(1, 0);
+  One.recordEnd(2, 1);
+  One.Store.runRound(at(2));
+  CHECK(decodeRecords(Storage.Stored.Text, at(2)).value().size() == 1);
 }
 
-TEST_CASE("what another wrote over the records frees nobody") {
-  Shelf Where;
-  Reader One(Where);
+TEST_CASE("overwritten records release no request from quarantine") {
+  FakeStore Storage;
+  TestDaemon One(Storage);
   for (int I = 0; I < 3; ++I)
-    One.see(I, I);
-  One.Book.runRound(at(3));
-  REQUIRE(One.Book.refresh(at(3)));
-  Where.Page = {"nonsense", {0, 20}};
-  REQUIRE(One.Book.refresh(at(4)));
-  CHECK(One.Guard.isHeldBack(Fatal, at(4).Steady));
-  One.Book.runRound(at(6));
-  CHECK(decodeRecords(Where.Page.Text, at(6)).value().size() == 1);
+    One.recordEnd(I, I);
+  One.Store.runRound(at(3));
+  REQUIRE(One.Store.refresh(at(3)));
+  Storage.Stored = {"nonsense", {0, 20}};
+  REQUIRE(One.Store.refresh(at(4)));
+  CHECK(One.Quarantine.isHeldBack(Fatal, at(4).Steady));
+  One.Store.runRound(at(6));
+  CHECK(decodeRecords(Storage.Stored.Text, at(6)).value().size() == 1);
 }
 
-TEST_CASE("records that a store has lost free nobody and are written again") {
-  Shelf Where;
-  Reader One(Where);
+TEST_CASE(
+    "records lost by the store release no request and are written again") {
+  FakeStore Storage;
+  TestDaemon One(Storage);
   for (int I = 0; I < 3; ++I)
-    One.see(I, I);
-  One.Book.runRound(at(3));
-  REQUIRE(One.Book.refresh(at(3)));
-  SUBCASE("it holds none") { Where.Page = {"", {1, 0}}; }
-  SUBCASE("it holds others where these stood") {
-    Where.Page = {encodeRecords({makeRecord(5, 2)}, at(2)), {1, 1}};
+    One.recordEnd(I, I);
+  One.Store.runRound(at(3));
+  REQUIRE(One.Store.refresh(at(3)));
+  SUBCASE("the store holds none") { Storage.Stored = {"", {1, 0}}; }
+  SUBCASE("the store holds others at their position") {
+    Storage.Stored = {encodeRecords({makeRecord(5, 2)}, at(2)), {1, 1}};
   }
-  REQUIRE(One.Book.refresh(at(4)));
-  CHECK(One.Guard.isHeldBack(Fatal, at(4).Steady));
-  One.Book.runRound(at(6));
-  const auto Records = decodeRecords(Where.Page.Text, at(6));
+  REQUIRE(One.Store.refresh(at(4)));
+  CHECK(One.Quarantine.isHeldBack(Fatal, at(4).Steady));
+  One.Store.runRound(at(6));
+  const auto Records = decodeRecords(Storage.Stored.Text, at(6));
   REQUIRE(Records);
   CHECK(std::any_of(Records.value().begin(), Records.value().end(),
                     [](const SuspectRecord &Record) {
--- a/unittests/Daemon/PoisonRequestSpreadTest.cpp
+++ b/unittests/Daemon/PoisonRequestSpreadTest.cpp
@@ -1,4 +1,4 @@
-//===- PoisonRequestSpreadTest.cpp - How news of fatal requests travel ----===//
+//===- PoisonRequestSpreadTest.cpp - Spread of poison requests ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A fleet in virtual time: tables of suspects that hear of each other by
-/// messages of which some are lost, as PeerExchange sends them. A request comes
-/// again at any daemon and ends the server each time.
+/// Simulates a fleet in virtual time: tables of poison requests that learn from
+/// each other by messages, some of which are lost, as PeerExchange sends them.
+/// A request arrives repeatedly at random daemons and crashes its server each
+/// time.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,64 +27,66 @@
 
 constexpr RequestDigest Fatal = 7;
 
-/// How often each hall says again what it knows, and rows in a message.
-constexpr Duration Retelling = fromMillis(500);
-constexpr size_t Rows = 20;
+/// How often each hall repeats its report, and the maximum number of rows in a
+/// message.
+constexpr Duration ResendInterval = fromMillis(500);
+constexpr size_t MaxRows = 20;
 
-/// By the users' rule: three more sends later than this after the third end.
-constexpr Duration NewsTime = fromSeconds(3);
-constexpr size_t TriesLeft = 3;
+/// By the users' rule, at most three more sends are allowed later than this
+/// after the third crash.
+constexpr Duration SpreadTime = fromSeconds(3);
+constexpr size_t MaxLateSends = 3;
 
 struct FleetSetup {
   size_t Halls = 3;
   size_t DaemonsOfHall = 12;
-  /// Part of the messages that are lost.
+  /// The fraction of messages that are lost.
   double Loss = 0;
-  /// Whether no hall hears anything of another.
+  /// Whether halls cannot reach each other.
   bool AreCutOff = false;
-  /// Whether records kept outside are read and written.
+  /// Whether the stored records can be read and written.
   bool HasStore = true;
 };
 
-/// Daemons as far as suspects go.
-class Fleet {
+/// The daemons' tables of poison requests and the messages between them.
+class SimulatedFleet {
 public:
-  Fleet(const FleetSetup &Setup, uint32_t Seed)
+  SimulatedFleet(const FleetSetup &Setup, uint32_t Seed)
       : Setup(Setup), Random(Seed), Tables(Setup.Halls * Setup.DaemonsOfHall) {}
 
-  /// Lets the request come each Pause for Length. Returns how often it was sent
-  /// later than NewsTime after its third end.
+  /// Lets the request arrive once per Pause for Length. Returns how often it
+  /// was sent later than SpreadTime after its third crash.
   size_t run(Duration Pause, Duration Length) {
-    TimePoint RetoldAt = this->Now;
-    TimePoint AskedAt = this->Now;
+    TimePoint ResentAt = this->Now;
+    TimePoint SentAt = this->Now;
     const TimePoint Until = this->Now + Length;
     while (this->Now < Until) {
-      if (this->Now - AskedAt >= Pause) {
-        AskedAt = this->Now;
-        this->ask();
+      if (this->Now - SentAt >= Pause) {
+        SentAt = this->Now;
+        this->sendRequest();
       }
-      if (this->Now - RetoldAt >= Retelling) {
-        RetoldAt = this->Now;
-        this->retell();
+      if (this->Now - ResentAt >= ResendInterval) {
+        ResentAt = this->Now;
+        this->resend();
         this->exchangeRecords();
       }
       this->Now += fromMillis(10);
     }
-    return this->Late;
+    return this->LateSends;
   }
 
   size_t countEnds() const { return this->Ends; }
 
 private:
   size_t draw(size_t Count) { return this->Random() % Count; }
-  size_t hallOf(size_t Daemon) const {
+  size_t getHall(size_t Daemon) const {
     return Daemon / this->Setup.DaemonsOfHall;
   }
   bool isLost() {
     return std::bernoulli_distribution(this->Setup.Loss)(this->Random);
   }
 
-  void ask() {
+  void sendRequest() {
     const size_t Daemon = this->draw(this->Tables.size());
     SuspectTable &Table = this->Tables[Daemon];
     const SuspectVerdict Verdict = Table.judge(Fatal, this->Now);
@@ -94,56 +97,59 @@
     ++this->Ends;
     if (this->Ends == 3)
       this->ThirdAt = this->Now;
-    if (this->Ends > 3 && this->Now - this->ThirdAt > NewsTime)
-      ++this->Late;
+    if (this->Ends > 3 && this->Now - this->ThirdAt > SpreadTime)
+      ++this->LateSends;
     const RequestEnd End{Fatal, static_cast<EndedServer>(this->Ends),
                          this->Now - fromMillis(80), this->Now,
                          static_cast<uint32_t>(this->Random())};
     Table.noteEnd(End, true, this->Now);
-    this->tell(Daemon, {{End}, {}});
+    this->broadcast(Daemon, {{End}, {}});
   }
 
   bool claimProbe(SuspectTable &Table) {
     const SuspectRecord Record = Table.getRecord(Fatal);
-    if (!this->Setup.HasStore || this->StoreTries > Record.Tries) {
+    if (!this->Setup.HasStore || this->StoreProbes > Record.Tries) {
       Table.missTry(Fatal, this->Now);
       return false;
     }
-    this->StoreTries = Record.Tries + 1;
+    this->StoreProbes = Record.Tries + 1;
     Table.grantTry(Fatal, this->Now);
     return true;
   }
 
-  /// Tells the hall of a daemon, and one daemon of each other, which passes on.
-  void tell(size_t Daemon, const SuspectNews &News) {
-    const PoisonRequestReport Report = makePoisonReport(News, this->Now);
+  /// Sends an update to the daemon's hall, and to one daemon of each other
+  /// hall, which relays it.
+  void broadcast(size_t Daemon, const SuspectNews &Update) {
+    const PoisonRequestReport Report = makePoisonReport(Update, this->Now);
     for (size_t Hall = 0; Hall < this->Setup.Halls; ++Hall) {
-      const bool IsOwn = Hall == this->hallOf(Daemon);
-      if (!IsOwn && (this->Setup.AreCutOff || this->isLost()))
+      const bool IsSameHall = Hall == this->getHall(Daemon);
+      if (!IsSameHall && (this->Setup.AreCutOff || this->isLost()))
         continue;
       for (size_t I = 0; I < this->Setup.DaemonsOfHall; ++I)
         if (!this->isLost())
-          this->hear(Hall * this->Setup.DaemonsOfHall + I, Report);
+          this->receive(Hall * this->Setup.DaemonsOfHall + I, Report);
     }
   }
 
-  void hear(size_t Daemon, const PoisonRequestReport &Report) {
-    const SuspectNews News = readPoisonReport(Report, this->Now);
-    for (const RequestEnd &End : News.Ends)
+  void receive(size_t Daemon, const PoisonRequestReport &Report) {
+    const SuspectNews Update = readPoisonReport(Report, this->Now);
+    for (const RequestEnd &End : Update.Ends)
       this->Tables[Daemon].noteEnd(End, false, this->Now);
-    for (const RequestAnswer &Answer : News.Answers)
+    for (const RequestAnswer &Answer : Update.Answers)
       this->Tables[Daemon].notePeerAnswer(Answer);
   }
 
-  void retell() {
+  void resend() {
     for (size_t Hall = 0; Hall < this->Setup.Halls; ++Hall) {
       const size_t Daemon = Hall * this->Setup.DaemonsOfHall +
                             this->draw(this->Setup.DaemonsOfHall);
-      this->tell(Daemon, this->Tables[Daemon].makeNews(Rows, this->Now));
+      this->broadcast(Daemon,
+                      this->Tables[Daemon].makeNews(MaxRows, this->Now));
     }
   }
 
-  /// Writes what somebody knows and the store lacks; all read it a round later.
+  /// Stores what any daemon knows and the store lacks; all daemons read it in
+  /// the next round.
   void exchangeRecords() {
     if (!this->Setup.HasStore)
       return;
@@ -151,7 +157,7 @@
       Each.takeRecords(this->Records, this->Now);
     for (const SuspectTable &Each : this->Tables)
       for (SuspectRecord &Record : Each.listUnrecorded()) {
-        Record.Tries = this->StoreTries;
+        Record.Tries = this->StoreProbes;
         mergeRecord(this->Records, std::move(Record),
                     toMillis(this->Now - TimePoint()));
       }
@@ -162,40 +168,40 @@
   std::vector<SuspectTable> Tables;
   TimePoint Now{fromSeconds(100000)};
   size_t Ends = 0;
-  size_t Late = 0;
+  size_t LateSends = 0;
   TimePoint ThirdAt{};
   std::vector<SuspectRecord> Records;
-  int StoreTries = 0;
+  int StoreProbes = 0;
 };
 
-/// Runs many seeds of one setup and checks the rule in each.
+/// Checks the rule for many seeds of one setup.
 void checkAll(const FleetSetup &Setup, uint32_t Seeds) {
-  // One that comes seldom leaves more daemons with a part of the news.
+  // If the request arrives rarely, more daemons know only some of the crashes.
   for (const double Pause : {0.15, 1.0, 2.0})
     for (uint32_t Seed = 1; Seed <= Seeds; ++Seed) {
       CAPTURE(Pause);
       CAPTURE(Seed);
-      Fleet Under(Setup, Seed);
-      CHECK(Under.run(fromSeconds(Pause), fromSeconds(60)) <= TriesLeft);
-      CHECK(Under.countEnds() >= 3);
+      SimulatedFleet Simulated(Setup, Seed);
+      CHECK(Simulated.run(fromSeconds(Pause), fromSeconds(60)) <= MaxLateSends);
+      CHECK(Simulated.countEnds() >= 3);
     }
 }
 
 } // namespace
 
-TEST_CASE("36 daemons keep the rule, with a third of the messages lost") {
+TEST_CASE("36 daemons obey the limit with a third of the messages lost") {
   for (const double Loss : {0.0, 0.05, 0.33})
     checkAll({3, 12, Loss, false, true}, 20);
 }
 
-TEST_CASE("443 daemons keep the rule, with a tenth of the messages lost") {
+TEST_CASE("443 daemons obey the limit with a tenth of the messages lost") {
   checkAll({5, 89, 0.1, false, true}, 2);
 }
 
-TEST_CASE("without the store nothing is tried, and the rule holds") {
+TEST_CASE("without the store no probe is sent and the limit is obeyed") {
   checkAll({3, 12, 0.33, false, false}, 20);
 }
 
-TEST_CASE("halls that hear nothing of each other learn it from the records") {
+TEST_CASE("halls without contact learn of poison requests from the records") {
   checkAll({5, 12, 0.05, true, true}, 20);
 }
--- a/unittests/Daemon/QuotaAgentTest.cpp
+++ b/unittests/Daemon/QuotaAgentTest.cpp
@@ -1,4 +1,4 @@
-//===- QuotaAgentTest.cpp - What daemons tell of organisations ------------===//
+//===- QuotaAgentTest.cpp - Tests of the quota exchange -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Messages, their order, and what is passed on. Whole daemons that keep one
-/// allowance together are in session `allowances`.
+/// Tests the encoding and the order of messages, and what is relayed. The
+/// session `allowances` tests whole daemons that enforce one quota together.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,22 +23,23 @@
 
 namespace {
 
-/// An agent that reaches nobody, with an organisation that has a limit.
-struct AgentBench {
-  AgentBench() {
+/// An agent without reachable peers, and an organisation that has a limit.
+struct AgentFixture {
+  AgentFixture() {
     this->Config.Name = "self";
     this->Config.Hall = "a";
-    this->Gate.configure(
+    this->Organisations.configure(
         makeOrganisationDirectory({{"o", 1, 20, {}, {}}}, true), Begin);
-    this->Gate.with([](FleetAllowance &All) {
-      All.getHeard().setFleet({"near"}, {{"b", 1}}, Begin);
+    this->Organisations.with([](FleetAllowance &Quota) {
+      Quota.getHeard().setFleet({"near"}, {{"b", 1}}, Begin);
     });
   }
 
-  /// Returns the tokens that are left as the agent's daemon sees it.
+  /// Returns the organisation's remaining tokens as the agent's daemon knows
+  /// them.
   double getTokens(TimePoint Now) {
-    return this->Gate.with([Now](FleetAllowance &All) {
-      const std::vector<AllowanceStatus> Known = All.describe(1, Now);
+    return this->Organisations.with([Now](FleetAllowance &Quota) {
+      const std::vector<AllowanceStatus> Known = Quota.describe(1, Now);
       return Known.empty() ? 20 : Known[0].Tokens;
     });
   }
@@ -54,13 +55,13 @@
       this->Config, this->Counters, this->Caller,  this->Platform,
       this->Calls,  this->Fleet,    this->Notices, 7000};
   MembershipAgent Members{this->Context};
-  OrganisationGate Gate{AllowanceBounds(), Begin, 0};
-  QuotaAgent Agent{this->Context, this->Members, this->Gate};
+  OrganisationGate Organisations{AllowanceBounds(), Begin, 0};
+  QuotaAgent Agent{this->Context, this->Members, this->Organisations};
 };
 
 } // namespace
 
-static QuotaMessage makeNear(uint64_t Sequence, int64_t Admitted) {
+static QuotaMessage makeLocalMessage(uint64_t Sequence, int64_t Admitted) {
   QuotaMessage Message;
   Message.Source = "near";
   Message.Hall = "a";
@@ -69,41 +70,41 @@
   return Message;
 }
 
-static HallUsage drawWord() {
-  HallUsage Word;
-  Word.Hall = *rc::gen::arbitrary<std::string>();
-  Word.Reporter = *rc::gen::arbitrary<std::string>();
-  Word.Sequence = *rc::gen::arbitrary<uint64_t>();
-  Word.Usages.push_back(
+static HallUsage drawHallUsage() {
+  HallUsage Report;
+  Report.Hall = *rc::gen::arbitrary<std::string>();
+  Report.Reporter = *rc::gen::arbitrary<std::string>();
+  Report.Sequence = *rc::gen::arbitrary<uint64_t>();
+  Report.Usages.push_back(
       {static_cast<OrganisationId>(*rc::gen::inRange<int64_t>(0, 1 << 30)),
        *rc::gen::inRange(0, 100000) / 100.0,
        *rc::gen::inRange<int64_t>(-3, 1000000)});
-  return Word;
+  return Report;
 }
 
-TEST_CASE("a message on organisations is read as it was written") {
+TEST_CASE("a quota message survives encoding") {
   CHECK(rc::check([] {
     QuotaMessage Message;
-    const HallUsage Word = drawWord();
-    Message.Source = Word.Reporter;
-    Message.Hall = Word.Hall;
-    Message.Sequence = Word.Sequence;
-    Message.Usages = drawWord().Usages;
-    Message.HallUsages = Word.Usages;
-    Message.RelayedHalls = {Word};
+    const HallUsage Report = drawHallUsage();
+    Message.Source = Report.Reporter;
+    Message.Hall = Report.Hall;
+    Message.Sequence = Report.Sequence;
+    Message.Usages = drawHallUsage().Usages;
+    Message.HallUsages = Report.Usages;
+    Message.RelayedHalls = {Report};
     QuotaMessage Read;
     RC_ASSERT(decodeQuotaMessage(encodeQuotaMessage(Message), Read));
     RC_ASSERT(Read == Message);
   }));
 }
 
-TEST_CASE("a message on organisations of another shape is refused") {
-  const Json::Value Whole = encodeQuotaMessage(makeNear(1, 1));
+TEST_CASE("malformed quota messages are rejected") {
+  const Json::Value Valid = encodeQuotaMessage(makeLocalMessage(1, 1));
   for (const char *Field : {"f", "h", "n", "o", "a", "p"})
     for (const Json::Value &Wrong :
          {Json::Value(), Json::Value(-1), Json::Value("x"),
           Json::Value(Json::objectValue)}) {
-      Json::Value Value = Whole;
+      Json::Value Value = Valid;
       Value[Field] = Wrong;
       // A name may be any text.
       const bool IsName = *Field == 'f' || *Field == 'h';
@@ -112,41 +113,41 @@
     }
 }
 
-TEST_CASE("what a daemon told before counts no more, whenever it arrives") {
-  AgentBench Bench;
-  Bench.Agent.applyMessage(makeNear(5, 0), Begin);
-  Bench.Agent.applyMessage(makeNear(7, 10), Begin);
-  const double Left = Bench.getTokens(Begin);
+TEST_CASE("a message that arrives after a newer one is ignored") {
+  AgentFixture Fixture;
+  Fixture.Agent.applyMessage(makeLocalMessage(5, 0), Begin);
+  Fixture.Agent.applyMessage(makeLocalMessage(7, 10), Begin);
+  const double Left = Fixture.getTokens(Begin);
   CHECK(Left == 10);
-  Bench.Agent.applyMessage(makeNear(6, 4), Begin);
-  Bench.Agent.applyMessage(makeNear(7, 10), Begin);
-  CHECK(Bench.getTokens(Begin) == Left);
+  Fixture.Agent.applyMessage(makeLocalMessage(6, 4), Begin);
+  Fixture.Agent.applyMessage(makeLocalMessage(7, 10), Begin);
+  CHECK(Fixture.getTokens(Begin) == Left);
 }
 
-TEST_CASE("what another hall told is passed on to this one, once") {
-  AgentBench Bench;
-  QuotaMessage Far;
-  Far.Source = "far";
-  Far.Hall = "b";
-  Far.Sequence = 3;
-  Far.HallUsages = {{getOrganisationId("o"), 4, 2}};
-  Bench.Agent.applyMessage(Far, Begin);
-  const QuotaMessage Next = Bench.Agent.makeMessage(Begin);
+TEST_CASE("a report of another hall is relayed to this hall once") {
+  AgentFixture Fixture;
+  QuotaMessage Remote;
+  Remote.Source = "far";
+  Remote.Hall = "b";
+  Remote.Sequence = 3;
+  Remote.HallUsages = {{getOrganisationId("o"), 4, 2}};
+  Fixture.Agent.applyMessage(Remote, Begin);
+  const QuotaMessage Next = Fixture.Agent.makeMessage(Begin);
   REQUIRE(Next.RelayedHalls.size() == 1);
-  CHECK(Next.RelayedHalls[0] == HallUsage{"b", "far", 3, Far.HallUsages});
-  CHECK(Bench.Agent.makeMessage(Begin).RelayedHalls.empty());
-
-  // Who hears of it twice, directly and passed on, counts it once.
-  const double Left = Bench.getTokens(Begin);
-  QuotaMessage RelayedHalls = makeNear(1, 0);
-  RelayedHalls.RelayedHalls = Next.RelayedHalls;
-  Bench.Agent.applyMessage(RelayedHalls, Begin);
-  CHECK(Bench.getTokens(Begin) == Left);
+  CHECK(Next.RelayedHalls[0] == HallUsage{"b", "far", 3, Remote.HallUsages});
+  CHECK(Fixture.Agent.makeMessage(Begin).RelayedHalls.empty());
+
+  // A report that arrives twice, directly and relayed, counts once.
+  const double Left = Fixture.getTokens(Begin);
+  QuotaMessage Relayed = makeLocalMessage(1, 0);
+  Relayed.RelayedHalls = Next.RelayedHalls;
+  Fixture.Agent.applyMessage(Relayed, Begin);
+  CHECK(Fixture.getTokens(Begin) == Left);
 }
 
-TEST_CASE("a daemon that started anew is heard at once") {
-  AgentBench Bench;
-  const QuotaMessage First = Bench.Agent.makeMessage(Begin);
+TEST_CASE("sequence numbers continue from the start time of the process") {
+  AgentFixture Fixture;
+  const QuotaMessage First = Fixture.Agent.makeMessage(Begin);
   CHECK(First.Sequence == 7001);
-  CHECK(Bench.Agent.makeMessage(Begin).Sequence == 7002);
+  CHECK(Fixture.Agent.makeMessage(Begin).Sequence == 7002);
 }
--- a/unittests/Daemon/RetryBorrowerTest.cpp
+++ b/unittests/Daemon/RetryBorrowerTest.cpp
@@ -1,4 +1,4 @@
-//===- RetryBorrowerTest.cpp - Tests of lent repeats ----------------------===//
+//===- RetryBorrowerTest.cpp - Tests of retry loans -----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One daemon that has used up its part, and a peer that has some left or none.
+/// Tests a daemon that has used up its retries, with a peer that has some left
+/// or none.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +22,8 @@
 
 namespace {
 
-/// A daemon's view of one service, with the part of a fleet's repeats.
+/// Returns a daemon's runtime of one service with its part of the fleet's
+/// retries.
 ServiceRuntimeRef makeService(int64_t Reserve, size_t Daemons) {
   ServiceConfig Config;
   Config.Name = "s";
@@ -30,7 +32,7 @@
   Identity.Hall = "h";
   Identity.Source = SettingsSource::Platform;
   Identity.Repeats = {0.2, fromSeconds(10), Reserve};
-  // Long enough ago for the reserve to be free.
+  // Long enough ago for the reserve to be available.
   Identity.Started = readSteadyClock() - fromSeconds(60);
   ServiceRuntimeRef Service(
       new ServiceRuntime(Config, Identity, nullptr, readSteadyClock()));
@@ -38,8 +40,8 @@
   return Service;
 }
 
-/// A borrower and its one lender, which answers on threads of its own as a link
-/// does. They end before what they reach goes.
+/// A borrower and its only lender, which answers on separate threads as a link
+/// does. The threads are joined before the objects that they use are destroyed.
 struct Lender {
   explicit Lender(ServiceRuntimeRef Service) : Service(std::move(Service)) {}
 
@@ -48,59 +50,60 @@
       Each.join();
   }
 
-  void hear(const RetryLoan &Loan) {
-    ++this->Heard;
+  void handleRequest(const RetryLoan &Loan) {
+    ++this->Received;
     if (this->Service->tryLendRepeat(readSteadyClock()))
       this->Threads.emplace_back([this, Loan] {
         std::this_thread::sleep_for(this->Delay);
-        this->Loans.handleGrant(Loan);
+        this->Borrower.handleGrant(Loan);
       });
   }
 
   CounterTable Counters;
   const ServiceRuntimeRef Service;
-  RetryBorrower Loans{
-      1, Counters, [this](const RetryLoan &Loan, bool) { this->hear(Loan); }};
+  RetryBorrower Borrower{1, Counters, [this](const RetryLoan &Loan, bool) {
+                           this->handleRequest(Loan);
+                         }};
   std::chrono::milliseconds Delay{2};
-  int Heard = 0;
+  int Received = 0;
   std::vector<std::thread> Threads;
 };
 
 } // namespace
 
-TEST_CASE("a daemon without repeats uses one that a peer has left") {
+TEST_CASE("a daemon without retries uses one that a peer has left") {
   Lender Peer(makeService(20, 4));
-  // A hundred daemons share two: nobody has a whole one.
+  // A hundred daemons share two retries, so none has a whole one.
   const ServiceRuntimeRef Short = makeService(2, 100);
   CHECK_FALSE(Short->tryRepeat(readSteadyClock()));
   // 20 * 0.8 / 4 = 4.
   for (int I = 0; I < 4; ++I)
-    CHECK(Peer.Loans.borrow(*Short, readSteadyClock()));
-  CHECK_FALSE(Peer.Loans.borrow(*Short, readSteadyClock()));
+    CHECK(Peer.Borrower.borrow(*Short, readSteadyClock()));
+  CHECK_FALSE(Peer.Borrower.borrow(*Short, readSteadyClock()));
   CHECK(Peer.Counters.get(Counter::RepeatsBorrowed) == 4);
   CHECK(Peer.Counters.get(Counter::RepeatsAskedInVain) == 1);
   CHECK_FALSE(Peer.Service->tryRepeat(readSteadyClock()));
 }
 
-TEST_CASE("peers that have none are not asked again at once") {
+TEST_CASE("peers without retries are not asked again at once") {
   Lender Peer(makeService(2, 100));
   const ServiceRuntimeRef Short = makeService(2, 100);
   const TimePoint Now = readSteadyClock();
-  CHECK_FALSE(Peer.Loans.borrow(*Short, Now));
-  const int Before = Peer.Heard;
+  CHECK_FALSE(Peer.Borrower.borrow(*Short, Now));
+  const int Before = Peer.Received;
   CHECK(Before > 0);
-  CHECK_FALSE(Peer.Loans.borrow(*Short, Now + fromMillis(100)));
-  CHECK(Peer.Heard == Before);
-  CHECK_FALSE(Peer.Loans.borrow(*Short, Now + fromSeconds(1)));
-  CHECK(Peer.Heard > Before);
+  CHECK_FALSE(Peer.Borrower.borrow(*Short, Now + fromMillis(100)));
+  CHECK(Peer.Received == Before);
+  CHECK_FALSE(Peer.Borrower.borrow(*Short, Now + fromSeconds(1)));
+  CHECK(Peer.Received > Before);
 }
 
-TEST_CASE("an answer that nobody waits for, or for another, gives nothing") {
+TEST_CASE("a late grant and a grant for another service have no effect") {
   CounterTable Counters;
-  RetryBorrower Loans(1, Counters, [](const RetryLoan &, bool) {});
+  RetryBorrower Borrower(1, Counters, [](const RetryLoan &, bool) {});
   const ServiceRuntimeRef Short = makeService(2, 100);
-  CHECK_FALSE(Loans.borrow(*Short, readSteadyClock()));
-  Loans.handleGrant({Short->getId(), 1});
+  CHECK_FALSE(Borrower.borrow(*Short, readSteadyClock()));
+  Borrower.handleGrant({Short->getId(), 1});
   CHECK_FALSE(Short->tryRepeat(readSteadyClock()));
   RetryBorrower Mixed(1, Counters, [&](const RetryLoan &Loan, bool) {
     Mixed.handleGrant({Loan.Service + 1, Loan.Number});
