--- a/include/canvaswick/Admission/FadingCount.h
+++ b/include/canvaswick/Admission/DecayingCounter.h
@@ -1,4 +1,4 @@
-//===- FadingCount.h - Rates of events, by means that fade ------*- C++ -*-===//
+//===- DecayingCounter.h - Rates of events, by means that fade --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,17 +12,17 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ADMISSION_FADINGCOUNT_H
-#define CANVASWICK_ADMISSION_FADINGCOUNT_H
+#ifndef CANVASWICK_ADMISSION_DECAYINGCOUNTER_H
+#define CANVASWICK_ADMISSION_DECAYINGCOUNTER_H
 
 #include "canvaswick/Support/Time.h"
 
 namespace canvaswick {
 
 /// A count that fades with time: its value falls to 1/e within Fade.
-class FadingCount {
+class DecayingCounter {
 public:
-  explicit FadingCount(Duration Fade) : Fade(Fade) {}
+  explicit DecayingCounter(Duration Fade) : Fade(Fade) {}
 
   /// Returns the value at an instant not before the last change.
   double get(TimePoint Now) const;
@@ -43,9 +43,9 @@
 
 /// A rate that follows what happens only after a while: a mean of a fading
 /// mean. Within the first fifth of its time a tenfold rise shows by a fifth.
-class SettledRate {
+class SmoothedRate {
 public:
-  explicit SettledRate(Duration Fade) : Fade(Fade) {}
+  explicit SmoothedRate(Duration Fade) : Fade(Fade) {}
 
   /// Returns events a second at an instant not before the last one. Since is
   /// when they began to be noted: what was before is not taken for none.
@@ -65,4 +65,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ADMISSION_FADINGCOUNT_H
+#endif // CANVASWICK_ADMISSION_DECAYINGCOUNTER_H
--- a/include/canvaswick/Admission/HeardFleet.h
+++ b/include/canvaswick/Admission/FleetLiveness.h
@@ -1,4 +1,4 @@
-//===- HeardFleet.h - Which daemons of a fleet are heard --------*- C++ -*-===//
+//===- FleetLiveness.h - Which daemons of a fleet are heard -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ADMISSION_HEARDFLEET_H
-#define CANVASWICK_ADMISSION_HEARDFLEET_H
+#ifndef CANVASWICK_ADMISSION_FLEETLIVENESS_H
+#define CANVASWICK_ADMISSION_FLEETLIVENESS_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -26,10 +26,10 @@
 
 /// A daemon speaks to its hall, and a hall's teller to other halls, at least
 /// this often where organisations have limits.
-inline constexpr Duration SpeakInterval = fromMillis(250);
+inline constexpr Duration QuotaReportInterval = fromMillis(250);
 
 /// Who is heard. Not thread-safe.
-class HeardFleet {
+class FleetLiveness {
 public:
   /// A daemon of this hall, or another hall as a whole.
   struct Source {
@@ -37,7 +37,7 @@
     bool IsHall = false;
     bool IsListed = false;
     /// Whether it was heard since this daemon started. Of halls only.
-    bool HasSpoken = false;
+    bool HasReported = false;
     size_t Daemons = 1;
     TimePoint HeardAt{};
   };
@@ -47,11 +47,11 @@
                 const std::map<std::string, size_t> &Far, TimePoint Now);
 
   /// Notes that a daemon of this hall, or another hall's teller, was heard.
-  void hearPeer(const std::string &Daemon, TimePoint Now);
-  void hearHall(const std::string &Hall, TimePoint Now);
+  void recordPeerMessage(const std::string &Daemon, TimePoint Now);
+  void recordHallMessage(const std::string &Hall, TimePoint Now);
 
   /// Returns the index of a source, which it keeps.
-  size_t findSource(const std::string &Name, bool IsHall, TimePoint Now);
+  size_t findOrAddSource(const std::string &Name, bool IsHall, TimePoint Now);
 
   const Source &get(size_t Index) const { return this->Sources[Index]; }
   const std::vector<Source> &getAll() const { return this->Sources; }
@@ -61,11 +61,11 @@
   bool isIsolated(TimePoint Now) const;
 
   /// Returns whether a source has not been heard for long.
-  bool isQuiet(const Source &Each, TimePoint Now) const;
+  bool hasTimedOut(const Source &Each, TimePoint Now) const;
 
   /// Returns whether a source has left the fleet: it is not listed any more,
   /// and quiet. One that is heard before it is listed has just come.
-  bool isGone(const Source &Each, TimePoint Now) const;
+  bool hasLeft(const Source &Each, TimePoint Now) const;
 
   /// Returns whether a listed source is not heard: it is quiet, or this daemon
   /// is cut off.
@@ -73,22 +73,22 @@
 
   /// Gives the indexes of sources that are gone to others that come. Nobody may
   /// keep one.
-  void forgetGone(TimePoint Now);
+  void forgetDeparted(TimePoint Now);
 
   /// Returns how many sources are kept.
-  size_t countKept() const { return this->IndexOfSource.size(); }
+  size_t countTracked() const { return this->IndexOfSource.size(); }
 
   /// Returns how many daemons are not heard.
   size_t countSilent(TimePoint Now) const;
 
   /// Returns how many daemons there are, this one included, and how many others
   /// this hall has.
-  size_t countAll() const { return this->All; }
-  size_t countNear() const { return this->Near; }
+  size_t countDaemons() const { return this->All; }
+  size_t countHallPeers() const { return this->Near; }
 
   /// Returns whether a daemon of this hall is the first by name of those that
   /// are heard.
-  bool isFirst(const std::string &Self, TimePoint Now) const;
+  bool isHallReporter(const std::string &Self, TimePoint Now) const;
 
 private:
   std::vector<Source> Sources;
@@ -102,4 +102,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ADMISSION_HEARDFLEET_H
+#endif // CANVASWICK_ADMISSION_FLEETLIVENESS_H
--- a/include/canvaswick/Admission/FleetAllowance.h
+++ b/include/canvaswick/Admission/FleetQuota.h
@@ -1,4 +1,4 @@
-//===- FleetAllowance.h - Organisations' rates over a fleet -----*- C++ -*-===//
+//===- FleetQuota.h - Organisations' rates over a fleet ---------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -22,11 +22,11 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ADMISSION_FLEETALLOWANCE_H
-#define CANVASWICK_ADMISSION_FLEETALLOWANCE_H
+#ifndef CANVASWICK_ADMISSION_FLEETQUOTA_H
+#define CANVASWICK_ADMISSION_FLEETQUOTA_H
 
-#include "canvaswick/Admission/FadingCount.h"
-#include "canvaswick/Admission/HeardFleet.h"
+#include "canvaswick/Admission/DecayingCounter.h"
+#include "canvaswick/Admission/FleetLiveness.h"
 #include "canvaswick/Settings/DaemonConfig.h"
 #include "canvaswick/Settings/OrganisationDirectory.h"
 #include "canvaswick/Support/Time.h"
@@ -48,37 +48,37 @@
 
 /// What an organisation has of late asked of a daemon, or of all daemons of a
 /// hall.
-struct AllowanceLevel {
+struct QuotaUsage {
   OrganisationId Organisation = 0;
   /// Requests a second that were asked.
-  double Asked = 0;
+  double Demand = 0;
   /// Requests that were admitted since who tells this began to count.
   int64_t Admitted = 0;
 
-  bool operator==(const AllowanceLevel &) const = default;
+  bool operator==(const QuotaUsage &) const = default;
 };
 
 /// Whether a request is admitted, and if not when to come back.
-struct AllowanceAnswer {
+struct QuotaAnswer {
   bool IsAdmitted = true;
   Duration Wait{};
   /// Of a refusal, for the log: the limit and what is asked of the fleet, in
   /// requests a second, and what its bucket holds.
   double Limit = 0;
-  double FleetAsked = 0;
+  double FleetDemand = 0;
   double Tokens = 0;
 };
 
 /// What an operator may ask about one organisation.
-struct AllowanceStatus {
+struct QuotaStatus {
   std::string Name;
   double RequestsPerSecond = 0;
   /// Tokens in the fleet's bucket, as this daemon sees it; below zero where
   /// more was taken than it knew.
   double Tokens = 0;
   /// Requests a second that are asked of the fleet, and of this daemon.
-  double FleetAsked = 0;
-  double OwnAsked = 0;
+  double FleetDemand = 0;
+  double LocalDemand = 0;
   int64_t Admitted = 0;
   uint64_t Refused = 0;
   /// Daemons that are not heard.
@@ -86,12 +86,12 @@
 };
 
 /// The organisations' buckets as one daemon sees them. Not thread-safe.
-class FleetAllowance {
+class FleetQuota {
 public:
   /// Started is the process's start: what an earlier process of this daemon has
   /// admitted is not known to it, and after a start of the whole fleet to
   /// nobody. Draw is in [0, 1) and differs between daemons.
-  FleetAllowance(AllowanceBounds Bounds, TimePoint Started, double Draw);
+  FleetQuota(AllowanceBounds Bounds, TimePoint Started, double Draw);
 
   /// Takes the organisations of a version of the settings.
   void configure(const OrganisationDirectoryRef &Directory, TimePoint Now);
@@ -100,18 +100,18 @@
   void setBounds(const AllowanceBounds &Given) { this->Bounds = Given; }
 
   /// Returns who there is and is heard.
-  HeardFleet &getHeard() { return this->Heard; }
+  FleetLiveness &getLiveness() { return this->Heard; }
 
   /// Decides on one request of an organisation. Without a name it is of no
   /// organisation, and the limits of the one called "default" hold.
-  AllowanceAnswer admit(const std::string &Organisation, TimePoint Now);
+  QuotaAnswer admit(const std::string &Organisation, TimePoint Now);
 
   /// Takes back that a request was admitted: it was not run after all.
   void giveBack(const std::string &Organisation, TimePoint Now);
 
   /// Returns what has changed of this daemon's own levels since the last call,
   /// at most so many.
-  std::vector<AllowanceLevel> takeNews(size_t Most, TimePoint Now);
+  std::vector<QuotaUsage> drainUsageChanges(size_t Most, TimePoint Now);
 
   /// Returns whether an organisation asks so much of this hall that others
   /// should hear of it at once.
@@ -119,14 +119,14 @@
 
   /// Returns the levels of the whole hall, for other halls: those that others
   /// must know now, or all.
-  std::vector<AllowanceLevel> getHallLevels(bool WantsAll, TimePoint Now) const;
+  std::vector<QuotaUsage> getHallUsage(bool WantsAll, TimePoint Now) const;
 
   /// Takes what a daemon of this hall told of itself, or the teller of another
   /// hall of all of that hall.
-  void takePeerLevels(const std::string &Daemon,
-                      const std::vector<AllowanceLevel> &Levels, TimePoint Now);
-  void takeHallLevels(const std::string &Hall, const std::string &Teller,
-                      const std::vector<AllowanceLevel> &Levels, TimePoint Now);
+  void applyPeerUsage(const std::string &Daemon,
+                      const std::vector<QuotaUsage> &Levels, TimePoint Now);
+  void applyHallUsage(const std::string &Hall, const std::string &Teller,
+                      const std::vector<QuotaUsage> &Levels, TimePoint Now);
 
   /// Returns whether any organisation has a limit, so that peers must hear of
   /// this daemon.
@@ -136,10 +136,10 @@
   void forgetIdle(TimePoint Now);
 
   /// Returns how many organisations are remembered.
-  size_t countRemembered() const { return this->Accounts.size(); }
+  size_t countAccounts() const { return this->Accounts.size(); }
 
   /// Returns what an operator may know, the busiest first, at most so many.
-  std::vector<AllowanceStatus> describe(size_t Most, TimePoint Now) const;
+  std::vector<QuotaStatus> describe(size_t Most, TimePoint Now) const;
 
 private:
   /// What a source has told of one organisation.
@@ -149,18 +149,18 @@
     std::string Teller;
     int64_t Admitted = 0;
     TimePoint ToldAt{};
-    double Asked = 0;
-    SettledRate Usual;
+    double Demand = 0;
+    SmoothedRate Usual;
     Part(size_t Source, Duration UsualFade)
         : Source(Source), Usual(UsualFade) {}
   };
 
   /// What this daemon and those that it hears may use of a bucket.
-  struct Reach {
+  struct UsableQuota {
     double Rate = 0;
     double Size = 0;
     /// Requests a second that are asked.
-    double Asked = 0;
+    double Demand = 0;
     /// Requests that may have been admitted since others were heard.
     double Unheard = 0;
     /// Requests a second that are left to daemons of this hall that are not
@@ -181,8 +181,8 @@
     /// When this daemon first saw the organisation.
     TimePoint Since{};
     /// This daemon's own requests.
-    FadingCount Asked;
-    SettledRate Usual;
+    DecayingCounter Demand;
+    SmoothedRate Usual;
     int64_t Admitted = 0;
     uint64_t Refused = 0;
     /// What all of this hall have admitted, as far as this daemon has heard,
@@ -191,34 +191,35 @@
     double HallReserved = 0;
     std::vector<Part> Parts;
     /// As it was when it was last computed.
-    Reach Within;
+    UsableQuota Within;
     TimePoint WithinAt{};
     /// Part of the next request that is admitted, while not all are.
     double Credit = 0;
     bool HasNews = false;
     Account(Duration AskedFade, Duration UsualFade)
-        : Asked(AskedFade), Usual(UsualFade) {}
+        : Demand(AskedFade), Usual(UsualFade) {}
   };
 
   Account *findAccount(OrganisationId Id, TimePoint Now);
   void setLimits(Account &Of, const OrganisationConfig *Config,
                  TimePoint Now) const;
   void noteChange(Account &Of, OrganisationId Id);
-  bool isGone(const Part &Each, TimePoint Now) const;
+  bool hasLeft(const Part &Each, TimePoint Now) const;
   double getHallAsked(const Account &Of, TimePoint Now) const;
   double getSurge(const Account &Of, TimePoint Now) const;
   double getSlack(const Account &Of) const;
   double getSize(const Account &Of) const;
   double getSavedPart() const;
-  double getUsualRate(const Account &Of, const SettledRate &Usual,
+  double getUsualRate(const Account &Of, const SmoothedRate &Usual,
                       TimePoint HeardAt, TimePoint Now) const;
   double getUsualRate(const Account &Of, const Part &Each, TimePoint Now) const;
   double getOwnUsualRate(const Account &Of, TimePoint Now) const;
   void updateFreeze(TimePoint Now);
-  void addUsual(SettledRate &Usual, double Amount, TimePoint Now) const;
-  void addUntold(const Account &Of, Reach &Within, TimePoint Now) const;
-  Reach computeReach(const Account &Of, TimePoint Now) const;
-  const Reach &updateReach(Account &Of, Duration MostAge, TimePoint Now) const;
+  void addUsual(SmoothedRate &Usual, double Amount, TimePoint Now) const;
+  void addUntold(const Account &Of, UsableQuota &Within, TimePoint Now) const;
+  UsableQuota computeUsable(const Account &Of, TimePoint Now) const;
+  const UsableQuota &updateUsable(Account &Of, Duration MostAge,
+                                  TimePoint Now) const;
   void refill(Account &Of, TimePoint Now) const;
   static double getTokens(const Account &Of);
   static void charge(Account &Of, double Requests);
@@ -226,10 +227,10 @@
   Duration chooseWait(const Account &Of) const;
   Part &findPart(Account &Of, size_t Source) const;
   void takeLevels(size_t Source, const std::string &Teller,
-                  const std::vector<AllowanceLevel> &Levels, TimePoint Now);
+                  const std::vector<QuotaUsage> &Levels, TimePoint Now);
   void takeLevel(Account &Of, size_t Source, const std::string &Teller,
-                 const AllowanceLevel &Given, bool WasSilent, TimePoint Now);
-  bool isAlone() const { return this->Heard.countAll() <= 1; }
+                 const QuotaUsage &Given, bool WasSilent, TimePoint Now);
+  bool isAlone() const { return this->Heard.countDaemons() <= 1; }
 
   AllowanceBounds Bounds;
   const TimePoint Started;
@@ -238,7 +239,7 @@
   /// Organisations that messages name, of this version.
   std::unordered_map<OrganisationId, const OrganisationConfig *> Configs;
   bool HasLimits = false;
-  HeardFleet Heard;
+  FleetLiveness Heard;
   /// Since when a part of the fleet has been silent, and what is usual is not
   /// learned, while that is so.
   std::optional<TimePoint> FrozenAt;
@@ -249,4 +250,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ADMISSION_FLEETALLOWANCE_H
+#endif // CANVASWICK_ADMISSION_FLEETQUOTA_H
--- a/include/canvaswick/Admission/FleetRepeatBudget.h
+++ b/include/canvaswick/Admission/FleetRetryBudget.h
@@ -1,4 +1,4 @@
-//===- FleetRepeatBudget.h - The repeats of a whole fleet -------*- C++ -*-===//
+//===- FleetRetryBudget.h - The repeats of a whole fleet --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ADMISSION_FLEETREPEATBUDGET_H
-#define CANVASWICK_ADMISSION_FLEETREPEATBUDGET_H
+#ifndef CANVASWICK_ADMISSION_FLEETRETRYBUDGET_H
+#define CANVASWICK_ADMISSION_FLEETRETRYBUDGET_H
 
 #include "canvaswick/Settings/DaemonConfig.h"
 
@@ -28,17 +28,16 @@
 /// How long a right that a peer lends may be used, from the moment at which it
 /// was asked for. Some times what asking may take; lenders do without it for as
 /// long.
-inline constexpr Duration LoanLife = fromMillis(300);
+inline constexpr Duration LoanTimeout = fromMillis(300);
 
 /// The repeats of one service that one daemon may send. Not thread-safe; its
 /// service's mutex guards it. It outlives changes of the settings, which must
 /// not fill it up again.
-class FleetRepeatBudget
-    : public boost::intrusive_ref_counter<FleetRepeatBudget> {
+class FleetRetryBudget : public boost::intrusive_ref_counter<FleetRetryBudget> {
 public:
   /// Started is the process's start: what an earlier process of this daemon
   /// has sent is not known, so the reserve is held back for one window.
-  FleetRepeatBudget(RepeatAllowance Allowance, TimePoint Started);
+  FleetRetryBudget(RepeatAllowance Allowance, TimePoint Started);
 
   /// Changes the allowance, and sets how many daemons there may be and which of
   /// them, counted from 0, this one is. The most daemons that were ever set
@@ -46,7 +45,7 @@
   void configure(const RepeatAllowance &Allowance, size_t Daemons, size_t Rank);
 
   /// Notes the first try of a request.
-  void noteRequest(TimePoint Now);
+  void recordRequest(TimePoint Now);
 
   /// Takes the right to one repeat.
   bool tryTake(TimePoint Now);
@@ -86,8 +85,8 @@
   std::deque<TimePoint> Borrowed;
 };
 
-using FleetRepeatBudgetRef = boost::intrusive_ptr<FleetRepeatBudget>;
+using FleetRetryBudgetRef = boost::intrusive_ptr<FleetRetryBudget>;
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ADMISSION_FLEETREPEATBUDGET_H
+#endif // CANVASWICK_ADMISSION_FLEETRETRYBUDGET_H
--- a/include/canvaswick/Admission/Limits.h
+++ b/include/canvaswick/Admission/Limits.h
@@ -33,7 +33,7 @@
   OrganisationRate,
   DeadlineTooShort,
   NoServer,
-  HeldBack,
+  Quarantined,
   Stopping,
 };
 
@@ -75,7 +75,7 @@
   explicit RetryBudget(int64_t Percent);
 
   /// Notes a first try.
-  void noteRequest(TimePoint Now);
+  void recordRequest(TimePoint Now);
 
   /// Takes the right to one repeat.
   bool tryTake(TimePoint Now);
@@ -105,14 +105,14 @@
 /// Returns whether a request with this much time left has a chance, when half
 /// of the service's answers take Median. Too short a time is refused at once
 /// instead of burning a slot for nothing.
-bool hasChance(Duration Left, Duration Median);
+bool canMeetDeadline(Duration Left, Duration Median);
 
 /// Returns how long a caller should stay away from a daemon that has been
 /// without settings for this long: about as long again, since a daemon that
 /// starts has them in a moment and one that cannot reach the store may lack
 /// them for long. Draw is in [0, 1) and spreads callers, so that they do not
 /// come back together.
-Duration chooseSettingsWait(Duration Without, double Draw);
+Duration computeSettingsRetryAfter(Duration Without, double Draw);
 
 /// Rounds a wait up to the whole seconds of a Retry-After header, 1 at least.
 int64_t toRetryAfterSeconds(Duration Wait);
--- a/include/canvaswick/Admission/SuspectTable.h
+++ b/include/canvaswick/Admission/PoisonRequestTable.h
@@ -1,4 +1,4 @@
-//===- SuspectTable.h - Requests under which servers end --------*- C++ -*-===//
+//===- PoisonRequestTable.h - Requests under which servers end --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -23,10 +23,10 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ADMISSION_SUSPECTTABLE_H
-#define CANVASWICK_ADMISSION_SUSPECTTABLE_H
+#ifndef CANVASWICK_ADMISSION_POISONREQUESTTABLE_H
+#define CANVASWICK_ADMISSION_POISONREQUESTTABLE_H
 
-#include "canvaswick/Admission/RequestDigest.h"
+#include "canvaswick/Admission/RequestFingerprint.h"
 #include "canvaswick/Support/Time.h"
 
 #include <map>
@@ -36,12 +36,12 @@
 namespace canvaswick {
 
 /// Stands for one backend server of one service, as in all messages.
-using EndedServer = uint32_t;
+using EndedServerId = uint32_t;
 
 /// One attempt of a request whose server ended it without an answer.
 struct RequestEnd {
-  RequestDigest Request = 0;
-  EndedServer Server = 0;
+  RequestFingerprint Request = 0;
+  EndedServerId Server = 0;
   TimePoint Began{};
   TimePoint Ended{};
   /// Drawn by who saw it, so that it is known again however it was told.
@@ -52,116 +52,117 @@
 
 /// A request that a server has answered, and when.
 struct RequestAnswer {
-  RequestDigest Request = 0;
+  RequestFingerprint Request = 0;
   TimePoint At{};
 
   bool operator==(const RequestAnswer &) const = default;
 };
 
 /// What daemons tell each other of requests.
-struct SuspectNews {
+struct PoisonRequestUpdate {
   std::vector<RequestEnd> Ends;
   std::vector<RequestAnswer> Answers;
 
   bool isEmpty() const { return this->Ends.empty() && this->Answers.empty(); }
-  bool operator==(const SuspectNews &) const = default;
+  bool operator==(const PoisonRequestUpdate &) const = default;
 };
 
 /// All that is kept of one request where it outlasts the daemons.
-struct SuspectRecord {
-  RequestDigest Request = 0;
+struct PoisonRequestRecord {
+  RequestFingerprint Request = 0;
   /// In the order in which they ended.
   std::vector<RequestEnd> Ends;
   /// Tries that it was given since it is held back.
-  int Tries = 0;
+  int Probes = 0;
   /// Calendar time of the last change, in milliseconds.
   int64_t ChangedMillis = 0;
 
-  bool operator==(const SuspectRecord &) const = default;
+  bool operator==(const PoisonRequestRecord &) const = default;
 };
 
 /// What may become of a request now.
-enum class SuspectVerdict : uint8_t {
+enum class QuarantineVerdict : uint8_t {
   /// It may be sent.
-  Free,
+  Allowed,
   /// A try is due: it may be sent by who gets the right to that try.
-  TryDue,
+  ProbeDue,
   /// It is refused.
-  HeldBack,
+  Quarantined,
 };
 
 /// A request as operators see it.
-struct SuspectStatus {
-  SuspectRecord Record;
-  bool IsHeld = false;
+struct PoisonRequestStatus {
+  PoisonRequestRecord Record;
+  bool IsQuarantined = false;
   /// When the next try is due, if it is held back.
-  TimePoint NextTry{};
+  TimePoint NextProbe{};
 };
 
 /// The requests that a daemon suspects.
-class SuspectTable {
+class PoisonRequestTable {
 public:
   /// Takes an end. IsOwn: this daemon's own attempt. Returns whether it was
   /// news.
-  bool noteEnd(const RequestEnd &End, bool IsOwn, TimePoint Now);
+  bool recordEnd(const RequestEnd &End, bool IsOwn, TimePoint Now);
 
   /// Takes an answer to a request of this daemon's. Returns whether it cleared
   /// the request of an end: only then peers need to know.
-  bool noteOwnAnswer(const RequestAnswer &Answer);
+  bool recordLocalAnswer(const RequestAnswer &Answer);
 
   /// Takes an answer that a peer tells of. Returns whether it was news.
-  bool notePeerAnswer(const RequestAnswer &Answer);
+  bool applyPeerAnswer(const RequestAnswer &Answer);
 
   /// Says what may become of a request.
-  SuspectVerdict judge(RequestDigest Request, TimePoint Now) const;
+  QuarantineVerdict classify(RequestFingerprint Request, TimePoint Now) const;
 
   /// Returns how long until the next try of a request that is held back.
-  Duration getWait(RequestDigest Request, TimePoint Now) const;
+  Duration getWait(RequestFingerprint Request, TimePoint Now) const;
 
   /// Returns whether a server has ended under the request, other than Server.
-  bool isSuspect(RequestDigest Request, EndedServer Server) const;
+  bool isSuspect(RequestFingerprint Request, EndedServerId Server) const;
 
   /// Notes that this daemon has the right to the try that was due.
-  void grantTry(RequestDigest Request, TimePoint Now);
+  void recordProbe(RequestFingerprint Request, TimePoint Now);
 
   /// Gives a right back that was not used: no server was reached.
-  void returnTry(RequestDigest Request);
+  void returnProbe(RequestFingerprint Request);
 
   /// Takes a right that was given back. Returns false if there is none.
-  bool takeReturnedTry(RequestDigest Request);
+  bool takeReturnedProbe(RequestFingerprint Request);
 
   /// Notes that another daemon had the right to the try that was due.
-  void missTry(RequestDigest Request, TimePoint Now);
+  void postponeProbe(RequestFingerprint Request, TimePoint Now);
 
   /// Takes all records that are kept outside. A request that was among them
   /// before and is not any more has come free.
-  void takeRecords(const std::vector<SuspectRecord> &Records, TimePoint Now);
+  void applyRecords(const std::vector<PoisonRequestRecord> &Records,
+                    TimePoint Now);
 
   /// Notes that the records can no longer be read: they are to be written anew.
-  void loseRecords();
+  void invalidateRecords();
 
   /// Returns the requests that should be among the records, and are not as they
   /// are known here. Only those of which this daemon has seen an end itself.
-  std::vector<SuspectRecord> listUnrecorded() const;
+  std::vector<PoisonRequestRecord> listUnrecorded() const;
 
   /// Returns recorded requests that an answer of this daemon's has cleared.
-  std::vector<RequestDigest> listCleared() const;
+  std::vector<RequestFingerprint> listCleared() const;
 
   /// Returns the record of a request as it is known here.
-  SuspectRecord getRecord(RequestDigest Request) const;
+  PoisonRequestRecord getRecord(RequestFingerprint Request) const;
 
   /// Returns what peers should know, at most MaxRows ends and answers together,
   /// those of the gravest suspects first.
-  SuspectNews makeNews(size_t MaxRows, TimePoint Now) const;
+  PoisonRequestUpdate buildUpdate(size_t MaxRows, TimePoint Now) const;
 
   /// Lists all suspects.
-  std::vector<SuspectStatus> describe() const;
+  std::vector<PoisonRequestStatus> describe() const;
 
   /// Forgets what is too old to count.
   void forgetOld(TimePoint Now);
 
   /// Returns how many requests are held back.
-  size_t countHeld() const;
+  size_t countQuarantined() const;
 
   bool isEmpty() const { return this->Suspects.empty(); }
 
@@ -173,7 +174,7 @@
     bool IsOwn = false;
     /// Since when it is held back.
     std::optional<TimePoint> HeldSince;
-    int Tries = 0;
+    int Probes = 0;
     TimePoint TriedAt{};
     /// Whether this daemon has a right to a try that it has not used.
     bool HasReturnedTry = false;
@@ -185,19 +186,19 @@
     int64_t RecordedMillis = 0;
   };
 
-  Suspect *find(RequestDigest Request);
-  const Suspect *find(RequestDigest Request) const;
+  Suspect *find(RequestFingerprint Request);
+  const Suspect *find(RequestFingerprint Request) const;
   bool addEnd(Suspect &Entry, const RequestEnd &End) const;
   bool isExplained(const RequestEnd &End) const;
-  void updateHold(RequestDigest Request, Suspect &Entry);
-  void explainOthers(RequestDigest Held, const Suspect &By);
-  void takeRecord(const SuspectRecord &Record, TimePoint Now);
+  void updateHold(RequestFingerprint Request, Suspect &Entry);
+  void explainOthers(RequestFingerprint Held, const Suspect &By);
+  void takeRecord(const PoisonRequestRecord &Record, TimePoint Now);
   void clear(Suspect &Entry, TimePoint At);
   void makeRoom();
 
-  std::map<RequestDigest, Suspect> Suspects;
+  std::map<RequestFingerprint, Suspect> Suspects;
 };
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ADMISSION_SUSPECTTABLE_H
+#endif // CANVASWICK_ADMISSION_POISONREQUESTTABLE_H
--- a/include/canvaswick/Admission/RequestDigest.h
+++ b/include/canvaswick/Admission/RequestFingerprint.h
@@ -1,4 +1,4 @@
-//===- RequestDigest.h - What two equal requests have in common -*- C++ -*-===//
+//===- RequestFingerprint.h - What two equal requests have in ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ADMISSION_REQUESTDIGEST_H
-#define CANVASWICK_ADMISSION_REQUESTDIGEST_H
+#ifndef CANVASWICK_ADMISSION_REQUESTFINGERPRINT_H
+#define CANVASWICK_ADMISSION_REQUESTFINGERPRINT_H
 
 #include <cstdint>
 #include <string_view>
@@ -22,7 +22,7 @@
 
 /// Stands for a request in logs and between daemons. Not proof against somebody
 /// who looks for two requests with one digest on purpose.
-using RequestDigest = uint64_t;
+using RequestFingerprint = uint64_t;
 
 /// What makes a request the same as another. The address that it comes from
 /// does not: one caller may be many machines, and asks at several halls, each
@@ -43,8 +43,8 @@
 };
 
 /// Returns the digest of a request.
-RequestDigest digestRequest(const RequestParts &Parts);
+RequestFingerprint computeRequestFingerprint(const RequestParts &Parts);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ADMISSION_REQUESTDIGEST_H
+#endif // CANVASWICK_ADMISSION_REQUESTFINGERPRINT_H
--- a/include/canvaswick/Bench/AllowanceModel.h
+++ b/include/canvaswick/Bench/AllowanceModel.h
@@ -32,7 +32,7 @@
   /// One daemon gives out the tokens, and each that does not reach it has its
   /// fixed part.
   OneOwner,
-  /// FleetAllowance.
+  /// FleetQuota.
   ToldCounts,
 };
 
--- a/include/canvaswick/Daemon/AllowanceAgent.h
+++ b/include/canvaswick/Daemon/AllowanceAgent.h
@@ -10,7 +10,7 @@
 /// Keeps organisations' allowances over the whole fleet where daemons know each
 /// other by membership: each tells the others of its hall what it was asked and
 /// has admitted, and the first of a hall tells each other hall the sum, through
-/// one daemon there. The decisions are FleetAllowance's.
+/// one daemon there. The decisions are FleetQuota's.
 ///
 /// A round costs a daemon one call to each other daemon of its hall, four times
 /// a second, and nothing while no organisation has a limit.
@@ -38,7 +38,7 @@
   std::string Teller;
   /// Of the teller's messages.
   uint64_t Sequence = 0;
-  std::vector<AllowanceLevel> Levels;
+  std::vector<QuotaUsage> Levels;
 
   bool operator==(const HallWord &) const = default;
 };
@@ -52,10 +52,10 @@
   uint64_t Sequence = 0;
   /// To daemons of the same hall: of the source itself, and what other halls
   /// told it since its last message.
-  std::vector<AllowanceLevel> Levels;
+  std::vector<QuotaUsage> Levels;
   std::vector<HallWord> Passed;
   /// To a daemon of another hall: of the source's whole hall.
-  std::vector<AllowanceLevel> HallLevels;
+  std::vector<QuotaUsage> HallLevels;
 
   bool operator==(const AllowanceMessage &) const = default;
 };
@@ -73,7 +73,7 @@
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
-  /// Tells the others. To be called once in SpeakInterval.
+  /// Tells the others. To be called once in QuotaReportInterval.
   void runRound(TimePoint Now);
 
   /// Takes what a daemon told, unless something later came from it before.
--- a/include/canvaswick/Daemon/AllowanceWire.h
+++ b/include/canvaswick/Daemon/AllowanceWire.h
@@ -17,7 +17,7 @@
 #ifndef CANVASWICK_DAEMON_ALLOWANCEWIRE_H
 #define CANVASWICK_DAEMON_ALLOWANCEWIRE_H
 
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "canvaswick/Admission/FleetQuota.h"
 
 #include <json/json.h>
 
@@ -26,13 +26,13 @@
 namespace canvaswick {
 
 /// Writes levels into a message.
-Json::Value encodeLevels(const std::vector<AllowanceLevel> &Levels);
+Json::Value encodeLevels(const std::vector<QuotaUsage> &Levels);
 
 /// Reads one level. Returns false if it is malformed.
-bool decodeLevel(const Json::Value &Row, AllowanceLevel &Level);
+bool decodeLevel(const Json::Value &Row, QuotaUsage &Level);
 
 /// Reads a list of levels. Returns false if it is none, or one is malformed.
-bool decodeLevels(const Json::Value &Rows, std::vector<AllowanceLevel> &Levels);
+bool decodeLevels(const Json::Value &Rows, std::vector<QuotaUsage> &Levels);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Daemon/Gateway.h
+++ b/include/canvaswick/Daemon/Gateway.h
@@ -20,7 +20,7 @@
 #include "canvaswick/Daemon/DirectoryCalls.h"
 #include "canvaswick/Daemon/PeerLink.h"
 #include "canvaswick/Directory/FleetRecords.h"
-#include "canvaswick/Directory/WatchDuty.h"
+#include "canvaswick/Directory/WatchElection.h"
 #include "canvaswick/Metrics/Counters.h"
 #include "canvaswick/Proxy/ProxyOptions.h"
 #include "canvaswick/Proxy/RequestGuard.h"
--- a/include/canvaswick/Daemon/OperatorApi.h
+++ b/include/canvaswick/Daemon/OperatorApi.h
@@ -40,7 +40,7 @@
   Json::Value answerBurn() const;
   Json::Value answerHeld() const;
   Json::Value answerOrganisations() const;
-  std::vector<AllowanceStatus> listOrganisations() const;
+  std::vector<QuotaStatus> listOrganisations() const;
 
   const ControlContext &Context;
   MembershipAgent &Members;
--- a/include/canvaswick/Daemon/PeerLink.h
+++ b/include/canvaswick/Daemon/PeerLink.h
@@ -22,7 +22,7 @@
 
 #include "canvaswick/Daemon/PeerMessage.h"
 #include "canvaswick/Directory/FleetRecords.h"
-#include "canvaswick/Directory/WatchDuty.h"
+#include "canvaswick/Directory/WatchElection.h"
 #include "canvaswick/Metrics/Counters.h"
 
 #include <atomic>
@@ -61,14 +61,14 @@
   /// rest.
   void sendObservations(std::vector<Observation> Seen,
                         const std::vector<InFlightReport> &InFlight,
-                        std::vector<AllowanceLevel> Levels,
+                        std::vector<QuotaUsage> Levels,
                         std::vector<LimitReport> Limits);
   static constexpr size_t MostLevelsBesides = 10;
   static constexpr size_t MostLimitsBesides = 5;
 
   /// Tells the other halls what organisations asked of this one. An empty list
   /// shows them that it is heard.
-  void sendHallLevels(std::vector<AllowanceLevel> Levels);
+  void sendHallLevels(std::vector<QuotaUsage> Levels);
 
   /// Tells the other halls. Limits: at most MostLimitsBesides.
   void sendEstimates(std::vector<Estimate> Estimates,
--- a/include/canvaswick/Daemon/PeerMessage.h
+++ b/include/canvaswick/Daemon/PeerMessage.h
@@ -14,7 +14,7 @@
 #ifndef CANVASWICK_DAEMON_PEERMESSAGE_H
 #define CANVASWICK_DAEMON_PEERMESSAGE_H
 
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "canvaswick/Admission/FleetQuota.h"
 #include "canvaswick/Daemon/SuspectReport.h"
 #include "canvaswick/Directory/StorePosition.h"
 #include "canvaswick/Health/SpellPolicy.h"
@@ -63,9 +63,9 @@
   std::vector<RepeatLoan> Asked;
   std::vector<RepeatLoan> Lent;
   /// What organisations asked of the source.
-  std::vector<AllowanceLevel> Levels;
+  std::vector<QuotaUsage> Levels;
   /// What they asked of its whole hall, if the message speaks of that.
-  std::optional<std::vector<AllowanceLevel>> HallLevels;
+  std::optional<std::vector<QuotaUsage>> HallLevels;
   /// Limits that servers have named or taken back.
   std::vector<LimitReport> Limits;
   /// Requests under which servers ended, and what speaks for them.
--- a/include/canvaswick/Daemon/SuspectAgent.h
+++ b/include/canvaswick/Daemon/SuspectAgent.h
@@ -38,7 +38,7 @@
   void readNews(const Json::Value &Message, TimePoint Now);
 
 private:
-  void spread(const SuspectNews &News, TimePoint Now);
+  void spread(const PoisonRequestUpdate &News, TimePoint Now);
   Json::Value answerNews(const Json::Value &Params);
   Result<BookPage> readPage() const;
   Result<StorePosition> writePage(const std::string &Text,
--- a/include/canvaswick/Daemon/SuspectBook.h
+++ b/include/canvaswick/Daemon/SuspectBook.h
@@ -53,11 +53,12 @@
   void runRound(const Instant &Now);
 
   /// Takes the right to the next try of a request.
-  bool claimTry(const SuspectRecord &Record, const Instant &Now);
+  bool claimTry(const PoisonRequestRecord &Record, const Instant &Now);
 
 private:
-  bool change(std::vector<SuspectRecord> &Records, const Instant &Now) const;
-  bool writeAll(const std::vector<SuspectRecord> &Records,
+  bool change(std::vector<PoisonRequestRecord> &Records,
+              const Instant &Now) const;
+  bool writeAll(const std::vector<PoisonRequestRecord> &Records,
                 const StorePosition &Expected, const Instant &Now);
 
   RequestGuard &Guard;
--- a/include/canvaswick/Daemon/SuspectReport.h
+++ b/include/canvaswick/Daemon/SuspectReport.h
@@ -15,7 +15,7 @@
 #ifndef CANVASWICK_DAEMON_SUSPECTREPORT_H
 #define CANVASWICK_DAEMON_SUSPECTREPORT_H
 
-#include "canvaswick/Admission/SuspectTable.h"
+#include "canvaswick/Admission/PoisonRequestTable.h"
 #include "canvaswick/Support/Error.h"
 
 #include <json/json.h>
@@ -27,8 +27,8 @@
 
 /// One end by its age, in whole milliseconds.
 struct EndReport {
-  RequestDigest Request = 0;
-  EndedServer Server = 0;
+  RequestFingerprint Request = 0;
+  EndedServerId Server = 0;
   /// How long the attempt had taken.
   int64_t TookMs = 0;
   int64_t AgoMs = 0;
@@ -39,7 +39,7 @@
 
 /// One answer by its age, in whole milliseconds.
 struct AnswerReport {
-  RequestDigest Request = 0;
+  RequestFingerprint Request = 0;
   int64_t AgoMs = 0;
 
   bool operator==(const AnswerReport &) const = default;
@@ -55,8 +55,8 @@
 };
 
 /// Returns news as a message that leaves now carries it, and back.
-SuspectReport makeReport(const SuspectNews &News, TimePoint Now);
-SuspectNews readReport(const SuspectReport &Report, TimePoint Now);
+SuspectReport makeReport(const PoisonRequestUpdate &News, TimePoint Now);
+PoisonRequestUpdate readReport(const SuspectReport &Report, TimePoint Now);
 
 /// Writes a report into a message: "ends" and "answers", if there are any.
 void encodeSuspects(const SuspectReport &Report, Json::Value &Message);
@@ -67,18 +67,19 @@
 /// Writes and reads the records as one text, which holds calendar times: it is
 /// as right as the clocks of its writer and reader agree. Fails with
 /// InvalidArgument.
-std::string encodeRecords(const std::vector<SuspectRecord> &Records,
+std::string encodeRecords(const std::vector<PoisonRequestRecord> &Records,
                           const Instant &Now);
-Result<std::vector<SuspectRecord>> decodeRecords(const std::string &Text,
-                                                 const Instant &Now);
+Result<std::vector<PoisonRequestRecord>> decodeRecords(const std::string &Text,
+                                                       const Instant &Now);
 
 /// Puts a request's record into a list, merged with what is there. Leaves out
 /// what has not changed for longer than anything in it counts.
-void mergeRecord(std::vector<SuspectRecord> &Records, SuspectRecord Record,
-                 int64_t NowMillis);
+void mergeRecord(std::vector<PoisonRequestRecord> &Records,
+                 PoisonRequestRecord Record, int64_t NowMillis);
 
 /// Takes a request's record off a list. Returns whether it was there.
-bool removeRecord(std::vector<SuspectRecord> &Records, RequestDigest Request);
+bool removeRecord(std::vector<PoisonRequestRecord> &Records,
+                  RequestFingerprint Request);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Directory/AheadPeers.h
+++ b/include/canvaswick/Directory/AheadPeers.h
@@ -35,12 +35,14 @@
 
   /// Notes how far a peer's copy goes, if that is further than Known, this
   /// daemon's own. Returns whether it is.
-  bool note(const std::string &Peer, bool IsNear, const StorePosition &AsOf,
-            const StorePosition &Known, TimePoint Now);
+  bool recordPeer(const std::string &Peer, bool IsNear,
+                  const StorePosition &AsOf, const StorePosition &Known,
+                  TimePoint Now);
 
   /// Returns a peer that is ahead of Known, drawn anew each time: one of the
   /// own hall if there is any.
-  std::optional<std::string> draw(const StorePosition &Known, TimePoint Now);
+  std::optional<std::string> choosePeer(const StorePosition &Known,
+                                        TimePoint Now);
 
   /// Returns since when this daemon has been behind, if it is.
   std::optional<TimePoint> getBehindSince(const StorePosition &Known) const;
--- a/include/canvaswick/Directory/FleetRecords.h
+++ b/include/canvaswick/Directory/FleetRecords.h
@@ -24,7 +24,7 @@
 namespace canvaswick {
 
 /// One part of a route's requests.
-struct RoutePart {
+struct RouteTarget {
   std::string Service;
   int64_t Weight = 1;
 };
@@ -36,7 +36,7 @@
   std::string Prefix;
   RouteClass Class = RouteClass::Once;
   /// At least one part.
-  std::vector<RoutePart> Parts;
+  std::vector<RouteTarget> Parts;
   int64_t TimeoutMs = 0;
   int64_t ObjectiveMs = 0;
   int64_t MaxAttempts = 1;
@@ -100,7 +100,7 @@
 /// Returns the name of a life of a server. All that is known of a server goes
 /// by it: evidence, load, requests in flight, connections, what daemons tell
 /// each other. So nothing of one life can count for the next.
-std::string getLifeName(const ServerRecord &Record);
+std::string getInstanceName(const ServerRecord &Record);
 
 /// A record and when this daemon learned of it.
 struct KnownServer {
--- a/include/canvaswick/Directory/ItemTable.h
+++ b/include/canvaswick/Directory/ItemTable.h
@@ -34,7 +34,7 @@
   std::string Value;
   /// The revision of the item's last change, in the epoch in which it was read.
   StorePosition At;
-  bool IsGone = false;
+  bool IsRemoved = false;
 
   bool operator==(const StoreItem &) const = default;
 };
@@ -64,10 +64,10 @@
 /// What changed between two positions.
 struct ItemChanges {
   /// Whether Items are all there are, and not only those that changed.
-  bool IsAll = false;
+  bool IsFull = false;
   /// Whether items with large values are left out. Those that are here count by
   /// themselves; AsOf is not reached by taking them.
-  bool IsPartial = false;
+  bool OmitsLarge = false;
   std::vector<StoreItem> Items;
   /// Those that come as differences.
   std::vector<ItemDelta> Deltas;
@@ -90,7 +90,7 @@
 
   /// Lets whatever is taken next replace what is known. For a store that has
   /// lost something without a new epoch.
-  void distrust();
+  void markStale();
 
   /// Notes that all changes up to AsOf were taken.
   void advanceTo(const StorePosition &AsOf);
--- a/include/canvaswick/Directory/TryWait.h
+++ b/include/canvaswick/Directory/StoreBackoff.h
@@ -1,4 +1,4 @@
-//===- TryWait.h - How long the store is left alone after a failure -------===//
+//===- StoreBackoff.h - How long the store is left alone after a failure --===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DIRECTORY_TRYWAIT_H
-#define CANVASWICK_DIRECTORY_TRYWAIT_H
+#ifndef CANVASWICK_DIRECTORY_STOREBACKOFF_H
+#define CANVASWICK_DIRECTORY_STOREBACKOFF_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -26,8 +26,8 @@
 /// Failures in a row, 1 at least. HallSize counts the daemons of its hall as
 /// far as it knows them, itself included. Draw is in [0, 1) and spreads
 /// daemons, so that they do not come back together.
-Duration chooseTryWait(int Failures, size_t HallSize, double Draw);
+Duration computeStoreBackoff(int Failures, size_t HallSize, double Draw);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DIRECTORY_TRYWAIT_H
+#endif // CANVASWICK_DIRECTORY_STOREBACKOFF_H
--- a/include/canvaswick/Directory/StorePosition.h
+++ b/include/canvaswick/Directory/StorePosition.h
@@ -46,7 +46,7 @@
 };
 
 /// How an answer of the store goes with the copy for which it was asked.
-enum class AnswerFit : uint8_t {
+enum class AnswerConsistency : uint8_t {
   /// It is as far as the copy, or further.
   Follows,
   /// It was made in an epoch that is over: what it says may be lost.
@@ -57,15 +57,15 @@
 
 /// Compares how far a copy was when the store was asked with how far the store
 /// was as it answered. Holds for linearizable answers only.
-inline AnswerFit compareAnswer(const StorePosition &Asked,
-                               const StorePosition &Answered) {
+inline AnswerConsistency compareAnswer(const StorePosition &Asked,
+                                       const StorePosition &Answered) {
   if (Answered.Epoch < Asked.Epoch)
-    return AnswerFit::Outdated;
+    return AnswerConsistency::Outdated;
   if (Asked.isNone())
-    return AnswerFit::Follows;
+    return AnswerConsistency::Follows;
   const bool Holds =
       Answered.Epoch == Asked.Epoch && Answered.Revision >= Asked.Revision;
-  return Holds ? AnswerFit::Follows : AnswerFit::HasLost;
+  return Holds ? AnswerConsistency::Follows : AnswerConsistency::HasLost;
 }
 
 } // namespace canvaswick
--- a/include/canvaswick/Directory/WatchDuty.h
+++ b/include/canvaswick/Directory/WatchElection.h
@@ -1,4 +1,4 @@
-//===- WatchDuty.h - Who watches the store for whom -------------*- C++ -*-===//
+//===- WatchElection.h - Who watches the store for whom ---------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -16,8 +16,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_DIRECTORY_WATCHDUTY_H
-#define CANVASWICK_DIRECTORY_WATCHDUTY_H
+#ifndef CANVASWICK_DIRECTORY_WATCHELECTION_H
+#define CANVASWICK_DIRECTORY_WATCHELECTION_H
 
 #include "canvaswick/Directory/StorePosition.h"
 #include "canvaswick/Support/Time.h"
@@ -55,20 +55,21 @@
 const char *getName(WatchRole Role);
 
 /// Decides for one daemon. Not thread-safe.
-class WatchDuty {
+class WatchElection {
 public:
   /// AloneWait: how long a daemon that knows no other of its hall waits before
-  /// it leads, counted from the first setNear. Where a whole fleet starts, the
-  /// others register meanwhile, and one call brings them all.
-  explicit WatchDuty(std::string Self, Duration AloneWait = Duration::zero());
+  /// it leads, counted from the first setHallDaemons. Where a whole fleet
+  /// starts, the others register meanwhile, and one call brings them all.
+  explicit WatchElection(std::string Self,
+                         Duration AloneWait = Duration::zero());
 
   /// Sets the daemons of this hall. Who has just learned of others takes it
   /// that those who come first watch, until they should have been heard.
-  void setNear(const std::vector<std::string> &Names, TimePoint Now);
+  void setHallDaemons(const std::vector<std::string> &Names, TimePoint Now);
 
   /// Notes that a daemon of this hall watches, and when the store last answered
   /// it.
-  void noteWatcher(const std::string &Name, TimePoint HeardAt);
+  void recordWatcher(const std::string &Name, TimePoint HeardAt);
 
   /// Returns what this daemon should do.
   WatchRole getRole(TimePoint Now) const;
@@ -88,4 +89,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_DIRECTORY_WATCHDUTY_H
+#endif // CANVASWICK_DIRECTORY_WATCHELECTION_H
--- a/include/canvaswick/Proxy/OrganisationGate.h
+++ b/include/canvaswick/Proxy/OrganisationGate.h
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// FleetAllowance behind a mutex: threads of requests ask it, the link to peers
+/// FleetQuota behind a mutex: threads of requests ask it, the link to peers
 /// feeds it.
 ///
 //===----------------------------------------------------------------------===//
@@ -15,7 +15,7 @@
 #ifndef CANVASWICK_PROXY_ORGANISATIONGATE_H
 #define CANVASWICK_PROXY_ORGANISATIONGATE_H
 
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "canvaswick/Admission/FleetQuota.h"
 
 #include <mutex>
 
@@ -35,29 +35,29 @@
   }
 
   /// Decides on one request.
-  AllowanceAnswer admit(const std::string &Organisation, TimePoint Now) {
+  QuotaAnswer admit(const std::string &Organisation, TimePoint Now) {
     return this->with(
-        [&](FleetAllowance &All) { return All.admit(Organisation, Now); });
+        [&](FleetQuota &All) { return All.admit(Organisation, Now); });
   }
 
   /// Takes back that a request was admitted: it was not run after all.
   void giveBack(const std::string &Organisation, TimePoint Now) {
-    this->with([&](FleetAllowance &All) { All.giveBack(Organisation, Now); });
+    this->with([&](FleetQuota &All) { All.giveBack(Organisation, Now); });
   }
 
   /// Takes the organisations of a version of the settings.
   void configure(const OrganisationDirectoryRef &Directory, TimePoint Now) {
-    this->with([&](FleetAllowance &All) { All.configure(Directory, Now); });
+    this->with([&](FleetQuota &All) { All.configure(Directory, Now); });
   }
 
   /// Forgets organisations of which nothing need be remembered.
   void forgetIdle(TimePoint Now) {
-    this->with([&](FleetAllowance &All) { All.forgetIdle(Now); });
+    this->with([&](FleetQuota &All) { All.forgetIdle(Now); });
   }
 
 private:
   std::mutex Mutex;
-  FleetAllowance Allowance;
+  FleetQuota Allowance;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Proxy/RequestGuard.h
+++ b/include/canvaswick/Proxy/RequestGuard.h
@@ -15,7 +15,7 @@
 #ifndef CANVASWICK_PROXY_REQUESTGUARD_H
 #define CANVASWICK_PROXY_REQUESTGUARD_H
 
-#include "canvaswick/Admission/SuspectTable.h"
+#include "canvaswick/Admission/PoisonRequestTable.h"
 #include "canvaswick/Metrics/Counters.h"
 
 #include <functional>
@@ -40,10 +40,11 @@
 public:
   /// Takes the right to the next try of a request where records are kept.
   /// Returns whether it was given: to one daemon of the fleet at most.
-  using TryClaim = std::function<bool(const SuspectRecord &)>;
+  using TryClaim = std::function<bool(const PoisonRequestRecord &)>;
 
   /// Told of what this daemon has seen itself, on the request's thread.
-  using NewsListener = std::function<void(const SuspectNews &, TimePoint)>;
+  using NewsListener =
+      std::function<void(const PoisonRequestUpdate &, TimePoint)>;
 
   explicit RequestGuard(CounterTable &Counters) : Counters(Counters) {}
 
@@ -58,62 +59,63 @@
 
   /// Decides whether a request may be sent. May take as long as a call to where
   /// records are kept, when a try is due.
-  GuardAnswer admit(RequestDigest Request, TimePoint Now);
+  GuardAnswer admit(RequestFingerprint Request, TimePoint Now);
 
   /// Returns whether a request is held back, without asking for a try.
-  bool isHeldBack(RequestDigest Request, TimePoint Now) const;
+  bool isHeldBack(RequestFingerprint Request, TimePoint Now) const;
 
   /// Returns when a request that is held back may come back.
-  Duration getWait(RequestDigest Request, TimePoint Now) const;
+  Duration getWait(RequestFingerprint Request, TimePoint Now) const;
 
   /// Returns whether a server other than Server has ended under a request.
-  bool isSuspect(RequestDigest Request, EndedServer Server) const;
+  bool isSuspect(RequestFingerprint Request, EndedServerId Server) const;
 
   /// Gives the right to a try back: no server was reached.
-  void returnTry(RequestDigest Request);
+  void returnProbe(RequestFingerprint Request);
 
   /// Notes that a server has ended under a request of this daemon's. Draws the
   /// end's id.
-  void noteEnd(RequestEnd End, TimePoint Now);
+  void recordEnd(RequestEnd End, TimePoint Now);
 
   /// Notes that a server has answered a request of this daemon's.
-  void noteAnswer(RequestDigest Request, TimePoint Now);
+  void noteAnswer(RequestFingerprint Request, TimePoint Now);
 
   /// Takes what a peer tells. Returns what of it was news.
-  SuspectNews takeNews(const SuspectNews &News, TimePoint Now);
+  PoisonRequestUpdate takeNews(const PoisonRequestUpdate &News, TimePoint Now);
 
   /// Returns what a peer that has missed something should know.
-  SuspectNews makeNews(size_t MaxRows, TimePoint Now) const;
+  PoisonRequestUpdate buildUpdate(size_t MaxRows, TimePoint Now) const;
 
   /// Takes all records that are kept.
-  void takeRecords(const std::vector<SuspectRecord> &Records, TimePoint Now);
+  void applyRecords(const std::vector<PoisonRequestRecord> &Records,
+                    TimePoint Now);
 
   /// Notes that the records can no longer be read.
-  void loseRecords();
+  void invalidateRecords();
 
   /// Returns what should be among the records, and what no longer.
-  std::vector<SuspectRecord> listUnrecorded() const;
-  std::vector<RequestDigest> listCleared() const;
+  std::vector<PoisonRequestRecord> listUnrecorded() const;
+  std::vector<RequestFingerprint> listCleared() const;
 
   /// Lists the suspects.
-  std::vector<SuspectStatus> describe() const;
+  std::vector<PoisonRequestStatus> describe() const;
 
   /// Forgets what no longer counts.
   void forgetOld(TimePoint Now);
 
 private:
-  SuspectVerdict beginAsking(RequestDigest Request, TimePoint Now,
-                             SuspectRecord &Record);
-  bool claimTry(const SuspectRecord &Record, TimePoint Now);
-  void logChange(RequestDigest Request, bool WasHeld, TimePoint Now) const;
+  QuarantineVerdict beginAsking(RequestFingerprint Request, TimePoint Now,
+                                PoisonRequestRecord &Record);
+  bool claimTry(const PoisonRequestRecord &Record, TimePoint Now);
+  void logChange(RequestFingerprint Request, bool WasHeld, TimePoint Now) const;
 
   CounterTable &Counters;
   TryClaim Claim;
   NewsListener Listener;
   mutable std::mutex Mutex;
-  SuspectTable Table;
+  PoisonRequestTable Table;
   /// Requests for whose try one of this daemon's threads is asking.
-  std::set<RequestDigest> Asking;
+  std::set<RequestFingerprint> Asking;
   std::mt19937 Random{std::random_device()()};
 };
 
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -16,7 +16,7 @@
 #ifndef CANVASWICK_PROXY_SERVICERUNTIME_H
 #define CANVASWICK_PROXY_SERVICERUNTIME_H
 
-#include "canvaswick/Admission/FleetRepeatBudget.h"
+#include "canvaswick/Admission/FleetRetryBudget.h"
 #include "canvaswick/Admission/Limits.h"
 #include "canvaswick/Health/HealthPolicy.h"
 #include "canvaswick/Health/LatencyTable.h"
@@ -260,8 +260,8 @@
   PolicySetup makeSetup(const DaemonIdentity &Identity) const;
   Policies makePolicy(const DaemonIdentity &Identity) const;
   bool isOn(Mechanism Which) const { return this->Switches.isOn(Which); }
-  FleetRepeatBudgetRef makeRepeats(const DaemonIdentity &Identity,
-                                   const ServiceRuntime *Previous) const;
+  FleetRetryBudgetRef makeRepeats(const DaemonIdentity &Identity,
+                                  const ServiceRuntime *Previous) const;
   std::vector<ServerShare> getShares(const AttemptNeeds &Needs,
                                      TimePoint Now) const;
   void applyLeaving(size_t Server, TimePoint Now);
@@ -302,7 +302,7 @@
   LatencyTable Latency;
   RetryBudget Retries;
   /// Takes the place of Retries where the budget is the fleet's. Else null.
-  FleetRepeatBudgetRef FleetRepeats;
+  FleetRetryBudgetRef FleetRepeats;
   InFlightLimit InFlight;
   RandomSource Random;
   AttemptList Attempts;
--- a/lib/Admission/FadingCount.cpp
+++ b/lib/Admission/DecayingCounter.cpp
@@ -1,4 +1,4 @@
-//===- FadingCount.cpp - Rates of events, by means that fade --------------===//
+//===- DecayingCounter.cpp - Rates of events, by means that fade ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,35 +11,37 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/FadingCount.h"
+#include "canvaswick/Admission/DecayingCounter.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace canvaswick {
 
-//===-- FadingCount -------------------------------------------------------===//
+//===-- DecayingCounter
+//-------------------------------------------------------===//
 
-double FadingCount::get(TimePoint Now) const {
+double DecayingCounter::get(TimePoint Now) const {
   if (Now <= this->At)
     return this->Value;
   return this->Value *
          std::exp(-toSeconds(Now - this->At) / toSeconds(this->Fade));
 }
 
-void FadingCount::add(double Amount, TimePoint Now) {
+void DecayingCounter::add(double Amount, TimePoint Now) {
   this->Value = std::max(0.0, this->get(Now) + Amount);
   this->At = std::max(this->At, Now);
 }
 
-//===-- SettledRate -------------------------------------------------------===//
+//===-- SmoothedRate
+//-------------------------------------------------------===//
 
 /// Returns the settled part after so many times Fade.
-double SettledRate::getSettled(double Steps) const {
+double SmoothedRate::getSettled(double Steps) const {
   return (this->Settled + this->Fresh * Steps) * std::exp(-Steps);
 }
 
-double SettledRate::get(TimePoint Now, TimePoint Since) const {
+double SmoothedRate::get(TimePoint Now, TimePoint Since) const {
   // Less of its time than this would make one event a high rate.
   constexpr double LeastSteps = 0.25;
   const double Fade = toSeconds(this->Fade);
@@ -49,7 +51,7 @@
   return this->getSettled(toSeconds(Quiet) / Fade) / Fade / Known;
 }
 
-void SettledRate::add(double Amount, TimePoint Now) {
+void SmoothedRate::add(double Amount, TimePoint Now) {
   const Duration Since = std::max(Duration::zero(), Now - this->At);
   const double Steps = toSeconds(Since) / toSeconds(this->Fade);
   this->Settled = this->getSettled(Steps);
--- a/lib/Admission/HeardFleet.cpp
+++ b/lib/Admission/FleetLiveness.cpp
@@ -1,4 +1,4 @@
-//===- HeardFleet.cpp - Which daemons of a fleet are heard ----------------===//
+//===- FleetLiveness.cpp - Which daemons of a fleet are heard -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,14 +11,14 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/HeardFleet.h"
+#include "canvaswick/Admission/FleetLiveness.h"
 
 #include <algorithm>
 
 namespace canvaswick {
 
-/// Who has not been heard for some times SpeakInterval is silent. A hall is
-/// heard through a daemon that passes its teller's words on.
+/// Who has not been heard for some times QuotaReportInterval is silent. A hall
+/// is heard through a daemon that passes its teller's words on.
 static constexpr Duration PeerSilence = fromMillis(700);
 static constexpr Duration HallSilence = fromMillis(1200);
 
@@ -29,8 +29,8 @@
 static constexpr double MissedMessages = 8;
 static constexpr Duration LeastIsolated = fromMillis(250);
 
-size_t HeardFleet::findSource(const std::string &Name, bool IsHall,
-                              TimePoint Now) {
+size_t FleetLiveness::findOrAddSource(const std::string &Name, bool IsHall,
+                                      TimePoint Now) {
   const auto Found = this->IndexOfSource.find({IsHall, Name});
   if (Found != this->IndexOfSource.end())
     return Found->second;
@@ -47,16 +47,16 @@
   return Index;
 }
 
-void HeardFleet::setFleet(const std::vector<std::string> &NearNames,
-                          const std::map<std::string, size_t> &Far,
-                          TimePoint Now) {
+void FleetLiveness::setFleet(const std::vector<std::string> &NearNames,
+                             const std::map<std::string, size_t> &Far,
+                             TimePoint Now) {
   for (Source &Each : this->Sources)
     Each.IsListed = false;
   this->All = 1;
   this->Near = NearNames.size();
   this->NearHeardAt = std::max(this->NearHeardAt, Now);
   const auto List = [&](const std::string &Name, bool IsHall, size_t Daemons) {
-    Source &Listed = this->Sources[this->findSource(Name, IsHall, Now)];
+    Source &Listed = this->Sources[this->findOrAddSource(Name, IsHall, Now)];
     Listed.IsListed = true;
     Listed.Daemons = Daemons;
     this->All += Daemons;
@@ -67,60 +67,64 @@
     List(Hall, true, Daemons);
 }
 
-void HeardFleet::hearPeer(const std::string &Daemon, TimePoint Now) {
-  this->Sources[this->findSource(Daemon, false, Now)].HeardAt = Now;
+void FleetLiveness::recordPeerMessage(const std::string &Daemon,
+                                      TimePoint Now) {
+  this->Sources[this->findOrAddSource(Daemon, false, Now)].HeardAt = Now;
   this->NearHeardAt = Now;
 }
 
-void HeardFleet::hearHall(const std::string &Hall, TimePoint Now) {
-  Source &Heard = this->Sources[this->findSource(Hall, true, Now)];
+void FleetLiveness::recordHallMessage(const std::string &Hall, TimePoint Now) {
+  Source &Heard = this->Sources[this->findOrAddSource(Hall, true, Now)];
   Heard.HeardAt = Now;
-  Heard.HasSpoken = true;
+  Heard.HasReported = true;
 }
 
-bool HeardFleet::isIsolated(TimePoint Now) const {
+bool FleetLiveness::isIsolated(TimePoint Now) const {
   if (this->Near == 0)
     return false;
-  const Duration Limit = fromSeconds(MissedMessages * toSeconds(SpeakInterval) /
-                                     static_cast<double>(this->Near));
+  const Duration Limit =
+      fromSeconds(MissedMessages * toSeconds(QuotaReportInterval) /
+                  static_cast<double>(this->Near));
   return Now - this->NearHeardAt > std::max(LeastIsolated, Limit);
 }
 
-bool HeardFleet::isQuiet(const Source &Each, TimePoint Now) const {
+bool FleetLiveness::hasTimedOut(const Source &Each, TimePoint Now) const {
   const Duration Limit = Each.IsHall ? HallSilence : PeerSilence;
   return Now - Each.HeardAt > Limit;
 }
 
-bool HeardFleet::isGone(const Source &Each, TimePoint Now) const {
-  return !Each.IsListed && this->isQuiet(Each, Now);
+bool FleetLiveness::hasLeft(const Source &Each, TimePoint Now) const {
+  return !Each.IsListed && this->hasTimedOut(Each, Now);
 }
 
-void HeardFleet::forgetGone(TimePoint Now) {
+void FleetLiveness::forgetDeparted(TimePoint Now) {
   std::erase_if(this->IndexOfSource, [this, Now](const auto &Entry) {
-    const bool IsGone = this->isGone(this->Sources[Entry.second], Now);
+    const bool IsGone = this->hasLeft(this->Sources[Entry.second], Now);
     if (IsGone)
       this->Free.push_back(Entry.second);
     return IsGone;
   });
 }
 
-bool HeardFleet::isSilent(const Source &Each, TimePoint Now) const {
-  return Each.IsListed && (this->isQuiet(Each, Now) || this->isIsolated(Now));
+bool FleetLiveness::isSilent(const Source &Each, TimePoint Now) const {
+  return Each.IsListed &&
+         (this->hasTimedOut(Each, Now) || this->isIsolated(Now));
 }
 
-size_t HeardFleet::countSilent(TimePoint Now) const {
+size_t FleetLiveness::countSilent(TimePoint Now) const {
   size_t Silent = 0;
   for (const Source &Each : this->Sources)
     Silent += this->isSilent(Each, Now) ? Each.Daemons : 0;
   return Silent;
 }
 
-bool HeardFleet::isFirst(const std::string &Self, TimePoint Now) const {
-  return std::none_of(this->Sources.begin(), this->Sources.end(),
-                      [&](const Source &Each) {
-                        return !Each.IsHall && Each.IsListed &&
-                               Each.Name < Self && !this->isQuiet(Each, Now);
-                      });
+bool FleetLiveness::isHallReporter(const std::string &Self,
+                                   TimePoint Now) const {
+  return std::none_of(
+      this->Sources.begin(), this->Sources.end(), [&](const Source &Each) {
+        return !Each.IsHall && Each.IsListed && Each.Name < Self &&
+               !this->hasTimedOut(Each, Now);
+      });
 }
 
 } // namespace canvaswick
--- a/lib/Admission/FleetAllowance.cpp
+++ b/lib/Admission/FleetQuota.cpp
@@ -1,4 +1,4 @@
-//===- FleetAllowance.cpp - Organisations' rates over a whole fleet -------===//
+//===- FleetQuota.cpp - Organisations' rates over a whole fleet -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -14,8 +14,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/FleetAllowance.h"
-#include "AllowanceTimes.h"
+#include "canvaswick/Admission/FleetQuota.h"
+#include "QuotaTimes.h"
 #include "canvaswick/Support/Hash.h"
 
 #include <algorithm>
@@ -69,15 +69,14 @@
   return hashText(Name) & IdMask;
 }
 
-FleetAllowance::FleetAllowance(AllowanceBounds Bounds, TimePoint Started,
-                               double Draw)
+FleetQuota::FleetQuota(AllowanceBounds Bounds, TimePoint Started, double Draw)
     : Bounds(Bounds), Started(Started), Draw(Draw),
       Directory(makeOrganisationDirectory({}, false)) {}
 
 //===-- Whose limits ------------------------------------------------------===//
 
-void FleetAllowance::configure(const OrganisationDirectoryRef &Given,
-                               TimePoint Now) {
+void FleetQuota::configure(const OrganisationDirectoryRef &Given,
+                           TimePoint Now) {
   if (Given == this->Directory)
     return;
   this->Directory = Given;
@@ -97,13 +96,13 @@
     this->setLimits(Of, this->Configs.at(Id), Now);
 }
 
-double FleetAllowance::getSlack(const Account &Of) const {
+double FleetQuota::getSlack(const Account &Of) const {
   return this->Bounds.Excess *
              (Of.Rate * toSeconds(this->Bounds.Window) + Of.Burst) +
          this->Bounds.Slack;
 }
 
-double FleetAllowance::getSize(const Account &Of) const {
+double FleetQuota::getSize(const Account &Of) const {
   const double Slack = this->getSlack(Of);
   // Where nothing is borne above the burst, nothing is known of other daemons.
   if (Slack <= 0)
@@ -114,30 +113,29 @@
 
 /// Returns the part of what may be saved up that is, by how soon this daemon
 /// sees that it is cut off: until then both sides spend what is there.
-double FleetAllowance::getSavedPart() const {
+double FleetQuota::getSavedPart() const {
   if (this->isAlone())
     return 1;
-  const auto Near = static_cast<double>(this->Heard.countNear());
+  const auto Near = static_cast<double>(this->Heard.countHallPeers());
   return std::clamp(Near / SureNear, LeastSavedPart, 1.0);
 }
 
-void FleetAllowance::setLimits(Account &Of, const OrganisationConfig *Config,
-                               TimePoint Now) const {
+void FleetQuota::setLimits(Account &Of, const OrganisationConfig *Config,
+                           TimePoint Now) const {
   if (Of.Rate > 0) {
-    this->updateReach(Of, Duration::zero(), Now);
+    this->updateUsable(Of, Duration::zero(), Now);
     this->refill(Of, Now);
   }
   Of.Rate = Config->RequestsPerSecond;
   Of.Burst = Config->Burst;
   Of.Tokens = std::min(Of.Tokens, this->getSize(Of));
-  this->updateReach(Of, Duration::zero(), Now);
+  this->updateUsable(Of, Duration::zero(), Now);
 }
 
 /// Returns an organisation's account, or null if it has no limit. One that is
 /// new to this daemon holds what the rate has brought since the process began:
 /// what was admitted before is not known.
-FleetAllowance::Account *FleetAllowance::findAccount(OrganisationId Id,
-                                                     TimePoint Now) {
+FleetQuota::Account *FleetQuota::findAccount(OrganisationId Id, TimePoint Now) {
   const auto Found = this->Accounts.find(Id);
   if (Found != this->Accounts.end())
     return &Found->second;
@@ -166,18 +164,18 @@
 //===-- Decisions ---------------------------------------------------------===//
 
 /// Decides on a request that is in the levels already.
-bool FleetAllowance::decide(Account &Of) const {
-  const Reach &Within = Of.Within;
+bool FleetQuota::decide(Account &Of) const {
+  const UsableQuota &Within = Of.Within;
   const double Tokens = getTokens(Of);
   if (this->isAlone())
     return Tokens >= 1;
-  const bool IsRise = Within.Asked > MostFree * Within.Rate +
-                                         ImaginedAsked / toSeconds(AskedFade);
+  const bool IsRise = Within.Demand > MostFree * Within.Rate +
+                                          ImaginedAsked / toSeconds(AskedFade);
   const double Least = Within.Silent > 0 ? LeastTaken : 0;
   if (Tokens > Within.Unheard + Least && !IsRise)
     return true;
   const double Wanted = Within.Rate + Tokens / toSeconds(RecoveryTime);
-  Of.Credit += std::clamp(Wanted / Within.Asked, 0.0, 1.0);
+  Of.Credit += std::clamp(Wanted / Within.Demand, 0.0, 1.0);
   if (Of.Credit < 1)
     return false;
   Of.Credit -= 1;
@@ -186,14 +184,14 @@
 
 /// Returns when a token will be there for a caller that is refused, if all who
 /// are refused come back evenly spread over the time that serving them takes.
-Duration FleetAllowance::chooseWait(const Account &Of) const {
-  const Reach &Within = Of.Within;
+Duration FleetQuota::chooseWait(const Account &Of) const {
+  const UsableQuota &Within = Of.Within;
   static constexpr double GoldenRatio = 0.6180339887498949;
   const double Missing = std::max(0.0, 1 - getTokens(Of));
   if (this->isAlone())
     return fromSeconds(Missing / Of.Rate);
   const double Waiting =
-      std::max(0.0, Within.Asked - Of.Rate) * toSeconds(RecoveryTime);
+      std::max(0.0, Within.Demand - Of.Rate) * toSeconds(RecoveryTime);
   const double Place =
       std::fmod(static_cast<double>(Of.Refused) * GoldenRatio, 1.0);
   const double Half = toSeconds(this->Bounds.Window) / 2;
@@ -202,20 +200,19 @@
   return std::max(LeastWait, fromSeconds(Until + Spread * Place));
 }
 
-AllowanceAnswer FleetAllowance::admit(const std::string &Organisation,
-                                      TimePoint Now) {
+QuotaAnswer FleetQuota::admit(const std::string &Organisation, TimePoint Now) {
   const OrganisationId Id = getOrganisationId(Organisation);
   Account *Of = this->findAccount(Id, Now);
   if (!Of)
     return {};
-  Of->Asked.add(1, Now);
+  Of->Demand.add(1, Now);
   this->noteChange(*Of, Id);
   this->updateFreeze(Now);
-  this->updateReach(*Of, Duration::zero(), Now);
+  this->updateUsable(*Of, Duration::zero(), Now);
   this->refill(*Of, Now);
   if (!this->decide(*Of)) {
     ++Of->Refused;
-    return {false, this->chooseWait(*Of), Of->Rate, Of->Within.Asked,
+    return {false, this->chooseWait(*Of), Of->Rate, Of->Within.Demand,
             getTokens(*Of)};
   }
   charge(*Of, 1);
@@ -225,7 +222,7 @@
   return {};
 }
 
-void FleetAllowance::giveBack(const std::string &Organisation, TimePoint Now) {
+void FleetQuota::giveBack(const std::string &Organisation, TimePoint Now) {
   const OrganisationId Id = getOrganisationId(Organisation);
   Account *Of = this->findAccount(Id, Now);
   if (!Of)
@@ -239,44 +236,44 @@
 
 //===-- What is kept ------------------------------------------------------===//
 
-void FleetAllowance::forgetIdle(TimePoint Now) {
+void FleetQuota::forgetIdle(TimePoint Now) {
   for (auto &[Id, Of] : this->Accounts) {
     std::erase_if(Of.Parts, [this, Now, &Account = Of](const Part &Each) {
-      return this->isGone(Each, Now) ||
+      return this->hasLeft(Each, Now) ||
              (this->getUsualRate(Account, Each, Now) < LeastLevel &&
-              Each.Asked == 0);
+              Each.Demand == 0);
     });
-    this->updateReach(Of, Duration::zero(), Now);
+    this->updateUsable(Of, Duration::zero(), Now);
     this->refill(Of, Now);
   }
-  this->Heard.forgetGone(Now);
+  this->Heard.forgetDeparted(Now);
   std::erase_if(this->Accounts, [this, Now](const auto &Entry) {
     const Account &Of = Entry.second;
     return Of.Parts.empty() && this->getOwnUsualRate(Of, Now) < LeastLevel &&
-           Of.Asked.get(Now) < LeastLevel && Of.Tokens >= this->getSize(Of);
+           Of.Demand.get(Now) < LeastLevel && Of.Tokens >= this->getSize(Of);
   });
 }
 
-std::vector<AllowanceStatus> FleetAllowance::describe(size_t Most,
-                                                      TimePoint Now) const {
-  std::vector<AllowanceStatus> All;
+std::vector<QuotaStatus> FleetQuota::describe(size_t Most,
+                                              TimePoint Now) const {
+  std::vector<QuotaStatus> All;
   for (const auto &[Id, Of] : this->Accounts) {
-    const Reach Within = this->computeReach(Of, Now);
-    AllowanceStatus Each;
+    const UsableQuota Within = this->computeUsable(Of, Now);
+    QuotaStatus Each;
     Each.Name = Of.Name;
     Each.RequestsPerSecond = Of.Rate;
     Each.Tokens = getTokens(Of);
-    Each.FleetAsked = Within.Asked;
-    Each.OwnAsked = Of.Asked.getRate(Now);
+    Each.FleetDemand = Within.Demand;
+    Each.LocalDemand = Of.Demand.getRate(Now);
     Each.Admitted = Of.Admitted;
     Each.Refused = Of.Refused;
     Each.Silent = Within.Silent;
     All.push_back(std::move(Each));
   }
   std::sort(All.begin(), All.end(),
-            [](const AllowanceStatus &Left, const AllowanceStatus &Right) {
-              return std::pair(-Left.FleetAsked, Left.Name) <
-                     std::pair(-Right.FleetAsked, Right.Name);
+            [](const QuotaStatus &Left, const QuotaStatus &Right) {
+              return std::pair(-Left.FleetDemand, Left.Name) <
+                     std::pair(-Right.FleetDemand, Right.Name);
             });
   if (All.size() > Most)
     All.resize(Most);
--- a/lib/Admission/FleetRepeatBudget.cpp
+++ b/lib/Admission/FleetRetryBudget.cpp
@@ -1,4 +1,4 @@
-//===- FleetRepeatBudget.cpp - Repeats that the whole fleet may send ------===//
+//===- FleetRetryBudget.cpp - Repeats that the whole fleet may send -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/FleetRepeatBudget.h"
+#include "canvaswick/Admission/FleetRetryBudget.h"
 
 #include <algorithm>
 
@@ -23,14 +23,13 @@
 /// windows of different rates.
 static constexpr double UsedPart = 0.8;
 
-FleetRepeatBudget::FleetRepeatBudget(RepeatAllowance Allowance,
-                                     TimePoint Started)
+FleetRetryBudget::FleetRetryBudget(RepeatAllowance Allowance, TimePoint Started)
     : Allowance(Allowance), Started(Started) {}
 
 /// Parts of one or two repeats lose much when each is rounded down. Daemons in
 /// order round up by ever more, so that their parts add up nearly as they are.
-void FleetRepeatBudget::configure(const RepeatAllowance &Given, size_t Count,
-                                  size_t Rank) {
+void FleetRetryBudget::configure(const RepeatAllowance &Given, size_t Count,
+                                 size_t Rank) {
   this->Allowance = Given;
   this->Daemons = std::max(this->Daemons, Count);
   this->Rounding = static_cast<double>(std::min(Rank, this->Daemons - 1)) /
@@ -42,19 +41,19 @@
     Instants.pop_front();
 }
 
-void FleetRepeatBudget::forgetOld(TimePoint Now) {
+void FleetRetryBudget::forgetOld(TimePoint Now) {
   const TimePoint Limit = Now - this->Allowance.Window;
   dropBefore(this->Requests, Limit);
   dropBefore(this->Repeats, Limit);
   std::erase_if(this->Borrowed, [Now](TimePoint Until) { return Until < Now; });
 }
 
-void FleetRepeatBudget::noteRequest(TimePoint Now) {
+void FleetRetryBudget::recordRequest(TimePoint Now) {
   this->forgetOld(Now);
   this->Requests.push_back(Now);
 }
 
-double FleetRepeatBudget::getAllowed(TimePoint Now) {
+double FleetRetryBudget::getAllowed(TimePoint Now) {
   this->forgetOld(Now);
   const double ByRate =
       this->Allowance.Share * static_cast<double>(this->Requests.size());
@@ -66,21 +65,21 @@
 }
 
 /// Returns whether one repeat more is within the daemon's own part.
-bool FleetRepeatBudget::hasOwnRoom(TimePoint Now) {
+bool FleetRetryBudget::hasOwnRoom(TimePoint Now) {
   const double Allowed = this->getAllowed(Now) + this->Rounding;
   return static_cast<double>(this->Repeats.size() + 1) <= Allowed;
 }
 
-bool FleetRepeatBudget::hasRoom(TimePoint Now) {
+bool FleetRetryBudget::hasRoom(TimePoint Now) {
   return this->hasOwnRoom(Now) || !this->Borrowed.empty();
 }
 
-double FleetRepeatBudget::getUsedPart(TimePoint Now) {
+double FleetRetryBudget::getUsedPart(TimePoint Now) {
   const double Allowed = this->getAllowed(Now) + this->Rounding;
   return Allowed <= 0 ? 1 : static_cast<double>(this->Repeats.size()) / Allowed;
 }
 
-bool FleetRepeatBudget::tryTake(TimePoint Now) {
+bool FleetRetryBudget::tryTake(TimePoint Now) {
   if (this->hasOwnRoom(Now)) {
     this->Repeats.push_back(Now);
     return true;
@@ -92,14 +91,14 @@
   return true;
 }
 
-bool FleetRepeatBudget::tryLend(TimePoint Now) {
+bool FleetRetryBudget::tryLend(TimePoint Now) {
   if (!this->hasOwnRoom(Now))
     return false;
-  this->Repeats.push_back(Now + LoanLife);
+  this->Repeats.push_back(Now + LoanTimeout);
   return true;
 }
 
-void FleetRepeatBudget::borrow(TimePoint Until) {
+void FleetRetryBudget::borrow(TimePoint Until) {
   this->Borrowed.push_back(Until);
 }
 
--- a/lib/Admission/Limits.cpp
+++ b/lib/Admission/Limits.cpp
@@ -27,7 +27,7 @@
     {Refusal::OrganisationRate, "organisation-rate"},
     {Refusal::DeadlineTooShort, "deadline-too-short"},
     {Refusal::NoServer, "no-server"},
-    {Refusal::HeldBack, "held-back"},
+    {Refusal::Quarantined, "held-back"},
     {Refusal::Stopping, "stopping"},
 }};
 
@@ -86,7 +86,7 @@
   this->At = Now;
 }
 
-void RetryBudget::noteRequest(TimePoint Now) {
+void RetryBudget::recordRequest(TimePoint Now) {
   this->fade(Now);
   this->Tokens = std::min(MaxRetryTokens, this->Tokens + this->PerRequest);
 }
@@ -113,7 +113,7 @@
   --this->Current;
 }
 
-bool hasChance(Duration Left, Duration Median) {
+bool canMeetDeadline(Duration Left, Duration Median) {
   // A quarter of the median is under the fastest answers of most services.
   return Left > Duration::zero() && Left >= Median / 4;
 }
@@ -132,7 +132,7 @@
 /// Callers are spread over this part of their wait.
 static constexpr double SettingsWaitSpread = 0.5;
 
-Duration chooseSettingsWait(Duration Without, double Draw) {
+Duration computeSettingsRetryAfter(Duration Without, double Draw) {
   const Duration Wait =
       std::clamp(Without, LeastSettingsWait, MostSettingsWait);
   return Wait + fromSeconds(toSeconds(Wait) * SettingsWaitSpread * Draw);
--- a/lib/Admission/SuspectTable.cpp
+++ b/lib/Admission/PoisonRequestTable.cpp
@@ -1,4 +1,4 @@
-//===- SuspectTable.cpp - Requests under which servers end ----------------===//
+//===- PoisonRequestTable.cpp - Requests under which servers end ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/SuspectTable.h"
+#include "canvaswick/Admission/PoisonRequestTable.h"
 
 #include <algorithm>
 #include <array>
@@ -101,23 +101,25 @@
   return Ends.back().Ended;
 }
 
-static Duration getTryWait(int Tries) {
-  const auto Place = static_cast<size_t>(std::max(0, Tries));
+static Duration getTryWait(int Probes) {
+  const auto Place = static_cast<size_t>(std::max(0, Probes));
   return TryWaits[std::min(Place, TryWaits.size() - 1)];
 }
 
-SuspectTable::Suspect *SuspectTable::find(RequestDigest Request) {
+PoisonRequestTable::Suspect *
+PoisonRequestTable::find(RequestFingerprint Request) {
   const auto Found = this->Suspects.find(Request);
   return Found == this->Suspects.end() ? nullptr : &Found->second;
 }
 
-const SuspectTable::Suspect *SuspectTable::find(RequestDigest Request) const {
+const PoisonRequestTable::Suspect *
+PoisonRequestTable::find(RequestFingerprint Request) const {
   const auto Found = this->Suspects.find(Request);
   return Found == this->Suspects.end() ? nullptr : &Found->second;
 }
 
 /// Adds an end in its place. Returns whether it was not known.
-bool SuspectTable::addEnd(Suspect &Entry, const RequestEnd &End) const {
+bool PoisonRequestTable::addEnd(Suspect &Entry, const RequestEnd &End) const {
   if (Entry.AnsweredAt && End.Ended <= *Entry.AnsweredAt)
     return false;
   const bool IsKnown = std::any_of(
@@ -136,7 +138,7 @@
 }
 
 /// Returns whether a request that is held back was in flight at the same end.
-bool SuspectTable::isExplained(const RequestEnd &End) const {
+bool PoisonRequestTable::isExplained(const RequestEnd &End) const {
   return std::any_of(this->Suspects.begin(), this->Suspects.end(),
                      [&End](const auto &Entry) {
                        const auto &[Request, Other] = Entry;
@@ -151,7 +153,8 @@
 
 /// Takes the ends of a request that is now held back away from the others that
 /// were in flight or queued at them.
-void SuspectTable::explainOthers(RequestDigest Held, const Suspect &By) {
+void PoisonRequestTable::explainOthers(RequestFingerprint Held,
+                                       const Suspect &By) {
   for (auto &[Request, Other] : this->Suspects) {
     if (Request == Held || Other.HeldSince)
       continue;
@@ -163,7 +166,8 @@
   }
 }
 
-void SuspectTable::updateHold(RequestDigest Request, Suspect &Entry) {
+void PoisonRequestTable::updateHold(RequestFingerprint Request,
+                                    Suspect &Entry) {
   if (countSeparate(Entry.Ends) < EndsToHold)
     return;
   // Also for one that is held: an earlier end may have come late, and tries are
@@ -174,7 +178,7 @@
 
 /// Leaves out a request with the fewest ends, and of these the oldest, if there
 /// are too many.
-void SuspectTable::makeRoom() {
+void PoisonRequestTable::makeRoom() {
   if (this->Suspects.size() < MaxSuspects)
     return;
   const auto Least = std::min_element(
@@ -189,7 +193,8 @@
   this->Suspects.erase(Least);
 }
 
-bool SuspectTable::noteEnd(const RequestEnd &End, bool IsOwn, TimePoint Now) {
+bool PoisonRequestTable::recordEnd(const RequestEnd &End, bool IsOwn,
+                                   TimePoint Now) {
   if (Now - End.Ended >= EndMemory || this->isExplained(End))
     return false;
   Suspect *Entry = this->find(End.Request);
@@ -205,16 +210,16 @@
 }
 
 /// Clears a request of the ends up to an instant.
-void SuspectTable::clear(Suspect &Entry, TimePoint At) {
+void PoisonRequestTable::clear(Suspect &Entry, TimePoint At) {
   Entry.AnsweredAt = std::max(Entry.AnsweredAt.value_or(At), At);
   std::erase_if(Entry.Ends,
                 [At](const RequestEnd &End) { return End.Ended <= At; });
   Entry.HeldSince.reset();
   Entry.HasReturnedTry = false;
-  Entry.Tries = 0;
+  Entry.Probes = 0;
 }
 
-bool SuspectTable::noteOwnAnswer(const RequestAnswer &Answer) {
+bool PoisonRequestTable::recordLocalAnswer(const RequestAnswer &Answer) {
   Suspect *Entry = this->find(Answer.Request);
   if (!Entry || Entry->Ends.empty() || Entry->Ends.front().Ended > Answer.At)
     return false;
@@ -224,7 +229,7 @@
   return true;
 }
 
-bool SuspectTable::notePeerAnswer(const RequestAnswer &Answer) {
+bool PoisonRequestTable::applyPeerAnswer(const RequestAnswer &Answer) {
   Suspect *Entry = this->find(Answer.Request);
   if (Entry && Entry->AnsweredAt && *Entry->AnsweredAt >= Answer.At)
     return false;
@@ -238,24 +243,27 @@
   return true;
 }
 
-SuspectVerdict SuspectTable::judge(RequestDigest Request, TimePoint Now) const {
+QuarantineVerdict PoisonRequestTable::classify(RequestFingerprint Request,
+                                               TimePoint Now) const {
   const Suspect *Entry = this->find(Request);
   if (!Entry || !Entry->HeldSince)
-    return SuspectVerdict::Free;
+    return QuarantineVerdict::Allowed;
   return this->getWait(Request, Now) > Duration::zero()
-             ? SuspectVerdict::HeldBack
-             : SuspectVerdict::TryDue;
+             ? QuarantineVerdict::Quarantined
+             : QuarantineVerdict::ProbeDue;
 }
 
-Duration SuspectTable::getWait(RequestDigest Request, TimePoint Now) const {
+Duration PoisonRequestTable::getWait(RequestFingerprint Request,
+                                     TimePoint Now) const {
   const Suspect *Entry = this->find(Request);
   if (!Entry || !Entry->HeldSince)
     return Duration::zero();
   const TimePoint Since = std::max(*Entry->HeldSince, Entry->TriedAt);
-  return std::max(Duration::zero(), Since + getTryWait(Entry->Tries) - Now);
+  return std::max(Duration::zero(), Since + getTryWait(Entry->Probes) - Now);
 }
 
-bool SuspectTable::isSuspect(RequestDigest Request, EndedServer Server) const {
+bool PoisonRequestTable::isSuspect(RequestFingerprint Request,
+                                   EndedServerId Server) const {
   const Suspect *Entry = this->find(Request);
   return Entry && std::any_of(Entry->Ends.begin(), Entry->Ends.end(),
                               [Server](const RequestEnd &Each) {
@@ -263,34 +271,37 @@
                               });
 }
 
-void SuspectTable::grantTry(RequestDigest Request, TimePoint Now) {
+void PoisonRequestTable::recordProbe(RequestFingerprint Request,
+                                     TimePoint Now) {
   Suspect *Entry = this->find(Request);
   if (!Entry)
     return;
   Entry->TriedAt = Now;
-  ++Entry->Tries;
+  ++Entry->Probes;
 }
 
-void SuspectTable::returnTry(RequestDigest Request) {
+void PoisonRequestTable::returnProbe(RequestFingerprint Request) {
   Suspect *Entry = this->find(Request);
   if (Entry && Entry->HeldSince)
     Entry->HasReturnedTry = true;
 }
 
-bool SuspectTable::takeReturnedTry(RequestDigest Request) {
+bool PoisonRequestTable::takeReturnedProbe(RequestFingerprint Request) {
   Suspect *Entry = this->find(Request);
   return Entry && std::exchange(Entry->HasReturnedTry, false);
 }
 
-void SuspectTable::missTry(RequestDigest Request, TimePoint Now) {
+void PoisonRequestTable::postponeProbe(RequestFingerprint Request,
+                                       TimePoint Now) {
   if (Suspect *Entry = this->find(Request))
     Entry->TriedAt = std::max(Entry->TriedAt,
-                              Now + MissedTryWait - getTryWait(Entry->Tries));
+                              Now + MissedTryWait - getTryWait(Entry->Probes));
 }
 
 /// Takes one record, if it has changed: what it has more than is known here
 /// counts.
-void SuspectTable::takeRecord(const SuspectRecord &Record, TimePoint Now) {
+void PoisonRequestTable::takeRecord(const PoisonRequestRecord &Record,
+                                    TimePoint Now) {
   Suspect *Entry = this->find(Record.Request);
   if (!Entry) {
     this->makeRoom();
@@ -302,23 +313,24 @@
     this->addEnd(*Entry, End);
   Entry->RecordedEnds = Record.Ends.size();
   Entry->RecordedMillis = Record.ChangedMillis;
-  if (Record.Tries > Entry->Tries) {
-    Entry->Tries = Record.Tries;
+  if (Record.Probes > Entry->Probes) {
+    Entry->Probes = Record.Probes;
     Entry->TriedAt = Now;
   }
   this->updateHold(Record.Request, *Entry);
 }
 
-void SuspectTable::takeRecords(const std::vector<SuspectRecord> &Records,
-                               TimePoint Now) {
-  for (const SuspectRecord &Record : Records)
+void PoisonRequestTable::applyRecords(
+    const std::vector<PoisonRequestRecord> &Records, TimePoint Now) {
+  for (const PoisonRequestRecord &Record : Records)
     this->takeRecord(Record, Now);
   for (auto &[Request, Entry] : this->Suspects) {
-    const RequestDigest Wanted = Request;
-    const bool IsThere = std::any_of(Records.begin(), Records.end(),
-                                     [Wanted](const SuspectRecord &Record) {
-                                       return Record.Request == Wanted;
-                                     });
+    const RequestFingerprint Wanted = Request;
+    const bool IsThere =
+        std::any_of(Records.begin(), Records.end(),
+                    [Wanted](const PoisonRequestRecord &Record) {
+                      return Record.Request == Wanted;
+                    });
     if (IsThere || Entry.RecordedEnds == 0)
       continue;
     Entry.RecordedEnds = 0;
@@ -326,23 +338,24 @@
   }
 }
 
-void SuspectTable::loseRecords() {
+void PoisonRequestTable::invalidateRecords() {
   for (auto &[Request, Entry] : this->Suspects)
     Entry.RecordedEnds = 0;
 }
 
-SuspectRecord SuspectTable::getRecord(RequestDigest Request) const {
-  SuspectRecord Record;
+PoisonRequestRecord
+PoisonRequestTable::getRecord(RequestFingerprint Request) const {
+  PoisonRequestRecord Record;
   Record.Request = Request;
   if (const Suspect *Entry = this->find(Request)) {
     Record.Ends = Entry->Ends;
-    Record.Tries = Entry->Tries;
+    Record.Probes = Entry->Probes;
   }
   return Record;
 }
 
-std::vector<SuspectRecord> SuspectTable::listUnrecorded() const {
-  std::vector<SuspectRecord> Missing;
+std::vector<PoisonRequestRecord> PoisonRequestTable::listUnrecorded() const {
+  std::vector<PoisonRequestRecord> Missing;
   for (const auto &[Request, Entry] : this->Suspects) {
     const size_t Ends = Entry.Ends.size();
     // What is held back already gains nothing by more ends.
@@ -353,17 +366,18 @@
   return Missing;
 }
 
-std::vector<RequestDigest> SuspectTable::listCleared() const {
-  std::vector<RequestDigest> Cleared;
+std::vector<RequestFingerprint> PoisonRequestTable::listCleared() const {
+  std::vector<RequestFingerprint> Cleared;
   for (const auto &[Request, Entry] : this->Suspects)
     if (Entry.RecordedEnds > 0 && Entry.Ends.empty() && Entry.IsClearedHere)
       Cleared.push_back(Request);
   return Cleared;
 }
 
-SuspectNews SuspectTable::makeNews(size_t MaxRows, TimePoint Now) const {
+PoisonRequestUpdate PoisonRequestTable::buildUpdate(size_t MaxRows,
+                                                    TimePoint Now) const {
   std::vector<const Suspect *> Order;
-  SuspectNews News;
+  PoisonRequestUpdate News;
   for (const auto &[Request, Entry] : this->Suspects) {
     Order.push_back(&Entry);
     if (Entry.AnsweredAt && Now - *Entry.AnsweredAt < AnswerRetold &&
@@ -381,23 +395,23 @@
   return News;
 }
 
-std::vector<SuspectStatus> SuspectTable::describe() const {
-  std::vector<SuspectStatus> All;
+std::vector<PoisonRequestStatus> PoisonRequestTable::describe() const {
+  std::vector<PoisonRequestStatus> All;
   for (const auto &[Request, Entry] : this->Suspects) {
     if (Entry.Ends.empty())
       continue;
-    SuspectStatus Status;
+    PoisonRequestStatus Status;
     Status.Record = this->getRecord(Request);
-    Status.IsHeld = Entry.HeldSince.has_value();
-    if (Status.IsHeld)
-      Status.NextTry =
-          std::max(*Entry.HeldSince, Entry.TriedAt) + getTryWait(Entry.Tries);
+    Status.IsQuarantined = Entry.HeldSince.has_value();
+    if (Status.IsQuarantined)
+      Status.NextProbe =
+          std::max(*Entry.HeldSince, Entry.TriedAt) + getTryWait(Entry.Probes);
     All.push_back(std::move(Status));
   }
   return All;
 }
 
-void SuspectTable::forgetOld(TimePoint Now) {
+void PoisonRequestTable::forgetOld(TimePoint Now) {
   for (auto &[Request, Entry] : this->Suspects)
     if (!Entry.HeldSince)
       std::erase_if(Entry.Ends, [Now](const RequestEnd &End) {
@@ -415,7 +429,7 @@
   });
 }
 
-size_t SuspectTable::countHeld() const {
+size_t PoisonRequestTable::countQuarantined() const {
   return static_cast<size_t>(std::count_if(
       this->Suspects.begin(), this->Suspects.end(),
       [](const auto &Each) { return Each.second.HeldSince.has_value(); }));
--- a/lib/Admission/AllowanceNews.cpp
+++ b/lib/Admission/QuotaReports.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceNews.cpp - What daemons tell of allowances ----------------===//
+//===- QuotaReports.cpp - What daemons tell of allowances -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,13 +7,13 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of FleetAllowance that says what this daemon and its hall tell
+/// The part of FleetQuota that says what this daemon and its hall tell
 /// others of organisations, and charges what others tell.
 ///
 //===----------------------------------------------------------------------===//
 
-#include "AllowanceTimes.h"
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "QuotaTimes.h"
+#include "canvaswick/Admission/FleetQuota.h"
 
 #include <algorithm>
 #include <cmath>
@@ -48,7 +48,7 @@
 /// rate, by this factor.
 static constexpr double UrgentPart = 1;
 
-void FleetAllowance::noteChange(Account &Of, OrganisationId Id) {
+void FleetQuota::noteChange(Account &Of, OrganisationId Id) {
   if (std::exchange(Of.HasNews, true))
     return;
   this->Changed.push_back(Id);
@@ -56,9 +56,9 @@
 
 /// Tells of an organisation until its rate has faded: who was told of it would
 /// count on it.
-std::vector<AllowanceLevel> FleetAllowance::takeNews(size_t Most,
-                                                     TimePoint Now) {
-  std::vector<AllowanceLevel> News;
+std::vector<QuotaUsage> FleetQuota::drainUsageChanges(size_t Most,
+                                                      TimePoint Now) {
+  std::vector<QuotaUsage> News;
   // Those that had to wait come first the next time.
   std::vector<OrganisationId> Waiting;
   std::vector<OrganisationId> Told;
@@ -71,8 +71,8 @@
       continue;
     }
     Account &Of = Found->second;
-    Of.HasNews = Of.Asked.get(Now) >= LeastTold;
-    News.push_back({Id, Of.HasNews ? Of.Asked.getRate(Now) : 0, Of.Admitted});
+    Of.HasNews = Of.Demand.get(Now) >= LeastTold;
+    News.push_back({Id, Of.HasNews ? Of.Demand.getRate(Now) : 0, Of.Admitted});
     if (Of.HasNews)
       Told.push_back(Id);
   }
@@ -81,11 +81,11 @@
   return News;
 }
 
-bool FleetAllowance::isUrgent(TimePoint Now) const {
+bool FleetQuota::isUrgent(TimePoint Now) const {
   if (this->Heard.getAll().empty())
     return false;
-  const double Part = static_cast<double>(this->Heard.countNear() + 1) /
-                      static_cast<double>(this->Heard.countAll());
+  const double Part = static_cast<double>(this->Heard.countHallPeers() + 1) /
+                      static_cast<double>(this->Heard.countDaemons());
   return std::any_of(
       this->Accounts.begin(), this->Accounts.end(), [&](const auto &Entry) {
         const Account &Of = Entry.second;
@@ -93,26 +93,26 @@
       });
 }
 
-std::vector<AllowanceLevel> FleetAllowance::getHallLevels(bool WantsAll,
-                                                          TimePoint Now) const {
-  std::vector<AllowanceLevel> Levels;
+std::vector<QuotaUsage> FleetQuota::getHallUsage(bool WantsAll,
+                                                 TimePoint Now) const {
+  std::vector<QuotaUsage> Levels;
   const auto Halls = static_cast<double>(
       1 + std::count_if(this->Heard.getAll().begin(),
                         this->Heard.getAll().end(),
-                        [](const HeardFleet::Source &Each) {
+                        [](const FleetLiveness::Source &Each) {
                           return Each.IsHall && Each.IsListed;
                         }));
   for (const auto &[Id, Of] : this->Accounts) {
-    const double Asked = this->getHallAsked(Of, Now);
-    if (WantsAll || Asked > ToldPart * Of.Rate / Halls)
+    const double Demand = this->getHallAsked(Of, Now);
+    if (WantsAll || Demand > ToldPart * Of.Rate / Halls)
       Levels.push_back(
-          {Id, Asked, Of.HallAdmitted + static_cast<int64_t>(Of.HallReserved)});
+          {Id, Demand,
+           Of.HallAdmitted + static_cast<int64_t>(Of.HallReserved)});
   }
   return Levels;
 }
 
-FleetAllowance::Part &FleetAllowance::findPart(Account &Of,
-                                               size_t Source) const {
+FleetQuota::Part &FleetQuota::findPart(Account &Of, size_t Source) const {
   for (Part &Each : Of.Parts)
     if (Each.Source == Source)
       return Each;
@@ -129,11 +129,10 @@
 /// that: then the first word charges what its teller was asked of late, as a
 /// whole fleet may have started anew while an organisation sends far more than
 /// usual. Later it would charge a daemon that was only idle for some seconds.
-void FleetAllowance::takeLevel(Account &Of, size_t Source,
-                               const std::string &Teller,
-                               const AllowanceLevel &Given, bool WasSilent,
-                               TimePoint Now) {
-  this->updateReach(Of, ReachLife, Now);
+void FleetQuota::takeLevel(Account &Of, size_t Source,
+                           const std::string &Teller, const QuotaUsage &Given,
+                           bool WasSilent, TimePoint Now) {
+  this->updateUsable(Of, ReachLife, Now);
   this->refill(Of, Now);
   Part &Told = this->findPart(Of, Source);
   const bool IsHall = this->Heard.get(Source).IsHall;
@@ -144,47 +143,48 @@
     Admitted = static_cast<double>(Given.Admitted - Told.Admitted);
   else if (Told.Teller.empty() && Now - this->Started < this->Bounds.Window)
     Admitted = std::min(static_cast<double>(Given.Admitted),
-                        std::round(Given.Asked * toSeconds(AskedFade)));
+                        std::round(Given.Demand * toSeconds(AskedFade)));
   else if (!Told.Teller.empty() && !WasSilent)
-    Admitted = std::min(Given.Asked, Of.Rate) * toSeconds(Now - Told.ToldAt);
+    Admitted = std::min(Given.Demand, Of.Rate) * toSeconds(Now - Told.ToldAt);
   const bool WasTold =
       !IsHall || !IsSameCount || Now - Told.ToldAt <= MostUntold;
-  charge(Of, WasTold ? Admitted
-                     : std::min(Admitted, Given.Asked * toSeconds(MostUntold)));
+  charge(Of, WasTold
+                 ? Admitted
+                 : std::min(Admitted, Given.Demand * toSeconds(MostUntold)));
   if (!IsHall)
     Of.HallAdmitted += static_cast<int64_t>(Admitted);
   this->addUsual(Told.Usual, Admitted, Now);
   Told.Teller = Teller;
   Told.Admitted = Given.Admitted;
-  Told.Asked = Given.Asked;
+  Told.Demand = Given.Demand;
   Told.ToldAt = Now;
 }
 
-void FleetAllowance::takeLevels(size_t Source, const std::string &Teller,
-                                const std::vector<AllowanceLevel> &Levels,
-                                TimePoint Now) {
+void FleetQuota::takeLevels(size_t Source, const std::string &Teller,
+                            const std::vector<QuotaUsage> &Levels,
+                            TimePoint Now) {
   this->updateFreeze(Now);
   const bool WasSilent = this->Heard.isSilent(this->Heard.get(Source), Now);
-  for (const AllowanceLevel &Each : Levels)
+  for (const QuotaUsage &Each : Levels)
     if (Account *Of = this->findAccount(Each.Organisation, Now))
       this->takeLevel(*Of, Source, Teller, Each, WasSilent, Now);
 }
 
-void FleetAllowance::takePeerLevels(const std::string &Daemon,
-                                    const std::vector<AllowanceLevel> &Levels,
-                                    TimePoint Now) {
-  this->takeLevels(this->Heard.findSource(Daemon, false, Now), Daemon, Levels,
-                   Now);
-  this->Heard.hearPeer(Daemon, Now);
+void FleetQuota::applyPeerUsage(const std::string &Daemon,
+                                const std::vector<QuotaUsage> &Levels,
+                                TimePoint Now) {
+  this->takeLevels(this->Heard.findOrAddSource(Daemon, false, Now), Daemon,
+                   Levels, Now);
+  this->Heard.recordPeerMessage(Daemon, Now);
 }
 
-void FleetAllowance::takeHallLevels(const std::string &Hall,
-                                    const std::string &Teller,
-                                    const std::vector<AllowanceLevel> &Levels,
-                                    TimePoint Now) {
-  this->takeLevels(this->Heard.findSource(Hall, true, Now), Teller, Levels,
+void FleetQuota::applyHallUsage(const std::string &Hall,
+                                const std::string &Teller,
+                                const std::vector<QuotaUsage> &Levels,
+                                TimePoint Now) {
+  this->takeLevels(this->Heard.findOrAddSource(Hall, true, Now), Teller, Levels,
                    Now);
-  this->Heard.hearHall(Hall, Now);
+  this->Heard.recordHallMessage(Hall, Now);
 }
 
 } // namespace canvaswick
--- a/lib/Admission/AllowanceTimes.h
+++ b/lib/Admission/QuotaTimes.h
@@ -1,4 +1,4 @@
-//===- AllowanceTimes.h - Means over which allowances look ------*- C++ -*-===//
+//===- QuotaTimes.h - Means over which allowances look ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_LIB_ADMISSION_ALLOWANCETIMES_H
-#define CANVASWICK_LIB_ADMISSION_ALLOWANCETIMES_H
+#ifndef CANVASWICK_LIB_ADMISSION_QUOTATIMES_H
+#define CANVASWICK_LIB_ADMISSION_QUOTATIMES_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -33,4 +33,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_LIB_ADMISSION_ALLOWANCETIMES_H
+#endif // CANVASWICK_LIB_ADMISSION_QUOTATIMES_H
--- a/lib/Admission/RequestDigest.cpp
+++ b/lib/Admission/RequestFingerprint.cpp
@@ -1,4 +1,4 @@
-//===- RequestDigest.cpp - What two equal requests have in common ---------===//
+//===- RequestFingerprint.cpp - What two equal requests have in common ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,13 +12,13 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/RequestDigest.h"
+#include "canvaswick/Admission/RequestFingerprint.h"
 #include "canvaswick/Support/Hash.h"
 
 namespace canvaswick {
 
-RequestDigest digestRequest(const RequestParts &Parts) {
-  RequestDigest Digest = 0;
+RequestFingerprint computeRequestFingerprint(const RequestParts &Parts) {
+  RequestFingerprint Digest = 0;
   for (const std::string_view Part :
        {Parts.Organisation, Parts.Method, Parts.Host, Parts.Target, Parts.Body})
     Digest = hashText(Part, Digest);
--- a/lib/Admission/AllowanceReach.cpp
+++ b/lib/Admission/UsableQuota.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceReach.cpp - What a daemon may use of a bucket -------------===//
+//===- UsableQuota.cpp - What a daemon may use of a bucket ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,14 +7,14 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of FleetAllowance that works out, from who is heard and what is
+/// The part of FleetQuota that works out, from who is heard and what is
 /// usual, what this daemon and those that it hears may use of an organisation's
 /// bucket, and fills it by that.
 ///
 //===----------------------------------------------------------------------===//
 
-#include "AllowanceTimes.h"
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "QuotaTimes.h"
+#include "canvaswick/Admission/FleetQuota.h"
 
 #include <algorithm>
 
@@ -43,39 +43,39 @@
 
 /// Returns the requests a second that are usual of who was last heard at an
 /// instant. What it did before it fell silent stays usual.
-double FleetAllowance::getUsualRate(const Account &Of, const SettledRate &Usual,
-                                    TimePoint HeardAt, TimePoint Now) const {
-  const TimePoint Known = std::min(Now, HeardAt + SpeakInterval);
+double FleetQuota::getUsualRate(const Account &Of, const SmoothedRate &Usual,
+                                TimePoint HeardAt, TimePoint Now) const {
+  const TimePoint Known = std::min(Now, HeardAt + QuotaReportInterval);
   return Usual.get(this->FrozenAt ? std::min(Known, *this->FrozenAt) : Known,
                    Of.Since);
 }
 
-double FleetAllowance::getUsualRate(const Account &Of, const Part &Each,
-                                    TimePoint Now) const {
+double FleetQuota::getUsualRate(const Account &Of, const Part &Each,
+                                TimePoint Now) const {
   return this->getUsualRate(Of, Each.Usual,
                             this->Heard.get(Each.Source).HeardAt, Now);
 }
 
-double FleetAllowance::getOwnUsualRate(const Account &Of, TimePoint Now) const {
+double FleetQuota::getOwnUsualRate(const Account &Of, TimePoint Now) const {
   return this->getUsualRate(Of, Of.Usual, Now, Now);
 }
 
 /// Returns whether who told a part has left the fleet. What it asked last is
 /// asked of others now, or of nobody.
-bool FleetAllowance::isGone(const Part &Each, TimePoint Now) const {
-  return this->Heard.isGone(this->Heard.get(Each.Source), Now);
+bool FleetQuota::hasLeft(const Part &Each, TimePoint Now) const {
+  return this->Heard.hasLeft(this->Heard.get(Each.Source), Now);
 }
 
-void FleetAllowance::addUsual(SettledRate &Usual, double Amount,
-                              TimePoint Now) const {
+void FleetQuota::addUsual(SmoothedRate &Usual, double Amount,
+                          TimePoint Now) const {
   if (!this->FrozenAt)
     Usual.add(Amount, Now);
 }
 
-void FleetAllowance::updateFreeze(TimePoint Now) {
+void FleetQuota::updateFreeze(TimePoint Now) {
   const bool IsFrozen =
       static_cast<double>(this->Heard.countSilent(Now)) >
-      FreezePart * static_cast<double>(this->Heard.countAll());
+      FreezePart * static_cast<double>(this->Heard.countDaemons());
   if (!IsFrozen)
     this->FrozenAt.reset();
   else if (!this->FrozenAt)
@@ -83,56 +83,56 @@
 }
 
 /// Returns the requests a second that are asked of this hall.
-double FleetAllowance::getHallAsked(const Account &Of, TimePoint Now) const {
-  double Asked = Of.Asked.getRate(Now);
+double FleetQuota::getHallAsked(const Account &Of, TimePoint Now) const {
+  double Demand = Of.Demand.getRate(Now);
   for (const Part &Each : Of.Parts)
     if (!this->Heard.get(Each.Source).IsHall &&
-        !this->Heard.isQuiet(this->Heard.get(Each.Source), Now))
-      Asked += Each.Asked;
-  return Asked;
+        !this->Heard.hasTimedOut(this->Heard.get(Each.Source), Now))
+      Demand += Each.Demand;
+  return Demand;
 }
 
 /// Returns how many times as much as usual is asked of this hall, 1 at least:
 /// likely of others too, though they have not told so yet.
-double FleetAllowance::getSurge(const Account &Of, TimePoint Now) const {
+double FleetQuota::getSurge(const Account &Of, TimePoint Now) const {
   double Usual = this->getOwnUsualRate(Of, Now);
   for (const Part &Each : Of.Parts)
-    if (!this->Heard.get(Each.Source).IsHall && !this->isGone(Each, Now))
+    if (!this->Heard.get(Each.Source).IsHall && !this->hasLeft(Each, Now))
       Usual += this->getUsualRate(Of, Each, Now);
   const double Seconds = toSeconds(AskedFade);
-  const double Asked = this->getHallAsked(Of, Now) * Seconds;
+  const double Demand = this->getHallAsked(Of, Now) * Seconds;
   return std::max(1.0,
-                  (Asked + ImaginedAsked) / (Usual * Seconds + ImaginedAsked));
+                  (Demand + ImaginedAsked) / (Usual * Seconds + ImaginedAsked));
 }
 
 /// Adds what may be asked of halls that have not spoken since this daemon
 /// started: as much for each daemon as of this hall.
-void FleetAllowance::addUntold(const Account &Of, Reach &Within,
-                               TimePoint Now) const {
+void FleetQuota::addUntold(const Account &Of, UsableQuota &Within,
+                           TimePoint Now) const {
   const double OfEach = this->getHallAsked(Of, Now) /
-                        static_cast<double>(this->Heard.countNear() + 1);
-  for (const HeardFleet::Source &Each : this->Heard.getAll()) {
-    if (!Each.IsHall || !Each.IsListed || Each.HasSpoken)
+                        static_cast<double>(this->Heard.countHallPeers() + 1);
+  for (const FleetLiveness::Source &Each : this->Heard.getAll()) {
+    if (!Each.IsHall || !Each.IsListed || Each.HasReported)
       continue;
-    const double Asked = OfEach * static_cast<double>(Each.Daemons);
-    Within.Asked += Asked;
+    const double Demand = OfEach * static_cast<double>(Each.Daemons);
+    Within.Demand += Demand;
     Within.Unheard +=
-        Asked * toSeconds(std::min(Now - Each.HeardAt, MostUnheard));
+        Demand * toSeconds(std::min(Now - Each.HeardAt, MostUnheard));
   }
 }
 
-FleetAllowance::Reach FleetAllowance::computeReach(const Account &Of,
-                                                   TimePoint Now) const {
-  Reach Within;
-  Within.Asked = Of.Asked.getRate(Now);
+FleetQuota::UsableQuota FleetQuota::computeUsable(const Account &Of,
+                                                  TimePoint Now) const {
+  UsableQuota Within;
+  Within.Demand = Of.Demand.getRate(Now);
   const double Surge = this->getSurge(Of, Now);
   double Usual = this->getOwnUsualRate(Of, Now);
   double SilentUsual = 0;
   double NearUsual = 0;
   this->addUntold(Of, Within, Now);
   for (const Part &Each : Of.Parts) {
-    const HeardFleet::Source &Told = this->Heard.get(Each.Source);
-    if (this->isGone(Each, Now))
+    const FleetLiveness::Source &Told = this->Heard.get(Each.Source);
+    if (this->hasLeft(Each, Now))
       continue;
     const double Rate = this->getUsualRate(Of, Each, Now);
     Usual += Rate;
@@ -143,22 +143,22 @@
     }
     const Duration Age = Now - Each.ToldAt;
     const bool MayHaveRisen = Told.IsHall && Age > FreshFor;
-    const double Asked =
-        MayHaveRisen ? std::max(Each.Asked, Rate * Surge) : Each.Asked;
-    Within.Asked += Asked;
+    const double Demand =
+        MayHaveRisen ? std::max(Each.Demand, Rate * Surge) : Each.Demand;
+    Within.Demand += Demand;
     Within.Unheard +=
-        Asked * toSeconds(std::min(Now - Told.HeardAt, MostUnheard));
+        Demand * toSeconds(std::min(Now - Told.HeardAt, MostUnheard));
   }
   size_t NearSilent = 0;
-  for (const HeardFleet::Source &Each : this->Heard.getAll()) {
+  for (const FleetLiveness::Source &Each : this->Heard.getAll()) {
     if (!this->Heard.isSilent(Each, Now))
       continue;
     Within.Silent += Each.Daemons;
     NearSilent += Each.IsHall ? 0 : 1;
   }
   const double Scale = Usual > Of.Rate ? Of.Rate / Usual : 1;
-  const double SpareOfEach =
-      (Of.Rate - Usual * Scale) / static_cast<double>(this->Heard.countAll());
+  const double SpareOfEach = (Of.Rate - Usual * Scale) /
+                             static_cast<double>(this->Heard.countDaemons());
   const double Left =
       SilentUsual * Scale + SpareOfEach * static_cast<double>(Within.Silent);
   Within.NearReserved =
@@ -172,11 +172,10 @@
 
 /// Computes anew what may be used if what is known of that is older than
 /// MostAge.
-const FleetAllowance::Reach &FleetAllowance::updateReach(Account &Of,
-                                                         Duration MostAge,
-                                                         TimePoint Now) const {
+const FleetQuota::UsableQuota &
+FleetQuota::updateUsable(Account &Of, Duration MostAge, TimePoint Now) const {
   if (Now - Of.WithinAt >= MostAge) {
-    Of.Within = this->computeReach(Of, Now);
+    Of.Within = this->computeUsable(Of, Now);
     Of.WithinAt = Now;
   }
   return Of.Within;
@@ -185,8 +184,8 @@
 /// Fills the bucket by what those that are heard may use. While others are not,
 /// a second one of their size holds beside it: who is cut off for a moment by
 /// mistake has lost nothing when that is over.
-void FleetAllowance::refill(Account &Of, TimePoint Now) const {
-  const Reach &Within = Of.Within;
+void FleetQuota::refill(Account &Of, TimePoint Now) const {
+  const UsableQuota &Within = Of.Within;
   const double Seconds = std::max(0.0, toSeconds(Now - Of.At));
   const double Size = this->getSize(Of);
   const double Brought = Within.Rate * Seconds;
@@ -200,15 +199,15 @@
   else
     // What was admitted before the silence showed is charged already.
     Of.TokensWithin = Within.Size * std::clamp(Of.Tokens / Size, 0.0, 1.0) -
-                      Of.Asked.get(Now);
+                      Of.Demand.get(Now);
 }
 
 /// Returns the tokens that may be used.
-double FleetAllowance::getTokens(const Account &Of) {
+double FleetQuota::getTokens(const Account &Of) {
   return std::min(Of.Tokens, Of.TokensWithin.value_or(Of.Tokens));
 }
 
-void FleetAllowance::charge(Account &Of, double Requests) {
+void FleetQuota::charge(Account &Of, double Requests) {
   Of.Tokens -= Requests;
   if (Of.TokensWithin)
     *Of.TokensWithin -= Requests;
--- a/lib/Bench/AllowanceWays.h
+++ b/lib/Bench/AllowanceWays.h
@@ -16,7 +16,7 @@
 #ifndef CANVASWICK_LIB_BENCH_ALLOWANCEWAYS_H
 #define CANVASWICK_LIB_BENCH_ALLOWANCEWAYS_H
 
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "canvaswick/Admission/FleetQuota.h"
 #include "canvaswick/Admission/Limits.h"
 #include "canvaswick/Bench/AllowanceModel.h"
 
@@ -169,7 +169,7 @@
   uint64_t Messages = 0;
 };
 
-/// FleetAllowance at every daemon, and what they tell each other.
+/// FleetQuota at every daemon, and what they tell each other.
 class ToldCountsWay {
 public:
   ToldCountsWay(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now,
@@ -198,7 +198,7 @@
         continue;
       if (Uniform(this->Random) < static_cast<double>(StepMs) / PeerIntervalMs)
         this->tellHall(Fleet, I, Now);
-      if (this->Daemons[I]->getHeard().isFirst(nameDaemon(I), Now) &&
+      if (this->Daemons[I]->getLiveness().isHallReporter(nameDaemon(I), Now) &&
           Now - this->ToldAt[I] >= fromMillis(this->Daemons[I]->isUrgent(Now)
                                                   ? UrgentIntervalMs
                                                   : HallIntervalMs))
@@ -219,7 +219,7 @@
     std::string From;
     /// Whose hall From is, or empty.
     std::string Hall;
-    std::vector<AllowanceLevel> Levels;
+    std::vector<QuotaUsage> Levels;
   };
 
   static std::string nameDaemon(size_t Daemon) {
@@ -231,10 +231,10 @@
         {{ModelOrganisation, Fleet.Rate, Fleet.Burst, {}, {}}}, true);
   }
 
-  std::unique_ptr<FleetAllowance> make(const ModelFleet &Fleet, size_t Daemon,
-                                       TimePoint Now) {
+  std::unique_ptr<FleetQuota> make(const ModelFleet &Fleet, size_t Daemon,
+                                   TimePoint Now) {
     std::uniform_real_distribution<double> Uniform;
-    auto Made = std::make_unique<FleetAllowance>(
+    auto Made = std::make_unique<FleetQuota>(
         getModelBounds(), Fleet.StartedAt[Daemon], Uniform(this->Random));
     std::vector<std::string> Near;
     std::map<std::string, size_t> Far;
@@ -243,13 +243,13 @@
         ++Far[fmt::format("h{}", Fleet.getHall(I))];
       else if (I != Daemon)
         Near.push_back(nameDaemon(I));
-    Made->getHeard().setFleet(Near, Far, Now);
+    Made->getLiveness().setFleet(Near, Far, Now);
     Made->configure(makeDirectory(Fleet), Now);
     return Made;
   }
 
   void send(const ModelFleet &Fleet, size_t From, size_t To, bool IsHall,
-            std::vector<AllowanceLevel> Levels, TimePoint Now, int Hops) {
+            std::vector<QuotaUsage> Levels, TimePoint Now, int Hops) {
     std::uniform_real_distribution<double> Uniform;
     ++this->Messages;
     if (!Fleet.reaches(From, To) || Uniform(this->Random) < this->LostPart)
@@ -263,8 +263,8 @@
   }
 
   void tellHall(const ModelFleet &Fleet, size_t From, TimePoint Now) {
-    const std::vector<AllowanceLevel> News =
-        this->Daemons[From]->takeNews(8, Now);
+    const std::vector<QuotaUsage> News =
+        this->Daemons[From]->drainUsageChanges(8, Now);
     for (size_t To = 0; To < Fleet.count(); ++To)
       if (To != From && Fleet.getHall(To) == Fleet.getHall(From))
         this->send(Fleet, From, To, false, News, Now, 1);
@@ -277,8 +277,8 @@
         Now - this->AllToldAt[From] >= fromMillis(AllIntervalMs);
     if (WantsAll)
       this->AllToldAt[From] = Now;
-    const std::vector<AllowanceLevel> Levels =
-        this->Daemons[From]->getHallLevels(WantsAll, Now);
+    const std::vector<QuotaUsage> Levels =
+        this->Daemons[From]->getHallUsage(WantsAll, Now);
     std::uniform_real_distribution<double> Uniform;
     for (int Hall = 0; Hall < Fleet.Halls; ++Hall) {
       if (Hall == Fleet.getHall(From))
@@ -299,17 +299,17 @@
       if (Each.At > Now)
         return false;
       if (!Each.Hall.empty())
-        this->Daemons[Each.To]->takeHallLevels(Each.Hall, Each.From,
+        this->Daemons[Each.To]->applyHallUsage(Each.Hall, Each.From,
                                                Each.Levels, Now);
       else
-        this->Daemons[Each.To]->takePeerLevels(Each.From, Each.Levels, Now);
+        this->Daemons[Each.To]->applyPeerUsage(Each.From, Each.Levels, Now);
       return true;
     });
   }
 
   std::mt19937_64 Random;
   const double LostPart;
-  std::vector<std::unique_ptr<FleetAllowance>> Daemons;
+  std::vector<std::unique_ptr<FleetQuota>> Daemons;
   std::vector<TimePoint> ToldAt;
   std::vector<TimePoint> AllToldAt;
   std::vector<Message> Out;
--- a/lib/Bench/BenchRun.cpp
+++ b/lib/Bench/BenchRun.cpp
@@ -102,7 +102,7 @@
   Request->Began = this->Now;
   Request->Deadline = this->Now + this->Under.Deadline;
   ++this->Result.Requests;
-  this->Daemons[Request->Daemon].Retries.noteRequest(this->Now);
+  this->Daemons[Request->Daemon].Retries.recordRequest(this->Now);
   this->tryRequest(std::move(Request));
 }
 
--- a/lib/Daemon/AllowanceAgent.cpp
+++ b/lib/Daemon/AllowanceAgent.cpp
@@ -19,7 +19,7 @@
 namespace canvaswick {
 
 /// A call that takes longer says nothing that the next one does not say better.
-static constexpr Duration TellTimeout = 2 * SpeakInterval;
+static constexpr Duration TellTimeout = 2 * QuotaReportInterval;
 
 /// Threads for calls, and calls that wait for one: those of a round in the
 /// largest hall that CAPACITY.md has.
@@ -117,8 +117,8 @@
       ++FarCounts[Member->Hall];
     }
   }
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.getHeard().setFleet(NearNames, FarCounts, Now);
+  this->Organisations.with([&](FleetQuota &All) {
+    All.getLiveness().setFleet(NearNames, FarCounts, Now);
   });
 }
 
@@ -127,8 +127,9 @@
   Message.Source = this->Context.Config.Name;
   Message.Hall = this->Context.Config.Hall;
   Message.Sequence = ++this->Sequence;
-  Message.Levels = this->Organisations.with(
-      [Now](FleetAllowance &All) { return All.takeNews(MostLevels, Now); });
+  Message.Levels = this->Organisations.with([Now](FleetQuota &All) {
+    return All.drainUsageChanges(MostLevels, Now);
+  });
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (auto &[Hall, Word] : this->ToPass)
     Message.Passed.push_back(std::move(Word));
@@ -138,10 +139,9 @@
 
 /// Returns whether it is this daemon that speaks for its hall.
 bool AllowanceAgent::isHallDue(TimePoint Now) {
-  return !this->Far.empty() &&
-         this->Organisations.with([&](FleetAllowance &All) {
-           return All.getHeard().isFirst(this->Context.Config.Name, Now);
-         });
+  return !this->Far.empty() && this->Organisations.with([&](FleetQuota &All) {
+    return All.getLiveness().isHallReporter(this->Context.Config.Name, Now);
+  });
 }
 
 /// Tells one daemon of each other hall, another one each time: a daemon that
@@ -153,8 +153,8 @@
   Message.Sequence = Base.Sequence;
   const bool WantsAll = this->Rounds % RoundsOfAll == 0;
   Message.HallLevels =
-      this->Organisations.with([WantsAll, Now](FleetAllowance &All) {
-        return All.getHallLevels(WantsAll, Now);
+      this->Organisations.with([WantsAll, Now](FleetQuota &All) {
+        return All.getHallUsage(WantsAll, Now);
       });
   const Json::Value Encoded = encodeAllowanceMessage(Message);
   for (const auto &[Hall, Daemons] : this->Far) {
@@ -164,8 +164,8 @@
 }
 
 void AllowanceAgent::runRound(TimePoint Now) {
-  const bool HasLimits = this->Organisations.with(
-      [](FleetAllowance &All) { return All.hasLimits(); });
+  const bool HasLimits =
+      this->Organisations.with([](FleetQuota &All) { return All.hasLimits(); });
   if (!HasLimits)
     return;
   this->updateFleet(Now);
@@ -223,8 +223,8 @@
       return;
     Last = Word.Sequence;
   }
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.takeHallLevels(Word.Hall, Word.Teller, Word.Levels, Now);
+  this->Organisations.with([&](FleetQuota &All) {
+    All.applyHallUsage(Word.Hall, Word.Teller, Word.Levels, Now);
   });
 }
 
@@ -239,8 +239,8 @@
   }
   if (!this->isLater(Message.Source, Message.Sequence))
     return;
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.takePeerLevels(Message.Source, Message.Levels, Now);
+  this->Organisations.with([&](FleetQuota &All) {
+    All.applyPeerUsage(Message.Source, Message.Levels, Now);
   });
   for (const HallWord &Word : Message.Passed)
     this->takeHall(Word, Now);
--- a/lib/Daemon/AllowanceWire.cpp
+++ b/lib/Daemon/AllowanceWire.cpp
@@ -25,34 +25,34 @@
 static constexpr double AskedParts = 100;
 static constexpr double MostAsked = 1e9;
 
-Json::Value encodeLevels(const std::vector<AllowanceLevel> &Levels) {
+Json::Value encodeLevels(const std::vector<QuotaUsage> &Levels) {
   Json::Value Rows(Json::arrayValue);
-  for (const AllowanceLevel &Each : Levels) {
+  for (const QuotaUsage &Each : Levels) {
     Json::Value Row(Json::arrayValue);
     Row.append(fmt::format("{:x}", Each.Organisation));
-    Row.append(static_cast<Json::Int64>(std::llround(Each.Asked * AskedParts)));
+    Row.append(
+        static_cast<Json::Int64>(std::llround(Each.Demand * AskedParts)));
     Row.append(static_cast<Json::Int64>(Each.Admitted));
     Rows.append(Row);
   }
   return Rows;
 }
 
-bool decodeLevel(const Json::Value &Row, AllowanceLevel &Level) {
+bool decodeLevel(const Json::Value &Row, QuotaUsage &Level) {
   if (!Row.isArray() || Row.size() != 3 || !Row[1].isInt64() ||
       !Row[2].isInt64())
     return false;
-  Level.Asked = static_cast<double>(Row[1].asInt64()) / AskedParts;
+  Level.Demand = static_cast<double>(Row[1].asInt64()) / AskedParts;
   Level.Admitted = Row[2].asInt64();
-  return Level.Asked >= 0 && Level.Asked <= MostAsked &&
+  return Level.Demand >= 0 && Level.Demand <= MostAsked &&
          decodeHex(Row[0], Level.Organisation);
 }
 
-bool decodeLevels(const Json::Value &Rows,
-                  std::vector<AllowanceLevel> &Levels) {
+bool decodeLevels(const Json::Value &Rows, std::vector<QuotaUsage> &Levels) {
   if (!Rows.isArray())
     return false;
   for (const Json::Value &Row : Rows) {
-    AllowanceLevel Level;
+    QuotaUsage Level;
     if (!decodeLevel(Row, Level))
       return false;
     Levels.push_back(Level);
--- a/lib/Daemon/CheckAnswers.cpp
+++ b/lib/Daemon/CheckAnswers.cpp
@@ -57,34 +57,33 @@
                      Workers.Running, Workers.Idle, Workers.Most);
 }
 
-std::string formatSuspects(const std::vector<SuspectStatus> &Suspects) {
+std::string formatSuspects(const std::vector<PoisonRequestStatus> &Suspects) {
   std::string Rows;
   size_t Held = 0;
-  for (const SuspectStatus &Each : Suspects) {
-    if (!Each.IsHeld)
+  for (const PoisonRequestStatus &Each : Suspects) {
+    if (!Each.IsQuarantined)
       continue;
     ++Held;
     Rows += fmt::format(
         "canvaswick_held_request_ends{{asks=\"{:016x}\",tries=\"{}\"}} {}\n",
-        Each.Record.Request, Each.Record.Tries, Each.Record.Ends.size());
+        Each.Record.Request, Each.Record.Probes, Each.Record.Ends.size());
   }
   return fmt::format("canvaswick_suspect_requests {}\n"
                      "canvaswick_held_requests {}\n{}",
                      Suspects.size(), Held, Rows);
 }
 
-std::string
-formatOrganisations(const std::vector<AllowanceStatus> &Organisations) {
+std::string formatOrganisations(const std::vector<QuotaStatus> &Organisations) {
   std::string Text;
-  for (const AllowanceStatus &Each : Organisations) {
+  for (const QuotaStatus &Each : Organisations) {
     const auto Add = [&](const char *What, double Value) {
       Text += fmt::format("canvaswick_organisation_{}{{organisation=\"{}\"}} "
                           "{:.2f}\n",
                           What, Each.Name, Value);
     };
     Add("limit_per_s", Each.RequestsPerSecond);
-    Add("fleet_asked_per_s", Each.FleetAsked);
-    Add("asked_per_s", Each.OwnAsked);
+    Add("fleet_asked_per_s", Each.FleetDemand);
+    Add("asked_per_s", Each.LocalDemand);
     Add("tokens", Each.Tokens);
     Add("admitted", static_cast<double>(Each.Admitted));
     Add("refused", static_cast<double>(Each.Refused));
--- a/lib/Daemon/CheckAnswers.h
+++ b/lib/Daemon/CheckAnswers.h
@@ -16,9 +16,9 @@
 #ifndef CANVASWICK_LIB_DAEMON_CHECKANSWERS_H
 #define CANVASWICK_LIB_DAEMON_CHECKANSWERS_H
 
-#include "canvaswick/Admission/FleetAllowance.h"
-#include "canvaswick/Admission/SuspectTable.h"
-#include "canvaswick/Directory/WatchDuty.h"
+#include "canvaswick/Admission/FleetQuota.h"
+#include "canvaswick/Admission/PoisonRequestTable.h"
+#include "canvaswick/Directory/WatchElection.h"
 #include "canvaswick/Http/HttpServer.h"
 #include "canvaswick/Metrics/Counters.h"
 #include "canvaswick/Proxy/FleetRuntime.h"
@@ -32,9 +32,9 @@
   /// Those that serve callers.
   WorkerPoolThreads Workers;
   /// Requests under which servers ended.
-  std::vector<SuspectStatus> Suspects;
+  std::vector<PoisonRequestStatus> Suspects;
   /// The busiest organisations, at most MostOrganisations.
-  std::vector<AllowanceStatus> Organisations;
+  std::vector<QuotaStatus> Organisations;
   /// How many servers say what of themselves.
   NoticeCounts Notices;
 };
@@ -44,14 +44,13 @@
 inline constexpr size_t MostOrganisations = 20;
 
 /// Writes organisations as metrics.
-std::string
-formatOrganisations(const std::vector<AllowanceStatus> &Organisations);
+std::string formatOrganisations(const std::vector<QuotaStatus> &Organisations);
 
 /// Writes how many servers say what of themselves as metrics.
 std::string formatNotices(const NoticeCounts &Notices);
 
 /// Writes the suspects as metrics.
-std::string formatSuspects(const std::vector<SuspectStatus> &Suspects);
+std::string formatSuspects(const std::vector<PoisonRequestStatus> &Suspects);
 
 /// Answers one check. Current is what the daemon serves by, null before its
 /// first settings.
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -187,8 +187,9 @@
   this->Threads[4].start(ClaimInterval, [this] { this->Claims->runRound(); });
   this->Threads[6].start(SuspectInterval,
                          [this] { this->Suspects->runRound(readInstant()); });
-  this->Threads[7].start(
-      SpeakInterval, [this] { this->Allowances->runRound(readSteadyClock()); });
+  this->Threads[7].start(QuotaReportInterval, [this] {
+    this->Allowances->runRound(readSteadyClock());
+  });
   this->Threads[5].start(HousekeepingInterval, [this] { this->housekeep(); });
 }
 
--- a/lib/Daemon/DirectoryCalls.cpp
+++ b/lib/Daemon/DirectoryCalls.cpp
@@ -58,8 +58,8 @@
   Row.append(Item.Key);
   Row.append(static_cast<Json::UInt64>(Item.At.Revision));
   const bool NamesEpoch = Item.At.Epoch != EpochOfAll;
-  if (!Item.IsGone || NamesEpoch)
-    Row.append(Item.IsGone ? Json::Value() : Json::Value(Item.Value));
+  if (!Item.IsRemoved || NamesEpoch)
+    Row.append(Item.IsRemoved ? Json::Value() : Json::Value(Item.Value));
   if (NamesEpoch)
     Row.append(static_cast<Json::UInt64>(Item.At.Epoch));
   return Row;
@@ -69,8 +69,8 @@
   Json::Value Value;
   Value["as-of"] = static_cast<Json::UInt64>(Changes.AsOf.Revision);
   Value["epoch"] = static_cast<Json::UInt64>(Changes.AsOf.Epoch);
-  Value["all"] = Changes.IsAll;
-  Value["partial"] = Changes.IsPartial;
+  Value["all"] = Changes.IsFull;
+  Value["partial"] = Changes.OmitsLarge;
   Value["items"] = Json::arrayValue;
   for (const StoreItem &Item : Changes.Items)
     Value["items"].append(encodeItem(Item, Changes.AsOf.Epoch));
@@ -120,8 +120,8 @@
     return false;
   Item.Key = Row[0].asString();
   Item.At = {NamesEpoch ? Row[3].asUInt64() : EpochOfAll, Row[1].asUInt64()};
-  Item.IsGone = Row.size() == 2 || (NamesEpoch && Row[2].isNull());
-  if (Item.IsGone)
+  Item.IsRemoved = Row.size() == 2 || (NamesEpoch && Row[2].isNull());
+  if (Item.IsRemoved)
     return true;
   if (!Row[2].isString())
     return false;
@@ -164,8 +164,8 @@
   // A daemon that knows of no epochs is behind all that do.
   const uint64_t Epoch = Value["epoch"].asUInt64();
   Changes.AsOf = {Epoch, Value["as-of"].asUInt64()};
-  Changes.IsAll = Value["all"].asBool();
-  Changes.IsPartial = Value["partial"].asBool();
+  Changes.IsFull = Value["all"].asBool();
+  Changes.OmitsLarge = Value["partial"].asBool();
   BOOST_OUTCOME_TRY(Json::Value Rows, readRows(Value));
   for (const Json::Value &Row : Rows) {
     StoreItem Item;
@@ -198,7 +198,7 @@
       std::any_of(Changes.Items.begin(), Changes.Items.end(), isLarge);
   if (HasLarge && !(Request.WantsLarge && this->HasRoom())) {
     std::erase_if(Changes.Items, isLarge);
-    Changes.IsPartial = true;
+    Changes.OmitsLarge = true;
     return packChanges(encodeChanges(Changes));
   }
   // Differences depend on what the peer holds.
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -136,7 +136,7 @@
       this->Proxy.getOrganisations(), *this->Notices, this->Counters,
       this->Heard, this->Config.Policy);
   this->Proxy.getGuard().setNewsListener(
-      [this](const SuspectNews &News, TimePoint Now) {
+      [this](const PoisonRequestUpdate &News, TimePoint Now) {
         this->Peers->tellSuspects(News, Now);
       });
   this->Proxy.setChangeListener(
@@ -182,7 +182,7 @@
           this->getStoreState(),
           this->Callers->countThreads(),
           this->getGuard().describe(),
-          this->Proxy.getOrganisations().with([Now](FleetAllowance &All) {
+          this->Proxy.getOrganisations().with([Now](FleetQuota &All) {
             return All.describe(MostOrganisations, Now);
           }),
           this->Notices->with(
--- a/lib/Daemon/OperatorApi.cpp
+++ b/lib/Daemon/OperatorApi.cpp
@@ -142,35 +142,34 @@
   const TimePoint Now = readSteadyClock();
   Json::Value Answer;
   Answer["requests"] = Json::arrayValue;
-  for (const SuspectStatus &Status : this->Guard.describe()) {
+  for (const PoisonRequestStatus &Status : this->Guard.describe()) {
     Json::Value Entry;
     Entry["asks"] = fmt::format("{:016x}", Status.Record.Request);
-    Entry["held"] = Status.IsHeld;
+    Entry["held"] = Status.IsQuarantined;
     Entry["ends"] = static_cast<Json::UInt64>(Status.Record.Ends.size());
-    Entry["tries"] = Status.Record.Tries;
+    Entry["tries"] = Status.Record.Probes;
     Entry["last-end-s"] = toSeconds(Now - Status.Record.Ends.back().Ended);
-    Entry["next-try-s"] = std::max(0.0, toSeconds(Status.NextTry - Now));
+    Entry["next-try-s"] = std::max(0.0, toSeconds(Status.NextProbe - Now));
     Answer["requests"].append(Entry);
   }
   return Answer;
 }
 
-std::vector<AllowanceStatus> OperatorApi::listOrganisations() const {
+std::vector<QuotaStatus> OperatorApi::listOrganisations() const {
   const TimePoint Now = readSteadyClock();
-  return this->Organisations.with([Now](FleetAllowance &All) {
-    return All.describe(MostOrganisations, Now);
-  });
+  return this->Organisations.with(
+      [Now](FleetQuota &All) { return All.describe(MostOrganisations, Now); });
 }
 
 Json::Value OperatorApi::answerOrganisations() const {
   Json::Value Answer;
   Answer["organisations"] = Json::arrayValue;
-  for (const AllowanceStatus &Status : this->listOrganisations()) {
+  for (const QuotaStatus &Status : this->listOrganisations()) {
     Json::Value Entry;
     Entry["name"] = Status.Name;
     Entry["limit-per-s"] = Status.RequestsPerSecond;
-    Entry["asked-per-s"] = Status.OwnAsked;
-    Entry["fleet-asked-per-s"] = Status.FleetAsked;
+    Entry["asked-per-s"] = Status.LocalDemand;
+    Entry["fleet-asked-per-s"] = Status.FleetDemand;
     Entry["tokens"] = Status.Tokens;
     Entry["admitted"] = static_cast<Json::Int64>(Status.Admitted);
     Entry["refused"] = static_cast<Json::UInt64>(Status.Refused);
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -90,8 +90,8 @@
       ++Far[Each.Hall];
     else if (Each.Name != this->Name)
       Near.push_back(Each.Name);
-  this->Organisations.with([&](FleetAllowance &All) {
-    All.getHeard().setFleet(Near, Far, readSteadyClock());
+  this->Organisations.with([&](FleetQuota &All) {
+    All.getLiveness().setFleet(Near, Far, readSteadyClock());
   });
 }
 
@@ -130,9 +130,9 @@
   this->HasNews = false;
   this->HadInFlight = !InFlight.empty();
   this->NewsAt = Now;
-  std::vector<AllowanceLevel> Levels =
-      this->Organisations.with([Now](FleetAllowance &All) {
-        return All.takeNews(PeerLink::MostLevelsBesides, Now);
+  std::vector<QuotaUsage> Levels =
+      this->Organisations.with([Now](FleetQuota &All) {
+        return All.drainUsageChanges(PeerLink::MostLevelsBesides, Now);
       });
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
@@ -167,18 +167,18 @@
 
 /// Returns what other halls should hear now of organisations, or nothing if
 /// nothing is due or another daemon of this hall tells it.
-std::optional<std::vector<AllowanceLevel>>
+std::optional<std::vector<QuotaUsage>>
 PeerExchange::takeHallNews(TimePoint Now) {
   const Duration Since = Now - this->HallLevelsAt;
   if (Since < UrgentLevelInterval)
     return std::nullopt;
   const bool WantsAll = Now - this->AllLevelsAt >= AllLevelInterval;
-  std::optional<std::vector<AllowanceLevel>> News;
-  this->Organisations.with([&](FleetAllowance &All) {
-    if (!All.getHeard().isFirst(this->Name, Now))
+  std::optional<std::vector<QuotaUsage>> News;
+  this->Organisations.with([&](FleetQuota &All) {
+    if (!All.getLiveness().isHallReporter(this->Name, Now))
       return;
     if (Since >= HallLevelInterval || All.isUrgent(Now))
-      News = All.getHallLevels(WantsAll, Now);
+      News = All.getHallUsage(WantsAll, Now);
   });
   if (!News)
     return std::nullopt;
@@ -193,7 +193,7 @@
 void PeerExchange::tellOrganisations(const FleetRuntime &Current,
                                      TimePoint Now) {
   if (!this->Organisations.with(
-          [](FleetAllowance &All) { return All.hasLimits(); }))
+          [](FleetQuota &All) { return All.hasLimits(); }))
     return;
   {
     std::lock_guard<std::mutex> Lock(this->NewsMutex);
@@ -222,14 +222,16 @@
     this->sendUsedEstimates(Current, Now);
 }
 
-void PeerExchange::tellSuspects(const SuspectNews &News, TimePoint Now) {
+void PeerExchange::tellSuspects(const PoisonRequestUpdate &News,
+                                TimePoint Now) {
   this->Link.sendSuspects(makeReport(News, Now));
 }
 
 /// Says again what the hall knows of requests under which servers ended, for
 /// those that missed it or have just started.
 void PeerExchange::retellSuspects(TimePoint Now) {
-  const SuspectNews News = this->Guard.makeNews(MostSuspectRows, Now);
+  const PoisonRequestUpdate News =
+      this->Guard.buildUpdate(MostSuspectRows, Now);
   if (!News.isEmpty())
     this->tellSuspects(News, Now);
 }
@@ -315,11 +317,11 @@
 /// Takes what a peer says of organisations. Any message of this hall shows that
 /// its daemon is reached.
 void PeerExchange::takeLevels(const PeerMessage &Message, TimePoint Now) {
-  this->Organisations.with([&](FleetAllowance &All) {
+  this->Organisations.with([&](FleetQuota &All) {
     if (Message.Hall == this->Hall)
-      All.takePeerLevels(Message.Source, Message.Levels, Now);
+      All.applyPeerUsage(Message.Source, Message.Levels, Now);
     else if (Message.HallLevels)
-      All.takeHallLevels(Message.Hall, Message.Source, *Message.HallLevels,
+      All.applyHallUsage(Message.Hall, Message.Source, *Message.HallLevels,
                          Now);
   });
 }
--- a/lib/Daemon/PeerExchange.h
+++ b/lib/Daemon/PeerExchange.h
@@ -65,7 +65,7 @@
 
   /// Tells peers at once under which request a server ended, or that one was
   /// answered.
-  void tellSuspects(const SuspectNews &News, TimePoint Now);
+  void tellSuspects(const PoisonRequestUpdate &News, TimePoint Now);
 
   /// Borrows the right to one repeat of a service from peers.
   bool borrowRepeat(ServiceRuntime &Service, TimePoint Now);
@@ -78,7 +78,7 @@
   void sendEstimates(const FleetRuntime &Current, TimePoint Now);
   void sendUsedEstimates(const FleetRuntime &Current, TimePoint Now);
   void retellSuspects(TimePoint Now);
-  std::optional<std::vector<AllowanceLevel>> takeHallNews(TimePoint Now);
+  std::optional<std::vector<QuotaUsage>> takeHallNews(TimePoint Now);
   void tellOrganisations(const FleetRuntime &Current, TimePoint Now);
   void takeLevels(const PeerMessage &Message, TimePoint Now);
   void takeMessage(const PeerMessage &Message);
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -157,7 +157,7 @@
 
 void PeerLink::sendObservations(std::vector<Observation> Seen,
                                 const std::vector<InFlightReport> &InFlight,
-                                std::vector<AllowanceLevel> Levels,
+                                std::vector<QuotaUsage> Levels,
                                 std::vector<LimitReport> Limits) {
   PeerMessage First = this->makeMessage();
   First.Levels = std::move(Levels);
@@ -177,7 +177,7 @@
   }
 }
 
-void PeerLink::sendHallLevels(std::vector<AllowanceLevel> Levels) {
+void PeerLink::sendHallLevels(std::vector<QuotaUsage> Levels) {
   do {
     PeerMessage Message = this->makeMessage();
     Message.HallLevels = takeSome(Levels, MaxLevels);
--- a/lib/Daemon/RepeatLoans.cpp
+++ b/lib/Daemon/RepeatLoans.cpp
@@ -18,7 +18,7 @@
 
 /// How often peers are asked for one right, and how long each time is waited:
 /// within a hall an answer takes about a millisecond, more where a machine has
-/// little processor time. All rounds are far below LoanLife.
+/// little processor time. All rounds are far below LoanTimeout.
 static constexpr int MaxRounds = 3;
 static constexpr Duration RoundWait = fromMillis(15);
 
@@ -81,7 +81,7 @@
     if (Found == this->Open.end() ||
         Found->second.Service->getId() != Loan.Service)
       return;
-    Found->second.Service->borrowRepeat(Found->second.AskedAt + LoanLife);
+    Found->second.Service->borrowRepeat(Found->second.AskedAt + LoanTimeout);
     Found->second.IsAnswered = true;
   }
   this->Answered.notify_all();
--- a/lib/Daemon/SuspectAgent.cpp
+++ b/lib/Daemon/SuspectAgent.cpp
@@ -40,10 +40,10 @@
           [this](const std::string &Text, const StorePosition &Expected) {
             return this->writePage(Text, Expected);
           }) {
-  Guard.setNewsListener([this](const SuspectNews &News, TimePoint Now) {
+  Guard.setNewsListener([this](const PoisonRequestUpdate &News, TimePoint Now) {
     this->spread(News, Now);
   });
-  Guard.setTryClaim([this](const SuspectRecord &Record) {
+  Guard.setTryClaim([this](const PoisonRequestRecord &Record) {
     return this->Book.claimTry(Record, readInstant());
   });
 }
@@ -87,7 +87,7 @@
   this->Book.runRound(Now);
 }
 
-void SuspectAgent::spread(const SuspectNews &News, TimePoint Now) {
+void SuspectAgent::spread(const PoisonRequestUpdate &News, TimePoint Now) {
   Json::Value Message(Json::objectValue);
   encodeSuspects(makeReport(News, Now), Message);
   for (const MemberRecord &Peer : this->Members.choose(NewsFanOut, ""))
@@ -102,7 +102,7 @@
   const Result<SuspectReport> Report = decodeSuspects(Params);
   if (!Report)
     return makeCallError(Report.error());
-  const SuspectNews Taken =
+  const PoisonRequestUpdate Taken =
       this->Guard.takeNews(readReport(Report.value(), Now), Now);
   if (!Taken.isEmpty())
     this->spread(Taken, Now);
@@ -110,7 +110,7 @@
 }
 
 void SuspectAgent::writeNews(Json::Value &Message, TimePoint Now) const {
-  encodeSuspects(makeReport(this->Guard.makeNews(MostPingRows, Now), Now),
+  encodeSuspects(makeReport(this->Guard.buildUpdate(MostPingRows, Now), Now),
                  Message);
 }
 
--- a/lib/Daemon/SuspectBook.cpp
+++ b/lib/Daemon/SuspectBook.cpp
@@ -23,18 +23,18 @@
 static constexpr Duration RetryWait = fromSeconds(2);
 
 /// Decodes a page. No page is one without records.
-static Result<std::vector<SuspectRecord>> decodePage(const BookPage &Page,
-                                                     const Instant &Now) {
+static Result<std::vector<PoisonRequestRecord>> decodePage(const BookPage &Page,
+                                                           const Instant &Now) {
   if (Page.At.isNone())
-    return std::vector<SuspectRecord>();
+    return std::vector<PoisonRequestRecord>();
   return decodeRecords(Page.Text, Now);
 }
 
 /// Decodes a page that is about to be replaced. What cannot be read names no
 /// request.
-static std::vector<SuspectRecord> decodeOldPage(const BookPage &Page,
-                                                const Instant &Now) {
-  Result<std::vector<SuspectRecord>> Records = decodePage(Page, Now);
+static std::vector<PoisonRequestRecord> decodeOldPage(const BookPage &Page,
+                                                      const Instant &Now) {
+  Result<std::vector<PoisonRequestRecord>> Records = decodePage(Page, Now);
   if (Records)
     return std::move(Records.value());
   logWarning("suspects-replaced", "at={} what={:?}", Page.At,
@@ -54,33 +54,34 @@
   }
   // What was written may be lost: that it is missing clears nobody.
   if (IsOfNewEpoch)
-    this->Guard.loseRecords();
-  const Result<std::vector<SuspectRecord>> Records = decodePage(Page, Now);
+    this->Guard.invalidateRecords();
+  const Result<std::vector<PoisonRequestRecord>> Records =
+      decodePage(Page, Now);
   if (Records) {
-    this->Guard.takeRecords(Records.value(), Now.Steady);
+    this->Guard.applyRecords(Records.value(), Now.Steady);
     return outcome::success();
   }
   // Somebody else wrote there: what is known stays, and is written again.
   logWarning("suspects-refused", "at={} what={:?}", Page.At,
              Records.error().Message);
-  this->Guard.loseRecords();
+  this->Guard.invalidateRecords();
   return outcome::success();
 }
 
 /// Brings records up to what this daemon knows. Returns whether any changed.
-bool SuspectBook::change(std::vector<SuspectRecord> &Records,
+bool SuspectBook::change(std::vector<PoisonRequestRecord> &Records,
                          const Instant &Now) const {
   bool IsChanged = false;
-  for (SuspectRecord &Record : this->Guard.listUnrecorded()) {
+  for (PoisonRequestRecord &Record : this->Guard.listUnrecorded()) {
     mergeRecord(Records, std::move(Record), Now.CalendarMillis);
     IsChanged = true;
   }
-  for (const RequestDigest Request : this->Guard.listCleared())
+  for (const RequestFingerprint Request : this->Guard.listCleared())
     IsChanged |= removeRecord(Records, Request);
   return IsChanged;
 }
 
-bool SuspectBook::writeAll(const std::vector<SuspectRecord> &Records,
+bool SuspectBook::writeAll(const std::vector<PoisonRequestRecord> &Records,
                            const StorePosition &Expected, const Instant &Now) {
   Result<StorePosition> Written =
       this->Write(encodeRecords(Records, Now), Expected);
@@ -103,24 +104,26 @@
   const Result<BookPage> Page = this->Read();
   if (!Page)
     return;
-  std::vector<SuspectRecord> Records = decodeOldPage(Page.value(), Now);
+  std::vector<PoisonRequestRecord> Records = decodeOldPage(Page.value(), Now);
   if (this->change(Records, Now))
     this->writeAll(Records, Page.value().At, Now);
 }
 
-bool SuspectBook::claimTry(const SuspectRecord &Record, const Instant &Now) {
+bool SuspectBook::claimTry(const PoisonRequestRecord &Record,
+                           const Instant &Now) {
   const Result<BookPage> Page = this->Read();
   if (!Page)
     return false;
-  std::vector<SuspectRecord> Records = decodeOldPage(Page.value(), Now);
-  const bool IsTaken = std::any_of(
-      Records.begin(), Records.end(), [&Record](const SuspectRecord &Known) {
-        return Known.Request == Record.Request && Known.Tries > Record.Tries;
-      });
+  std::vector<PoisonRequestRecord> Records = decodeOldPage(Page.value(), Now);
+  const bool IsTaken = std::any_of(Records.begin(), Records.end(),
+                                   [&Record](const PoisonRequestRecord &Known) {
+                                     return Known.Request == Record.Request &&
+                                            Known.Probes > Record.Probes;
+                                   });
   if (IsTaken)
     return false;
-  SuspectRecord Tried = Record;
-  ++Tried.Tries;
+  PoisonRequestRecord Tried = Record;
+  ++Tried.Probes;
   mergeRecord(Records, std::move(Tried), Now.CalendarMillis);
   return this->writeAll(Records, Page.value().At, Now);
 }
--- a/lib/Daemon/SuspectReport.cpp
+++ b/lib/Daemon/SuspectReport.cpp
@@ -39,7 +39,7 @@
 /// Records that are kept; the oldest go.
 static constexpr size_t MostRecords = 64;
 
-SuspectReport makeReport(const SuspectNews &News, TimePoint Now) {
+SuspectReport makeReport(const PoisonRequestUpdate &News, TimePoint Now) {
   const auto GetAge = [Now](TimePoint At) {
     return std::clamp<int64_t>(toMillis(Now - At), 0, MostMillis);
   };
@@ -54,8 +54,8 @@
   return Report;
 }
 
-SuspectNews readReport(const SuspectReport &Report, TimePoint Now) {
-  SuspectNews News;
+PoisonRequestUpdate readReport(const SuspectReport &Report, TimePoint Now) {
+  PoisonRequestUpdate News;
   for (const EndReport &Each : Report.Ends) {
     const TimePoint Ended = Now - fromMillis(Each.AgoMs);
     News.Ends.push_back({Each.Request, Each.Server,
@@ -135,16 +135,16 @@
   return Report;
 }
 
-std::string encodeRecords(const std::vector<SuspectRecord> &Records,
+std::string encodeRecords(const std::vector<PoisonRequestRecord> &Records,
                           const Instant &Now) {
   Json::Value Value;
   Value["requests"] = Json::arrayValue;
-  for (const SuspectRecord &Record : Records) {
+  for (const PoisonRequestRecord &Record : Records) {
     if (Record.Ends.empty())
       continue;
     Json::Value Entry;
     Entry["asks"] = fmt::format("{:x}", Record.Request);
-    Entry["tries"] = Record.Tries;
+    Entry["tries"] = Record.Probes;
     Entry["changed-ms"] = static_cast<Json::Int64>(Record.ChangedMillis);
     const TimePoint Last = Record.Ends.back().Ended;
     Entry["ended-ms"] = static_cast<Json::Int64>(Now.CalendarMillis -
@@ -157,13 +157,13 @@
 }
 
 static bool decodeRecord(const Json::Value &Entry, const Instant &Now,
-                         SuspectRecord &Record) {
+                         PoisonRequestRecord &Record) {
   if (!Entry.isObject() || !Entry["ends"].isArray() ||
       Entry["ends"].size() == 0 || Entry["ends"].size() > MostRows ||
       !decodeHex(Entry["asks"], Record.Request) || !Entry["tries"].isInt() ||
       !Entry["changed-ms"].isInt64() || !Entry["ended-ms"].isInt64())
     return false;
-  Record.Tries = Entry["tries"].asInt();
+  Record.Probes = Entry["tries"].asInt();
   Record.ChangedMillis = Entry["changed-ms"].asInt64();
   SuspectReport Report;
   for (const Json::Value &Row : Entry["ends"]) {
@@ -179,22 +179,22 @@
   const TimePoint Last =
       Now.Steady - fromMillis(Now.CalendarMillis - EndedMillis);
   Record.Ends = readReport(Report, Last).Ends;
-  return Record.Tries >= 0 && Record.Tries <= MostTries &&
+  return Record.Probes >= 0 && Record.Probes <= MostTries &&
          std::is_sorted(Record.Ends.begin(), Record.Ends.end(),
                         [](const RequestEnd &Left, const RequestEnd &Right) {
                           return Left.Ended < Right.Ended;
                         });
 }
 
-Result<std::vector<SuspectRecord>> decodeRecords(const std::string &Text,
-                                                 const Instant &Now) {
+Result<std::vector<PoisonRequestRecord>> decodeRecords(const std::string &Text,
+                                                       const Instant &Now) {
   Json::Value Value;
   if (!parseJson(Text, Value) || !Value.isObject() ||
       !Value["requests"].isArray() || Value["requests"].size() > MostRows)
     return makeError(ErrorKind::InvalidArgument, "not a list of requests");
-  std::vector<SuspectRecord> Records;
+  std::vector<PoisonRequestRecord> Records;
   for (const Json::Value &Entry : Value["requests"]) {
-    SuspectRecord Record;
+    PoisonRequestRecord Record;
     if (!decodeRecord(Entry, Now, Record))
       return makeError(ErrorKind::InvalidArgument, "not a request's record");
     Records.push_back(std::move(Record));
@@ -204,24 +204,24 @@
 
 /// Returns what a record and a later one of the same request say together, as a
 /// table would take them.
-static SuspectRecord mergeTwo(const SuspectRecord &Known,
-                              const SuspectRecord &More) {
-  SuspectTable Both;
-  Both.takeRecords({Known}, More.Ends.back().Ended);
+static PoisonRequestRecord mergeTwo(const PoisonRequestRecord &Known,
+                                    const PoisonRequestRecord &More) {
+  PoisonRequestTable Both;
+  Both.applyRecords({Known}, More.Ends.back().Ended);
   for (const RequestEnd &End : More.Ends)
-    Both.noteEnd(End, true, More.Ends.back().Ended);
-  SuspectRecord Merged = Both.getRecord(More.Request);
-  Merged.Tries = std::max(Known.Tries, More.Tries);
+    Both.recordEnd(End, true, More.Ends.back().Ended);
+  PoisonRequestRecord Merged = Both.getRecord(More.Request);
+  Merged.Probes = std::max(Known.Probes, More.Probes);
   return Merged;
 }
 
-void mergeRecord(std::vector<SuspectRecord> &Records, SuspectRecord Record,
-                 int64_t NowMillis) {
-  for (const SuspectRecord &Known : Records)
+void mergeRecord(std::vector<PoisonRequestRecord> &Records,
+                 PoisonRequestRecord Record, int64_t NowMillis) {
+  for (const PoisonRequestRecord &Known : Records)
     if (Known.Request == Record.Request && !Record.Ends.empty())
       Record = mergeTwo(Known, Record);
   Record.ChangedMillis = NowMillis;
-  std::erase_if(Records, [&](const SuspectRecord &Known) {
+  std::erase_if(Records, [&](const PoisonRequestRecord &Known) {
     return Known.Request == Record.Request ||
            NowMillis - Known.ChangedMillis > RecordLifeMillis;
   });
@@ -229,13 +229,14 @@
   if (Records.size() > MostRecords)
     Records.erase(std::min_element(
         Records.begin(), Records.end(),
-        [](const SuspectRecord &Left, const SuspectRecord &Right) {
+        [](const PoisonRequestRecord &Left, const PoisonRequestRecord &Right) {
           return Left.ChangedMillis < Right.ChangedMillis;
         }));
 }
 
-bool removeRecord(std::vector<SuspectRecord> &Records, RequestDigest Request) {
-  return std::erase_if(Records, [Request](const SuspectRecord &Record) {
+bool removeRecord(std::vector<PoisonRequestRecord> &Records,
+                  RequestFingerprint Request) {
+  return std::erase_if(Records, [Request](const PoisonRequestRecord &Record) {
            return Record.Request == Request;
          }) > 0;
 }
--- a/lib/Directory/AheadPeers.cpp
+++ b/lib/Directory/AheadPeers.cpp
@@ -28,9 +28,9 @@
       [&Known](const auto &Entry) { return Entry.second.AsOf > Known; });
 }
 
-bool AheadPeers::note(const std::string &Peer, bool IsNear,
-                      const StorePosition &AsOf, const StorePosition &Known,
-                      TimePoint Now) {
+bool AheadPeers::recordPeer(const std::string &Peer, bool IsNear,
+                            const StorePosition &AsOf,
+                            const StorePosition &Known, TimePoint Now) {
   if (AsOf <= Known)
     return false;
   if (!this->isAhead(Known))
@@ -39,8 +39,8 @@
   return true;
 }
 
-std::optional<std::string> AheadPeers::draw(const StorePosition &Known,
-                                            TimePoint Now) {
+std::optional<std::string> AheadPeers::choosePeer(const StorePosition &Known,
+                                                  TimePoint Now) {
   std::erase_if(this->Peers, [&](const auto &Entry) {
     return Entry.second.AsOf <= Known || Now - Entry.second.HeardAt > WordLife;
   });
--- a/lib/Directory/FleetRecords.cpp
+++ b/lib/Directory/FleetRecords.cpp
@@ -53,7 +53,7 @@
   return Config;
 }
 
-std::string getLifeName(const ServerRecord &Record) {
+std::string getInstanceName(const ServerRecord &Record) {
   if (Record.Born == 0)
     return Record.Id;
   return fmt::format("{}@{:x}", Record.Id, Record.Born);
@@ -63,7 +63,7 @@
                                   const ServiceRule &Rule) {
   const ServerRecord &Record = Known.Record;
   ServerConfig Config;
-  Config.Name = getLifeName(Record);
+  Config.Name = getInstanceName(Record);
   Config.Instance = Record.Id;
   Config.Address = Record.Address;
   Config.Hall = Record.Hall;
@@ -88,7 +88,7 @@
   Route.MaxAttempts = Rule.MaxAttempts;
   Route.Priority = Rule.Priority;
   Route.IsPublic = Rule.IsPublic;
-  for (const RoutePart &Part : Rule.Parts) {
+  for (const RouteTarget &Part : Rule.Parts) {
     const auto Found = ServiceIndex.find(Part.Service);
     if (Found == ServiceIndex.end())
       return false;
--- a/lib/Directory/ItemTable.cpp
+++ b/lib/Directory/ItemTable.cpp
@@ -26,7 +26,7 @@
   const bool IsKnown = Found != this->Items.end();
   if (IsKnown && Found->second.At >= News.At)
     return false;
-  if (!News.IsGone) {
+  if (!News.IsRemoved) {
     if (!IsKnown && this->wasRemovedSince(News))
       return false;
     this->put(News);
@@ -143,11 +143,11 @@
                                        const ItemPositions &Held) const {
   ItemChanges Changes;
   Changes.AsOf = this->AsOf;
-  Changes.IsAll = After < this->RemovalsSince;
+  Changes.IsFull = After < this->RemovalsSince;
   for (const auto &[Key, Item] : this->Items)
-    if (Changes.IsAll || Item.At > After)
+    if (Changes.IsFull || Item.At > After)
       Changes.Items.push_back(Item);
-  if (Changes.IsAll)
+  if (Changes.IsFull)
     return Changes;
   useDeltas(Changes, this->Earlier, Held);
   for (const StoreItem &Removal : this->Removals)
@@ -156,7 +156,7 @@
   return Changes;
 }
 
-void ItemTable::distrust() {
+void ItemTable::markStale() {
   this->AsOf = {};
   for (auto &[Key, Item] : this->Items)
     Item.At = {};
--- a/lib/Directory/TryWait.cpp
+++ b/lib/Directory/StoreBackoff.cpp
@@ -1,4 +1,4 @@
-//===- TryWait.cpp - How long the store is left alone after a failure -----===//
+//===- StoreBackoff.cpp - How long the store is left alone after a failure ===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Directory/TryWait.h"
+#include "canvaswick/Directory/StoreBackoff.h"
 
 #include <algorithm>
 
@@ -32,7 +32,7 @@
 /// again by itself soon after its way there is whole.
 static constexpr Duration LongestWait = fromSeconds(4);
 
-Duration chooseTryWait(int Failures, size_t HallSize, double Draw) {
+Duration computeStoreBackoff(int Failures, size_t HallSize, double Draw) {
   const int Doublings = std::clamp(Failures - 1, 0, MostDoublings);
   Duration Most = FirstWait * (1 << Doublings);
   if (HallSize > SmallHall) {
--- a/lib/Directory/WatchDuty.cpp
+++ b/lib/Directory/WatchElection.cpp
@@ -1,4 +1,4 @@
-//===- WatchDuty.cpp - Who watches the store for whom ---------------------===//
+//===- WatchElection.cpp - Who watches the store for whom -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Directory/WatchDuty.h"
+#include "canvaswick/Directory/WatchElection.h"
 #include "canvaswick/Support/EnumNames.h"
 #include "canvaswick/Support/Hash.h"
 
@@ -50,10 +50,11 @@
   return getEnumName(WatchRoleNames, Role);
 }
 
-WatchDuty::WatchDuty(std::string Self, Duration AloneWait)
+WatchElection::WatchElection(std::string Self, Duration AloneWait)
     : Self(std::move(Self)), AloneWait(AloneWait) {}
 
-void WatchDuty::setNear(const std::vector<std::string> &Names, TimePoint Now) {
+void WatchElection::setHallDaemons(const std::vector<std::string> &Names,
+                                   TimePoint Now) {
   const bool KnewOthers = this->Order.size() > 1;
   if (!this->FirstSetAt)
     this->FirstSetAt = Now;
@@ -73,25 +74,25 @@
 /// Takes it that the first of the order watch. Without it, all daemons of a
 /// hall that start at once would begin to ask the store (unit test "of a hall
 /// that starts at once two ask the store").
-void WatchDuty::expectFirst(TimePoint Now) {
+void WatchElection::expectFirst(TimePoint Now) {
   for (size_t I = 0; I < this->Order.size() && I < WatchersPerHall; ++I)
     if (this->Order[I] != this->Self)
-      this->noteWatcher(this->Order[I], Now);
+      this->recordWatcher(this->Order[I], Now);
 }
 
-void WatchDuty::noteWatcher(const std::string &Name, TimePoint At) {
+void WatchElection::recordWatcher(const std::string &Name, TimePoint At) {
   // Messages overtake each other.
   TimePoint &Last = this->HeardAt[Name];
   Last = std::max(Last, At);
 }
 
-size_t WatchDuty::getRank(const std::string &Name) const {
+size_t WatchElection::getRank(const std::string &Name) const {
   return static_cast<size_t>(
       std::find(this->Order.begin(), this->Order.end(), Name) -
       this->Order.begin());
 }
 
-WatchRole WatchDuty::getRole(TimePoint Now) const {
+WatchRole WatchElection::getRole(TimePoint Now) const {
   if (this->Order.size() <= 1 && this->FirstSetAt &&
       Now - *this->FirstSetAt < this->AloneWait)
     return WatchRole::Follow;
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -89,9 +89,9 @@
   // One that is leaving ends in any case.
   if (!Ended.WasCutOff || Server.State == ServerState::Draining)
     return Outcome;
-  const EndedServer Id =
+  const EndedServerId Id =
       getServerId(Request.Service->getConfig().Name, Server.Name);
-  this->Guard.noteEnd({Request.Digest, Id, Ended.Began, Now, 0}, Now);
+  this->Guard.recordEnd({Request.Digest, Id, Ended.Began, Now, 0}, Now);
   return this->Guard.isSuspect(Request.Digest, Id) ? RequestOutcome::Canceled
                                                    : Outcome;
 }
@@ -145,7 +145,7 @@
                                         : Counter::Repeats);
   }
   if (Request.HasTry)
-    this->Guard.returnTry(Request.Digest);
+    this->Guard.returnProbe(Request.Digest);
 }
 
 /// Returns whether a header of the caller is replaced by one of ours, or is for
--- a/lib/Proxy/RequestBody.cpp
+++ b/lib/Proxy/RequestBody.cpp
@@ -64,9 +64,9 @@
 void RequestProxy::digest(Flow &Request) const {
   const httplib::Request &Caller = Request.Exchange.Request;
   const std::string Unseen = Caller.get_header_value("Content-Length");
-  Request.Digest = digestRequest({Request.Organisation, Caller.method,
-                                  Request.Route->Host, Caller.target,
-                                  Request.IsBodyWhole ? Request.Body : Unseen});
+  Request.Digest = computeRequestFingerprint(
+      {Request.Organisation, Caller.method, Request.Route->Host, Caller.target,
+       Request.IsBodyWhole ? Request.Body : Unseen});
 }
 
 /// Keeps a short body; a long one stays on the wire and is streamed. Returns
--- a/lib/Proxy/RequestFlow.h
+++ b/lib/Proxy/RequestFlow.h
@@ -14,7 +14,7 @@
 #ifndef CANVASWICK_LIB_PROXY_REQUESTFLOW_H
 #define CANVASWICK_LIB_PROXY_REQUESTFLOW_H
 
-#include "canvaswick/Admission/RequestDigest.h"
+#include "canvaswick/Admission/RequestFingerprint.h"
 #include "canvaswick/Proxy/RequestProxy.h"
 
 #include <cstdlib>
@@ -67,7 +67,7 @@
   std::string CallerId;
   /// The same for all requests that ask for the same thing. 0 until the body is
   /// there.
-  RequestDigest Digest = 0;
+  RequestFingerprint Digest = 0;
   /// Whether servers ended under it too often for another, and until when.
   bool IsHeldBack = false;
   Duration HeldWait{};
--- a/lib/Proxy/RequestGuard.cpp
+++ b/lib/Proxy/RequestGuard.cpp
@@ -32,88 +32,92 @@
 
 /// Logs that a request is held back from now on, or has come free. The caller
 /// holds the mutex.
-void RequestGuard::logChange(RequestDigest Request, bool WasHeld,
+void RequestGuard::logChange(RequestFingerprint Request, bool WasHeld,
                              TimePoint Now) const {
-  const bool IsHeld = this->Table.judge(Request, Now) != SuspectVerdict::Free;
+  const bool IsHeld =
+      this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
   if (IsHeld == WasHeld)
     return;
-  const SuspectRecord Record = this->Table.getRecord(Request);
+  const PoisonRequestRecord Record = this->Table.getRecord(Request);
   if (IsHeld)
     logWarning("request-held-back", "asks={:016x} ends={} servers={} tries={}",
                Request, Record.Ends.size(), formatServers(Record.Ends),
-               Record.Tries);
+               Record.Probes);
   else
     logInfo("request-freed", "asks={:016x}", Request);
 }
 
-SuspectVerdict RequestGuard::beginAsking(RequestDigest Request, TimePoint Now,
-                                         SuspectRecord &Record) {
+QuarantineVerdict RequestGuard::beginAsking(RequestFingerprint Request,
+                                            TimePoint Now,
+                                            PoisonRequestRecord &Record) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const SuspectVerdict Verdict = this->Table.judge(Request, Now);
-  if (Verdict != SuspectVerdict::TryDue)
+  const QuarantineVerdict Verdict = this->Table.classify(Request, Now);
+  if (Verdict != QuarantineVerdict::ProbeDue)
     return Verdict;
   if (!this->Claim || !this->Asking.insert(Request).second)
-    return SuspectVerdict::HeldBack;
+    return QuarantineVerdict::Quarantined;
   Record = this->Table.getRecord(Request);
   return Verdict;
 }
 
 /// Asks for the try that is due, where records are kept.
-bool RequestGuard::claimTry(const SuspectRecord &Record, TimePoint Now) {
+bool RequestGuard::claimTry(const PoisonRequestRecord &Record, TimePoint Now) {
   const bool IsGranted = this->Claim(Record);
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Asking.erase(Record.Request);
   if (!IsGranted) {
-    this->Table.missTry(Record.Request, Now);
+    this->Table.postponeProbe(Record.Request, Now);
     return false;
   }
-  this->Table.grantTry(Record.Request, Now);
+  this->Table.recordProbe(Record.Request, Now);
   logInfo("request-tried", "asks={:016x} tries={}", Record.Request,
-          Record.Tries + 1);
+          Record.Probes + 1);
   return true;
 }
 
-GuardAnswer RequestGuard::admit(RequestDigest Request, TimePoint Now) {
-  SuspectRecord Record;
-  const SuspectVerdict Verdict = this->beginAsking(Request, Now, Record);
-  if (Verdict == SuspectVerdict::Free)
+GuardAnswer RequestGuard::admit(RequestFingerprint Request, TimePoint Now) {
+  PoisonRequestRecord Record;
+  const QuarantineVerdict Verdict = this->beginAsking(Request, Now, Record);
+  if (Verdict == QuarantineVerdict::Allowed)
     return {};
-  if (Verdict == SuspectVerdict::TryDue && this->claimTry(Record, Now))
+  if (Verdict == QuarantineVerdict::ProbeDue && this->claimTry(Record, Now))
     return {true, true, Duration::zero()};
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->Table.takeReturnedTry(Request))
+  if (this->Table.takeReturnedProbe(Request))
     return {true, true, Duration::zero()};
   return {false, false, std::max(LeastWait, this->Table.getWait(Request, Now))};
 }
 
-Duration RequestGuard::getWait(RequestDigest Request, TimePoint Now) const {
+Duration RequestGuard::getWait(RequestFingerprint Request,
+                               TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return std::max(LeastWait, this->Table.getWait(Request, Now));
 }
 
-bool RequestGuard::isHeldBack(RequestDigest Request, TimePoint Now) const {
+bool RequestGuard::isHeldBack(RequestFingerprint Request, TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Table.judge(Request, Now) != SuspectVerdict::Free;
+  return this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
 }
 
-bool RequestGuard::isSuspect(RequestDigest Request, EndedServer Server) const {
+bool RequestGuard::isSuspect(RequestFingerprint Request,
+                             EndedServerId Server) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.isSuspect(Request, Server);
 }
 
-void RequestGuard::returnTry(RequestDigest Request) {
+void RequestGuard::returnProbe(RequestFingerprint Request) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Table.returnTry(Request);
+  this->Table.returnProbe(Request);
 }
 
-void RequestGuard::noteEnd(RequestEnd End, TimePoint Now) {
+void RequestGuard::recordEnd(RequestEnd End, TimePoint Now) {
   this->Counters.add(Counter::UpstreamCutOffs);
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     End.Id = this->Random();
     const bool WasHeld =
-        this->Table.judge(End.Request, Now) != SuspectVerdict::Free;
-    if (!this->Table.noteEnd(End, true, Now))
+        this->Table.classify(End.Request, Now) != QuarantineVerdict::Allowed;
+    if (!this->Table.recordEnd(End, true, Now))
       return;
     this->logChange(End.Request, WasHeld, Now);
   }
@@ -121,15 +125,15 @@
     this->Listener({{End}, {}}, Now);
 }
 
-void RequestGuard::noteAnswer(RequestDigest Request, TimePoint Now) {
+void RequestGuard::noteAnswer(RequestFingerprint Request, TimePoint Now) {
   const RequestAnswer Answer{Request, Now};
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (this->Table.isEmpty())
       return;
     const bool WasHeld =
-        this->Table.judge(Request, Now) != SuspectVerdict::Free;
-    if (!this->Table.noteOwnAnswer(Answer))
+        this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
+    if (!this->Table.recordLocalAnswer(Answer))
       return;
     this->logChange(Request, WasHeld, Now);
   }
@@ -137,21 +141,22 @@
     this->Listener({{}, {Answer}}, Now);
 }
 
-SuspectNews RequestGuard::takeNews(const SuspectNews &News, TimePoint Now) {
-  SuspectNews Taken;
+PoisonRequestUpdate RequestGuard::takeNews(const PoisonRequestUpdate &News,
+                                           TimePoint Now) {
+  PoisonRequestUpdate Taken;
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const RequestEnd &End : News.Ends) {
     const bool WasHeld =
-        this->Table.judge(End.Request, Now) != SuspectVerdict::Free;
-    if (!this->Table.noteEnd(End, false, Now))
+        this->Table.classify(End.Request, Now) != QuarantineVerdict::Allowed;
+    if (!this->Table.recordEnd(End, false, Now))
       continue;
     Taken.Ends.push_back(End);
     this->logChange(End.Request, WasHeld, Now);
   }
   for (const RequestAnswer &Answer : News.Answers) {
     const bool WasHeld =
-        this->Table.judge(Answer.Request, Now) != SuspectVerdict::Free;
-    if (!this->Table.notePeerAnswer(Answer))
+        this->Table.classify(Answer.Request, Now) != QuarantineVerdict::Allowed;
+    if (!this->Table.applyPeerAnswer(Answer))
       continue;
     Taken.Answers.push_back(Answer);
     this->logChange(Answer.Request, WasHeld, Now);
@@ -159,38 +164,39 @@
   return Taken;
 }
 
-SuspectNews RequestGuard::makeNews(size_t MaxRows, TimePoint Now) const {
+PoisonRequestUpdate RequestGuard::buildUpdate(size_t MaxRows,
+                                              TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Table.makeNews(MaxRows, Now);
+  return this->Table.buildUpdate(MaxRows, Now);
 }
 
-void RequestGuard::takeRecords(const std::vector<SuspectRecord> &Records,
-                               TimePoint Now) {
+void RequestGuard::applyRecords(const std::vector<PoisonRequestRecord> &Records,
+                                TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const size_t Before = this->Table.countHeld();
-  this->Table.takeRecords(Records, Now);
-  const size_t After = this->Table.countHeld();
+  const size_t Before = this->Table.countQuarantined();
+  this->Table.applyRecords(Records, Now);
+  const size_t After = this->Table.countQuarantined();
   if (Before != After)
     logInfo("suspects-read", "records={} held={} before={}", Records.size(),
             After, Before);
 }
 
-void RequestGuard::loseRecords() {
+void RequestGuard::invalidateRecords() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Table.loseRecords();
+  this->Table.invalidateRecords();
 }
 
-std::vector<SuspectRecord> RequestGuard::listUnrecorded() const {
+std::vector<PoisonRequestRecord> RequestGuard::listUnrecorded() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.listUnrecorded();
 }
 
-std::vector<RequestDigest> RequestGuard::listCleared() const {
+std::vector<RequestFingerprint> RequestGuard::listCleared() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.listCleared();
 }
 
-std::vector<SuspectStatus> RequestGuard::describe() const {
+std::vector<PoisonRequestStatus> RequestGuard::describe() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.describe();
 }
--- a/lib/Proxy/RequestOrganisation.cpp
+++ b/lib/Proxy/RequestOrganisation.cpp
@@ -97,7 +97,7 @@
 }
 
 bool RequestProxy::admitOrganisation(Flow &Request) {
-  const AllowanceAnswer Answer =
+  const QuotaAnswer Answer =
       this->Organisations.admit(Request.Organisation, Request.Began);
   Request.IsCounted = Answer.IsAdmitted;
   if (Answer.IsAdmitted)
@@ -110,7 +110,7 @@
           "wait-ms={} limit={:.1f} fleet-asked={:.1f} tokens={:.1f}",
           Request.CallerId, Request.Route->Name, Request.Organisation,
           getName(Refusal::OrganisationRate), toMillis(Answer.Wait),
-          Answer.Limit, Answer.FleetAsked, Answer.Tokens);
+          Answer.Limit, Answer.FleetDemand, Answer.Tokens);
   Request.Exchange.MustClose = true;
   return false;
 }
--- a/lib/Proxy/RequestProxy.cpp
+++ b/lib/Proxy/RequestProxy.cpp
@@ -101,8 +101,8 @@
   HttpExchange &Exchange = Request.Exchange;
   if (!Request.Fleet) {
     this->refuse(Exchange, 503, RunOutcome::NotRun, "no-settings",
-                 chooseSettingsWait(Request.Began - this->Started,
-                                    drawFraction(Request.CallerId)));
+                 computeSettingsRetryAfter(Request.Began - this->Started,
+                                           drawFraction(Request.CallerId)));
     logInfo("request", "id={} outcome=not-run reason=no-settings",
             Request.CallerId);
     Exchange.MustClose = true;
@@ -190,7 +190,7 @@
     return Counter::RefusedDeadline;
   case Refusal::NoServer:
     return Counter::RefusedNoServer;
-  case Refusal::HeldBack:
+  case Refusal::Quarantined:
     return Counter::RefusedHeldBack;
   case Refusal::OrganisationRate:
     return Counter::RefusedOrganisationRate;
@@ -243,7 +243,7 @@
 /// it.
 void RequestProxy::refuseHeldBack(Flow &Request) {
   this->Counters.add(Counter::RefusedHeldBack);
-  Request.Reason = getName(Refusal::HeldBack);
+  Request.Reason = getName(Refusal::Quarantined);
   this->refuse(Request.Exchange, 503, RunOutcome::NotRun, Request.Reason,
                chooseHeldWait(Request.CallerId, Request.HeldWait));
 }
--- a/lib/Proxy/ServiceRepeats.cpp
+++ b/lib/Proxy/ServiceRepeats.cpp
@@ -26,16 +26,16 @@
   return Chances.InTime + LateWorth * (Chances.AtAll - Chances.InTime);
 }
 
-FleetRepeatBudgetRef
+FleetRetryBudgetRef
 ServiceRuntime::makeRepeats(const DaemonIdentity &Identity,
                             const ServiceRuntime *Previous) const {
   if (Identity.Source != SettingsSource::Platform)
     return nullptr;
-  FleetRepeatBudgetRef Budget;
+  FleetRetryBudgetRef Budget;
   if (Previous)
     Budget = Previous->FleetRepeats;
   if (!Budget)
-    Budget.reset(new FleetRepeatBudget(Identity.Repeats, Identity.Started));
+    Budget.reset(new FleetRetryBudget(Identity.Repeats, Identity.Started));
   return Budget;
 }
 
--- a/lib/Proxy/ServiceRuntime.cpp
+++ b/lib/Proxy/ServiceRuntime.cpp
@@ -201,7 +201,7 @@
                               TimePoint Now, Duration &Wait) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Wait = BusyWait;
-  if (!hasChance(Left, this->Latency.getMedian(Route)))
+  if (!canMeetDeadline(Left, this->Latency.getMedian(Route)))
     return Refusal::DeadlineTooShort;
   if (const std::optional<Duration> Held = this->getHeldWait(Now)) {
     Wait = std::clamp(*Held, LeastHeldWait, MostHeldWait);
@@ -209,9 +209,9 @@
   }
   if (!this->InFlight.tryBegin())
     return Refusal::ServiceBusy;
-  this->Retries.noteRequest(Now);
+  this->Retries.recordRequest(Now);
   if (this->FleetRepeats)
-    this->FleetRepeats->noteRequest(Now);
+    this->FleetRepeats->recordRequest(Now);
   return Refusal::None;
 }
 
--- a/unittests/Admission/HeardFleetTest.cpp
+++ b/unittests/Admission/FleetLivenessTest.cpp
@@ -1,4 +1,4 @@
-//===- HeardFleetTest.cpp - Tests of which daemons are heard --------------===//
+//===- FleetLivenessTest.cpp - Tests of which daemons are heard -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/HeardFleet.h"
+#include "canvaswick/Admission/FleetLiveness.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -16,87 +16,87 @@
 static const TimePoint Begin = TimePoint{} + fromSeconds(1000);
 
 /// A daemon among so many others of its hall and one other hall of five.
-static HeardFleet makeFleet(size_t Near) {
+static FleetLiveness makeFleet(size_t Near) {
   std::vector<std::string> Names;
   Names.reserve(Near);
   for (size_t I = 0; I < Near; ++I)
     Names.push_back(fmt::format("d{:02}", I));
-  HeardFleet Fleet;
+  FleetLiveness Fleet;
   Fleet.setFleet(Names, {{"far", 5}}, Begin);
   return Fleet;
 }
 
 TEST_CASE("a fleet is this daemon, its hall's and the other halls'") {
-  const HeardFleet Fleet = makeFleet(10);
-  CHECK(Fleet.countAll() == 16);
-  CHECK(Fleet.countNear() == 10);
+  const FleetLiveness Fleet = makeFleet(10);
+  CHECK(Fleet.countDaemons() == 16);
+  CHECK(Fleet.countHallPeers() == 10);
 }
 
 TEST_CASE("nobody is silent before there was time to speak") {
-  const HeardFleet Fleet = makeFleet(10);
+  const FleetLiveness Fleet = makeFleet(10);
   CHECK(Fleet.countSilent(Begin + fromMillis(100)) == 0);
 }
 
 TEST_CASE("who misses some messages is silent, and is heard again") {
-  HeardFleet Fleet = makeFleet(2);
+  FleetLiveness Fleet = makeFleet(2);
   TimePoint Now = Begin;
   for (int I = 0; I < 12; ++I) {
-    Now += SpeakInterval;
-    Fleet.hearPeer("d00", Now);
-    Fleet.hearHall("far", Now);
+    Now += QuotaReportInterval;
+    Fleet.recordPeerMessage("d00", Now);
+    Fleet.recordHallMessage("far", Now);
   }
   CHECK(Fleet.countSilent(Now) == 1);
-  Fleet.hearPeer("d01", Now);
+  Fleet.recordPeerMessage("d01", Now);
   CHECK(Fleet.countSilent(Now) == 0);
   // A hall that is silent counts with all its daemons.
   for (int I = 0; I < 12; ++I) {
-    Now += SpeakInterval;
-    Fleet.hearPeer("d00", Now);
-    Fleet.hearPeer("d01", Now);
+    Now += QuotaReportInterval;
+    Fleet.recordPeerMessage("d00", Now);
+    Fleet.recordPeerMessage("d01", Now);
   }
   CHECK(Fleet.countSilent(Now) == 5);
 }
 
 TEST_CASE("who hears nobody of a large hall is cut off within 0.3 s") {
-  HeardFleet Fleet = makeFleet(37);
+  FleetLiveness Fleet = makeFleet(37);
   for (size_t I = 0; I < 37; ++I)
-    Fleet.hearPeer(fmt::format("d{:02}", I), Begin);
-  Fleet.hearHall("far", Begin);
+    Fleet.recordPeerMessage(fmt::format("d{:02}", I), Begin);
+  Fleet.recordHallMessage("far", Begin);
   CHECK_FALSE(Fleet.isIsolated(Begin + fromMillis(200)));
   CHECK(Fleet.isIsolated(Begin + fromMillis(300)));
   CHECK(Fleet.countSilent(Begin + fromMillis(300)) == 42);
   // One message of any shows that it was for a moment only.
-  Fleet.hearPeer("d05", Begin + fromMillis(300));
+  Fleet.recordPeerMessage("d05", Begin + fromMillis(300));
   CHECK(Fleet.countSilent(Begin + fromMillis(310)) == 0);
 }
 
 TEST_CASE("a daemon that has no other of its hall is never cut off from them") {
-  const HeardFleet Fleet = makeFleet(0);
+  const FleetLiveness Fleet = makeFleet(0);
   CHECK_FALSE(Fleet.isIsolated(Begin + fromSeconds(100)));
 }
 
 TEST_CASE("who is not listed any more is not missed") {
-  HeardFleet Fleet = makeFleet(2);
+  FleetLiveness Fleet = makeFleet(2);
   Fleet.setFleet({"d00"}, {}, Begin);
-  CHECK(Fleet.countAll() == 2);
-  Fleet.hearPeer("d00", Begin + fromSeconds(10));
+  CHECK(Fleet.countDaemons() == 2);
+  Fleet.recordPeerMessage("d00", Begin + fromSeconds(10));
   CHECK(Fleet.countSilent(Begin + fromSeconds(10)) == 0);
 }
 
 TEST_CASE("who has left is gone, and its place is another's") {
-  HeardFleet Fleet = makeFleet(2);
-  const size_t Kept = Fleet.countKept();
+  FleetLiveness Fleet = makeFleet(2);
+  const size_t Kept = Fleet.countTracked();
   for (int I = 0; I < 100; ++I) {
     const TimePoint Now = Begin + fromSeconds(10 * (I + 1));
     Fleet.setFleet({"d00", fmt::format("new-{}", I)}, {{"far", 5}}, Now);
-    Fleet.hearPeer("d00", Now);
-    Fleet.forgetGone(Now);
+    Fleet.recordPeerMessage("d00", Now);
+    Fleet.forgetDeparted(Now);
   }
-  CHECK(Fleet.countKept() <= Kept + 1);
+  CHECK(Fleet.countTracked() <= Kept + 1);
   // One that is heard before it is listed has just come.
   const TimePoint Now = Begin + fromSeconds(5000);
-  const size_t Early = Fleet.findSource("early", false, Now);
-  Fleet.hearPeer("early", Now);
-  CHECK_FALSE(Fleet.isGone(Fleet.get(Early), Now + fromMillis(100)));
-  CHECK(Fleet.isGone(Fleet.get(Early), Now + fromSeconds(10)));
+  const size_t Early = Fleet.findOrAddSource("early", false, Now);
+  Fleet.recordPeerMessage("early", Now);
+  CHECK_FALSE(Fleet.hasLeft(Fleet.get(Early), Now + fromMillis(100)));
+  CHECK(Fleet.hasLeft(Fleet.get(Early), Now + fromSeconds(10)));
 }
--- a/unittests/Admission/FleetAllowanceTest.cpp
+++ b/unittests/Admission/FleetQuotaTest.cpp
@@ -1,4 +1,4 @@
-//===- FleetAllowanceTest.cpp - Tests of organisations' rates ------------===//
+//===- FleetQuotaTest.cpp - Tests of organisations' rates -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/FleetAllowance.h"
+#include "canvaswick/Admission/FleetQuota.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -27,9 +27,9 @@
   return makeOrganisationDirectory({{Name, Rate, Burst, {}, {}}}, true);
 }
 
-static FleetAllowance makeAlone(double Rate, double Burst,
-                                const std::string &Name = "o") {
-  FleetAllowance Allowance(NoSlack, Begin, 0);
+static FleetQuota makeAlone(double Rate, double Burst,
+                            const std::string &Name = "o") {
+  FleetQuota Allowance(NoSlack, Begin, 0);
   Allowance.configure(makeOne(Rate, Burst, Name), Begin);
   return Allowance;
 }
@@ -38,13 +38,13 @@
   CHECK(rc::check([] {
     const int Rate = *rc::gen::inRange(1, 50);
     const int Burst = *rc::gen::inRange(1, 50);
-    FleetAllowance Allowance = makeAlone(Rate, Burst);
+    FleetQuota Allowance = makeAlone(Rate, Burst);
     TimePoint Now = Begin;
     int Admitted = 0;
     const int Steps = *rc::gen::inRange(1, 200);
     for (int I = 0; I < Steps; ++I) {
       Now += fromMillis(*rc::gen::inRange(0, 100));
-      const AllowanceAnswer Answer = Allowance.admit("o", Now);
+      const QuotaAnswer Answer = Allowance.admit("o", Now);
       Admitted += Answer.IsAdmitted ? 1 : 0;
       RC_ASSERT(Answer.Wait >= Duration::zero());
       if (*rc::gen::inRange(0, 10) == 0)
@@ -55,9 +55,9 @@
 }
 
 TEST_CASE("the wait that a daemon alone tells is long enough, and no longer") {
-  FleetAllowance Allowance = makeAlone(2, 1);
+  FleetQuota Allowance = makeAlone(2, 1);
   CHECK(Allowance.admit("o", Begin).IsAdmitted);
-  const AllowanceAnswer Refused = Allowance.admit("o", Begin);
+  const QuotaAnswer Refused = Allowance.admit("o", Begin);
   CHECK_FALSE(Refused.IsAdmitted);
   CHECK(Refused.Wait == fromMillis(500));
   CHECK(Allowance.admit("o", Begin + Refused.Wait).IsAdmitted);
@@ -68,26 +68,26 @@
   All.reserve(1000);
   for (int I = 0; I < 1000; ++I)
     All.push_back({fmt::format("o{}", I), 10, 10, {}, {}});
-  FleetAllowance Allowance(NoSlack, Begin, 0);
+  FleetQuota Allowance(NoSlack, Begin, 0);
   Allowance.configure(makeOrganisationDirectory(All, true), Begin);
   for (const OrganisationConfig &Each : All)
     CHECK(Allowance.admit(Each.Name, Begin).IsAdmitted);
-  CHECK(Allowance.countRemembered() == 1000);
+  CHECK(Allowance.countAccounts() == 1000);
   Allowance.forgetIdle(Begin + fromSeconds(60));
-  CHECK(Allowance.countRemembered() == 0);
+  CHECK(Allowance.countAccounts() == 0);
 }
 
 TEST_CASE("callers of no organisation have the limits called default") {
-  FleetAllowance Allowance = makeAlone(1, 1, DefaultOrganisation);
+  FleetQuota Allowance = makeAlone(1, 1, DefaultOrganisation);
   CHECK(Allowance.admit("", Begin).IsAdmitted);
   CHECK_FALSE(Allowance.admit("", Begin).IsAdmitted);
-  FleetAllowance Free = makeAlone(1, 1);
+  FleetQuota Free = makeAlone(1, 1);
   for (int I = 0; I < 100; ++I)
     CHECK(Free.admit("", Begin).IsAdmitted);
 }
 
 TEST_CASE("no rate is no limit, and a rate that is taken away binds no more") {
-  FleetAllowance Allowance = makeAlone(0, 0);
+  FleetQuota Allowance = makeAlone(0, 0);
   CHECK_FALSE(Allowance.hasLimits());
   for (int I = 0; I < 100; ++I)
     CHECK(Allowance.admit("o", Begin).IsAdmitted);
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("what was not run is taken off again") {
-  FleetAllowance Allowance = makeAlone(1, 1);
+  FleetQuota Allowance = makeAlone(1, 1);
   for (int I = 0; I < 10; ++I) {
     CHECK(Allowance.admit("o", Begin).IsAdmitted);
     Allowance.giveBack("o", Begin);
@@ -108,7 +108,7 @@
 }
 
 TEST_CASE("a change of other organisations leaves a bucket as it is") {
-  FleetAllowance Allowance = makeAlone(1, 3);
+  FleetQuota Allowance = makeAlone(1, 3);
   CHECK(Allowance.admit("o", Begin).IsAdmitted);
   Allowance.configure(makeOrganisationDirectory(
                           {{"o", 1, 3, {}, {}}, {"p", 1, 1, {}, {}}}, true),
@@ -136,7 +136,7 @@
 public:
   OneDaemon(double Rate, double Burst)
       : Allowance(UsersBounds, Begin - fromSeconds(100), 0.5) {
-    this->Allowance.getHeard().setFleet({"d2", "d3"}, {{"h2", 3}}, Begin);
+    this->Allowance.getLiveness().setFleet({"d2", "d3"}, {{"h2", 3}}, Begin);
     this->Allowance.configure(makeOne(Rate, Burst), Begin);
   }
 
@@ -149,10 +149,10 @@
       this->FarCount += FarRate / 10;
       const OrganisationId Id = getOrganisationId("o");
       for (const char *Peer : {"d2", "d3"})
-        this->Allowance.takePeerLevels(
+        this->Allowance.applyPeerUsage(
             Peer, {{Id, NearRate, static_cast<int64_t>(this->NearCount)}},
             this->Now);
-      this->Allowance.takeHallLevels(
+      this->Allowance.applyHallUsage(
           "h2", "t", {{Id, FarRate, static_cast<int64_t>(this->FarCount)}},
           this->Now);
     }
@@ -165,7 +165,7 @@
     return Admitted;
   }
 
-  FleetAllowance Allowance;
+  FleetQuota Allowance;
   TimePoint Now = Begin;
   double NearCount = 0;
   double FarCount = 0;
@@ -204,14 +204,14 @@
   const OrganisationId Id = getOrganisationId("o");
   for (int I = 1; I <= 100; ++I) {
     Once.Now = Twice.Now = Begin + fromMillis(100 * I);
-    const std::vector<AllowanceLevel> Told = {{Id, 100, 10 * I}};
-    Once.Allowance.takePeerLevels("d2", Told, Once.Now);
-    Twice.Allowance.takePeerLevels("d2", Told, Twice.Now);
-    Twice.Allowance.takePeerLevels("d2", Told, Twice.Now);
+    const std::vector<QuotaUsage> Told = {{Id, 100, 10 * I}};
+    Once.Allowance.applyPeerUsage("d2", Told, Once.Now);
+    Twice.Allowance.applyPeerUsage("d2", Told, Twice.Now);
+    Twice.Allowance.applyPeerUsage("d2", Told, Twice.Now);
     // Every third is lost.
     if (I % 3 != 0)
-      Twice.Allowance.takePeerLevels("d3", {{Id, 0, 0}}, Twice.Now);
-    Once.Allowance.takePeerLevels("d3", {{Id, 0, 0}}, Once.Now);
+      Twice.Allowance.applyPeerUsage("d3", {{Id, 0, 0}}, Twice.Now);
+    Once.Allowance.applyPeerUsage("d3", {{Id, 0, 0}}, Once.Now);
   }
   const double Tokens = Once.Allowance.describe(1, Once.Now)[0].Tokens;
   CHECK(Twice.Allowance.describe(1, Twice.Now)[0].Tokens ==
@@ -276,7 +276,7 @@
   for (int I = 0; I < 50; ++I) {
     Fleet.pass(fromMillis(100), 10, 10);
     for (int K = 0; K < 5; ++K) {
-      const AllowanceAnswer Answer = Fleet.Allowance.admit("o", Fleet.Now);
+      const QuotaAnswer Answer = Fleet.Allowance.admit("o", Fleet.Now);
       if (!Answer.IsAdmitted)
         Waits.push_back(Answer.Wait);
     }
@@ -291,13 +291,14 @@
 TEST_CASE("a daemon tells what was asked until that has faded") {
   OneDaemon Fleet(100, 100);
   CHECK(Fleet.askMany(3) == 3);
-  std::vector<AllowanceLevel> News = Fleet.Allowance.takeNews(10, Fleet.Now);
+  std::vector<QuotaUsage> News =
+      Fleet.Allowance.drainUsageChanges(10, Fleet.Now);
   REQUIRE(News.size() == 1);
   CHECK(News[0].Admitted == 3);
-  CHECK(News[0].Asked > 0);
+  CHECK(News[0].Demand > 0);
   for (int I = 0; I < 100 && !News.empty(); ++I) {
     Fleet.Now += fromMillis(100);
-    News = Fleet.Allowance.takeNews(10, Fleet.Now);
+    News = Fleet.Allowance.drainUsageChanges(10, Fleet.Now);
   }
   CHECK(News.empty());
 }
@@ -305,48 +306,48 @@
 TEST_CASE("the first daemon that is heard tells of its hall") {
   OneDaemon Fleet(100, 100);
   Fleet.pass(fromSeconds(1), 0, 0);
-  CHECK(Fleet.Allowance.getHeard().isFirst("d1", Fleet.Now));
-  CHECK_FALSE(Fleet.Allowance.getHeard().isFirst("d9", Fleet.Now));
+  CHECK(Fleet.Allowance.getLiveness().isHallReporter("d1", Fleet.Now));
+  CHECK_FALSE(Fleet.Allowance.getLiveness().isHallReporter("d9", Fleet.Now));
   Fleet.Now += fromSeconds(5);
-  CHECK(Fleet.Allowance.getHeard().isFirst("d9", Fleet.Now));
+  CHECK(Fleet.Allowance.getLiveness().isHallReporter("d9", Fleet.Now));
 }
 
 TEST_CASE("what a daemon asked that has left is not asked any more") {
   OneDaemon Fleet(100, 100);
   Fleet.pass(fromSeconds(5), 40, 5);
   // One of the two that asked much is gone from the list for good.
-  Fleet.Allowance.getHeard().setFleet({"d3"}, {{"h2", 3}}, Fleet.Now);
+  Fleet.Allowance.getLiveness().setFleet({"d3"}, {{"h2", 3}}, Fleet.Now);
   for (int I = 0; I < 50; ++I) {
     Fleet.Now += fromMillis(100);
-    Fleet.Allowance.takePeerLevels("d3", {}, Fleet.Now);
-    Fleet.Allowance.takeHallLevels("h2", "t", {}, Fleet.Now);
+    Fleet.Allowance.applyPeerUsage("d3", {}, Fleet.Now);
+    Fleet.Allowance.applyHallUsage("h2", "t", {}, Fleet.Now);
   }
   CHECK(Fleet.askMany(1) == 1);
   // 40 of the one that is there, 5 of the other hall, 4 that one request looks
   // like.
-  CHECK(Fleet.Allowance.describe(1, Fleet.Now)[0].FleetAsked < 40 + 5 + 5);
+  CHECK(Fleet.Allowance.describe(1, Fleet.Now)[0].FleetDemand < 40 + 5 + 5);
   Fleet.Allowance.forgetIdle(Fleet.Now);
-  CHECK(Fleet.Allowance.describe(1, Fleet.Now)[0].FleetAsked < 40 + 5 + 5);
+  CHECK(Fleet.Allowance.describe(1, Fleet.Now)[0].FleetDemand < 40 + 5 + 5);
 }
 
 TEST_CASE("what others admitted before they were first heard is charged") {
   // All started together a moment ago. The bucket holds 7 at most then; the
   // others tell of 20 requests that they have admitted.
-  FleetAllowance Allowance(UsersBounds, Begin, 0);
+  FleetQuota Allowance(UsersBounds, Begin, 0);
   Allowance.configure(makeOne(8, 8), Begin);
   std::vector<std::string> Others;
   Others.reserve(20);
   for (int I = 0; I < 20; ++I)
     Others.push_back(fmt::format("d{}", I));
-  Allowance.getHeard().setFleet(Others, {}, Begin);
+  Allowance.getLiveness().setFleet(Others, {}, Begin);
   const TimePoint Now = Begin + fromMillis(250);
   for (const std::string &Each : Others)
-    Allowance.takePeerLevels(Each, {{getOrganisationId("o"), 4, 1}}, Now);
+    Allowance.applyPeerUsage(Each, {{getOrganisationId("o"), 4, 1}}, Now);
   CHECK_FALSE(Allowance.admit("o", Now).IsAdmitted);
   // Of a busy daemon that has long run only what it was asked of late counts.
-  FleetAllowance Late(UsersBounds, Begin, 0);
+  FleetQuota Late(UsersBounds, Begin, 0);
   Late.configure(makeOne(100, 100), Begin);
-  Late.getHeard().setFleet({"d0"}, {}, Begin);
-  Late.takePeerLevels("d0", {{getOrganisationId("o"), 4, 100000}}, Now);
+  Late.getLiveness().setFleet({"d0"}, {}, Begin);
+  Late.applyPeerUsage("d0", {{getOrganisationId("o"), 4, 100000}}, Now);
   CHECK(Late.admit("o", Now).IsAdmitted);
 }
--- a/unittests/Admission/FleetRepeatBudgetTest.cpp
+++ b/unittests/Admission/FleetRetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-//===- FleetRepeatBudgetTest.cpp - Tests of the fleet's budget of repeats -===//
+//===- FleetRetryBudgetTest.cpp - Tests of the fleet's budget of repeats --===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/FleetRepeatBudget.h"
+#include "canvaswick/Admission/FleetRetryBudget.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -26,14 +26,14 @@
 static constexpr TimePoint Start{fromSeconds(1000)};
 
 TEST_CASE("repeats follow the daemon's own requests and its part of the rest") {
-  FleetRepeatBudget Budget(Allowance, Start);
+  FleetRetryBudget Budget(Allowance, Start);
   Budget.configure(Allowance, 40, 0);
   const TimePoint Later = Start + fromSeconds(20);
   // 58 * 0.8 / 40 = 1.16 without any request.
   CHECK(Budget.tryTake(Later));
   CHECK_FALSE(Budget.tryTake(Later));
   for (int I = 0; I < 50; ++I)
-    Budget.noteRequest(Later);
+    Budget.recordRequest(Later);
   int Taken = 0;
   while (Budget.tryTake(Later))
     ++Taken;
@@ -43,13 +43,13 @@
 }
 
 TEST_CASE("a process that has just started takes nothing of the reserve") {
-  FleetRepeatBudget Budget(Allowance, Start);
+  FleetRetryBudget Budget(Allowance, Start);
   CHECK_FALSE(Budget.tryTake(Start + fromSeconds(9)));
   CHECK(Budget.tryTake(Start + fromSeconds(11)));
 }
 
 TEST_CASE("fewer daemons in view do not raise a daemon's part") {
-  FleetRepeatBudget Budget(Allowance, Start);
+  FleetRetryBudget Budget(Allowance, Start);
   Budget.configure(Allowance, 40, 0);
   Budget.configure(Allowance, 3, 0);
   CHECK(Budget.getAllowed(Start + fromSeconds(20)) < 2);
@@ -57,22 +57,22 @@
 
 TEST_CASE("a right that is lent is gone here, and used within its life") {
   const TimePoint Later = Start + fromSeconds(20);
-  FleetRepeatBudget Lender(Allowance, Start);
+  FleetRetryBudget Lender(Allowance, Start);
   Lender.configure(Allowance, 20, 0);
   // 58 * 0.8 / 20 = 2.32.
   CHECK(Lender.tryLend(Later));
   CHECK(Lender.tryTake(Later));
   CHECK_FALSE(Lender.tryLend(Later));
   CHECK_FALSE(Lender.tryTake(Later));
-  FleetRepeatBudget Short(Allowance, Start);
+  FleetRetryBudget Short(Allowance, Start);
   Short.configure(Allowance, 100, 0);
   CHECK_FALSE(Short.tryTake(Later));
-  Short.borrow(Later + LoanLife);
+  Short.borrow(Later + LoanTimeout);
   CHECK(Short.hasRoom(Later));
   CHECK(Short.tryTake(Later));
   CHECK_FALSE(Short.tryTake(Later));
-  Short.borrow(Later + LoanLife);
-  CHECK_FALSE(Short.tryTake(Later + LoanLife + fromMillis(1)));
+  Short.borrow(Later + LoanTimeout);
+  CHECK_FALSE(Short.tryTake(Later + LoanTimeout + fromMillis(1)));
 }
 
 namespace {
@@ -85,7 +85,7 @@
 
 /// A fleet with an oracle that has seen every request and repeat.
 struct Fleet {
-  std::vector<std::unique_ptr<FleetRepeatBudget>> Daemons;
+  std::vector<std::unique_ptr<FleetRetryBudget>> Daemons;
   std::vector<TimePoint> Requests;
   std::vector<TimePoint> Repeats;
 
@@ -121,7 +121,7 @@
     static constexpr size_t Count = 12;
     for (size_t I = 0; I < Count; ++I) {
       Under.Daemons.push_back(
-          std::make_unique<FleetRepeatBudget>(Allowance, Start));
+          std::make_unique<FleetRetryBudget>(Allowance, Start));
       Under.Daemons[I]->configure(Allowance, Count, I);
     }
     std::vector<LoanOnItsWay> Loans;
@@ -135,7 +135,7 @@
       if (Kind == 0) {
         // A restart forgets what was sent.
         Under.Daemons[Which] =
-            std::make_unique<FleetRepeatBudget>(Allowance, Now);
+            std::make_unique<FleetRetryBudget>(Allowance, Now);
         Under.Daemons[Which]->configure(Allowance, Count, Which);
       } else if (Kind == 1) {
         Under.Daemons[Which]->configure(Allowance, 1 + Which, Which);
@@ -143,13 +143,13 @@
         // A peer lends; its answer may take its time, or never come.
         const size_t Lender = (Which + 1 + static_cast<size_t>(Kind)) % Count;
         if (Under.Daemons[Lender]->tryLend(Now) && Step % 7 != 0)
-          Loans.push_back({Which, Now + LoanLife});
+          Loans.push_back({Which, Now + LoanTimeout});
       } else if (Kind < 6) {
         for (const LoanOnItsWay &Loan : Loans)
           Under.Daemons[Loan.Borrower]->borrow(Loan.Until);
         Loans.clear();
       } else if (Kind < 12) {
-        Under.Daemons[Which]->noteRequest(Now);
+        Under.Daemons[Which]->recordRequest(Now);
         Under.Requests.push_back(Now);
       } else {
         while (Under.Daemons[Which]->tryTake(Now))
@@ -165,10 +165,10 @@
   const TimePoint Later = Start + fromSeconds(20);
   size_t Taken = 0;
   for (size_t I = 0; I < Count; ++I) {
-    FleetRepeatBudget Budget(Allowance, Start);
+    FleetRetryBudget Budget(Allowance, Start);
     Budget.configure(Allowance, Count, I);
     for (int J = 0; J < 7; ++J)
-      Budget.noteRequest(Later);
+      Budget.recordRequest(Later);
     while (Budget.tryTake(Later))
       ++Taken;
   }
--- a/unittests/Admission/LimitsTest.cpp
+++ b/unittests/Admission/LimitsTest.cpp
@@ -25,22 +25,22 @@
   int Repeats = 0;
   for (int I = 0; I < 10000; ++I) {
     Now += fromMillis(1);
-    Budget.noteRequest(Now);
+    Budget.recordRequest(Now);
     Repeats += Budget.tryTake(Now);
     Repeats += Budget.tryTake(Now);
   }
   CHECK(Repeats >= 950);
   CHECK(Repeats <= 1010);
   RetryBudget None(0);
-  None.noteRequest(Now);
+  None.recordRequest(Now);
   CHECK(!None.tryTake(Now + fromSeconds(1000)));
 }
 
 TEST_CASE("a request that cannot make its deadline has no chance") {
-  CHECK(!hasChance(Duration::zero(), Duration::zero()));
-  CHECK(hasChance(fromMillis(1), Duration::zero()));
-  CHECK(!hasChance(fromMillis(10), fromMillis(100)));
-  CHECK(hasChance(fromMillis(30), fromMillis(100)));
+  CHECK(!canMeetDeadline(Duration::zero(), Duration::zero()));
+  CHECK(canMeetDeadline(fromMillis(1), Duration::zero()));
+  CHECK(!canMeetDeadline(fromMillis(10), fromMillis(100)));
+  CHECK(canMeetDeadline(fromMillis(30), fromMillis(100)));
 }
 
 TEST_CASE("Retry-After is whole seconds, one at least") {
@@ -51,8 +51,8 @@
 
 TEST_CASE("callers stay away from a daemon without settings as long again") {
   const auto IsWithin = [](Duration Without, double Least, double Most) {
-    const Duration First = chooseSettingsWait(Without, 0);
-    const Duration Last = chooseSettingsWait(Without, 0.999);
+    const Duration First = computeSettingsRetryAfter(Without, 0);
+    const Duration Last = computeSettingsRetryAfter(Without, 0.999);
     CHECK(First >= fromSeconds(Least));
     CHECK(Last <= fromSeconds(Most));
     // They do not come back together.
--- a/unittests/Admission/RequestDigestTest.cpp
+++ b/unittests/Admission/RequestFingerprintTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestDigestTest.cpp - Tests of what equal requests share ---------===//
+//===- RequestFingerprintTest.cpp - Tests of what equal requests share ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Admission/RequestDigest.h"
+#include "canvaswick/Admission/RequestFingerprint.h"
 
 #include <doctest/doctest.h>
 
@@ -22,19 +22,20 @@
 TEST_CASE("a request has one digest wherever it arrives, and no other shares "
           "it") {
   const RequestParts Asked{"org", "GET", "a.example", "/x/1", "b"};
-  CHECK(digestRequest(Asked) == digestRequest(RequestParts(Asked)));
-  std::set<RequestDigest> All{digestRequest(Asked)};
+  CHECK(computeRequestFingerprint(Asked) ==
+        computeRequestFingerprint(RequestParts(Asked)));
+  std::set<RequestFingerprint> All{computeRequestFingerprint(Asked)};
   for (const auto Part :
        {&RequestParts::Organisation, &RequestParts::Method, &RequestParts::Host,
         &RequestParts::Target, &RequestParts::Body}) {
     RequestParts Other = Asked;
     Other.*Part = "other";
-    All.insert(digestRequest(Other));
+    All.insert(computeRequestFingerprint(Other));
   }
   CHECK(All.size() == 6);
 }
 
 TEST_CASE("where one part ends and the next begins makes a difference") {
-  CHECK(digestRequest({"", "GET", "a", "/x", ""}) !=
-        digestRequest({"", "GET", "a/", "x", ""}));
+  CHECK(computeRequestFingerprint({"", "GET", "a", "/x", ""}) !=
+        computeRequestFingerprint({"", "GET", "a/", "x", ""}));
 }
--- a/unittests/Daemon/AllowanceAgentTest.cpp
+++ b/unittests/Daemon/AllowanceAgentTest.cpp
@@ -30,15 +30,15 @@
     this->Config.Hall = "a";
     this->Gate.configure(
         makeOrganisationDirectory({{"o", 1, 20, {}, {}}}, true), Begin);
-    this->Gate.with([](FleetAllowance &All) {
-      All.getHeard().setFleet({"near"}, {{"b", 1}}, Begin);
+    this->Gate.with([](FleetQuota &All) {
+      All.getLiveness().setFleet({"near"}, {{"b", 1}}, Begin);
     });
   }
 
   /// Returns the tokens that are left as the agent's daemon sees it.
   double getTokens(TimePoint Now) {
-    return this->Gate.with([Now](FleetAllowance &All) {
-      const std::vector<AllowanceStatus> Known = All.describe(1, Now);
+    return this->Gate.with([Now](FleetQuota &All) {
+      const std::vector<QuotaStatus> Known = All.describe(1, Now);
       return Known.empty() ? 20 : Known[0].Tokens;
     });
   }
