--- a/unittests/Daemon/DirectoryCallsTest.cpp
+++ b/unittests/Daemon/DirectoryCallsTest.cpp
@@ -28,7 +28,7 @@
 static ItemChanges makeCopy() {
   std::mt19937_64 Random(1);
   ItemChanges Copy;
-  Copy.IsAll = true;
+  Copy.IsFull = true;
   Copy.AsOf = {0, 5000};
   for (int I = 0; I < 720; ++I)
     Copy.Items.push_back(
@@ -80,7 +80,7 @@
   const Result<ItemChanges> Back = decodeChanges(Packed);
   REQUIRE(Back);
   CHECK(Back.value().Items == Copy.Items);
-  CHECK(Back.value().IsAll);
+  CHECK(Back.value().IsFull);
   CHECK(Back.value().AsOf == Copy.AsOf);
 }
 
@@ -93,11 +93,11 @@
     return decodeChanges(Answerer.answer({{0, 3}, WantsLarge, {}})).value();
   };
   CHECK(Ask(true).Items.size() == 2);
-  CHECK_FALSE(Ask(true).IsPartial);
-  CHECK(Ask(false).IsPartial);
+  CHECK_FALSE(Ask(true).OmitsLarge);
+  CHECK(Ask(false).OmitsLarge);
   CHECK(Ask(false).Items == SmallNews.Items);
   HasRoom = false;
-  CHECK(Ask(true).IsPartial);
+  CHECK(Ask(true).OmitsLarge);
   CHECK(Ask(true).Items == SmallNews.Items);
 }
 
@@ -105,7 +105,7 @@
   ChangesAnswerer Answerer([](const ChangesRequest &) { return SmallNews; },
                            [] { return false; });
   CHECK_FALSE(
-      decodeChanges(Answerer.answer({{0, 3}, false, {}})).value().IsPartial);
+      decodeChanges(Answerer.answer({{0, 3}, false, {}})).value().OmitsLarge);
 }
 
 TEST_CASE("a whole copy is refused where there is no room, with a reason") {
@@ -175,7 +175,7 @@
   const ItemChanges Changes =
       decodeChanges(Answerer.answer({{0, 3}, false, {{"config", {0, 3}}}}))
           .value();
-  CHECK_FALSE(Changes.IsPartial);
+  CHECK_FALSE(Changes.OmitsLarge);
   CHECK(Changes.Items.size() == 1);
   REQUIRE(Changes.Deltas.size() == 1);
   ItemTable Behind;
@@ -187,7 +187,7 @@
   for (const ItemPositions &Held : {ItemPositions{{"config", {0, 2}}}, {}})
     CHECK(decodeChanges(Answerer.answer({{0, 3}, false, Held}))
               .value()
-              .IsPartial);
+              .OmitsLarge);
   ItemTable Other;
   Other.apply({"config", Config, {0, 2}, false});
   CHECK_FALSE(Other.resolve(Changes.Deltas[0]));
--- a/unittests/Daemon/PeerMessageTest.cpp
+++ b/unittests/Daemon/PeerMessageTest.cpp
@@ -150,13 +150,13 @@
 
 TEST_CASE("changes of a directory survive encoding") {
   ItemChanges Changes;
-  Changes.IsAll = true;
+  Changes.IsFull = true;
   Changes.AsOf = {0, 9};
   Changes.Items = {{"k", "value \"x\"", {0, 3}, false},
                    {"gone", "", {0, 4}, true}};
   Result<ItemChanges> Back = decodeChanges(encodeChanges(Changes));
   REQUIRE(Back);
-  CHECK(Back.value().IsAll);
+  CHECK(Back.value().IsFull);
   CHECK(Back.value().AsOf == StorePosition(0, 9));
   CHECK(Back.value().Items == Changes.Items);
 }
--- a/unittests/Daemon/SuspectNewsTest.cpp
+++ b/unittests/Daemon/SuspectNewsTest.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr RequestDigest Fatal = 7;
+constexpr RequestFingerprint Fatal = 7;
 
 /// How often each hall says again what it knows, and rows in a message.
 constexpr Duration Retelling = fromMillis(500);
@@ -85,37 +85,37 @@
 
   void ask() {
     const size_t Daemon = this->draw(this->Tables.size());
-    SuspectTable &Table = this->Tables[Daemon];
-    const SuspectVerdict Verdict = Table.judge(Fatal, this->Now);
-    if (Verdict == SuspectVerdict::HeldBack)
+    PoisonRequestTable &Table = this->Tables[Daemon];
+    const QuarantineVerdict Verdict = Table.classify(Fatal, this->Now);
+    if (Verdict == QuarantineVerdict::Quarantined)
       return;
-    if (Verdict == SuspectVerdict::TryDue && !this->claimTry(Table))
+    if (Verdict == QuarantineVerdict::ProbeDue && !this->claimTry(Table))
       return;
     ++this->Ends;
     if (this->Ends == 3)
       this->ThirdAt = this->Now;
     if (this->Ends > 3 && this->Now - this->ThirdAt > NewsTime)
       ++this->Late;
-    const RequestEnd End{Fatal, static_cast<EndedServer>(this->Ends),
+    const RequestEnd End{Fatal, static_cast<EndedServerId>(this->Ends),
                          this->Now - fromMillis(80), this->Now,
                          static_cast<uint32_t>(this->Random())};
-    Table.noteEnd(End, true, this->Now);
+    Table.recordEnd(End, true, this->Now);
     this->tell(Daemon, {{End}, {}});
   }
 
-  bool claimTry(SuspectTable &Table) {
-    const SuspectRecord Record = Table.getRecord(Fatal);
-    if (!this->Setup.HasStore || this->StoreTries > Record.Tries) {
-      Table.missTry(Fatal, this->Now);
+  bool claimTry(PoisonRequestTable &Table) {
+    const PoisonRequestRecord Record = Table.getRecord(Fatal);
+    if (!this->Setup.HasStore || this->StoreTries > Record.Probes) {
+      Table.postponeProbe(Fatal, this->Now);
       return false;
     }
-    this->StoreTries = Record.Tries + 1;
-    Table.grantTry(Fatal, this->Now);
+    this->StoreTries = Record.Probes + 1;
+    Table.recordProbe(Fatal, this->Now);
     return true;
   }
 
   /// Tells the hall of a daemon, and one daemon of each other, which passes on.
-  void tell(size_t Daemon, const SuspectNews &News) {
+  void tell(size_t Daemon, const PoisonRequestUpdate &News) {
     const SuspectReport Report = makeReport(News, this->Now);
     for (size_t Hall = 0; Hall < this->Setup.Halls; ++Hall) {
       const bool IsOwn = Hall == this->hallOf(Daemon);
@@ -128,18 +128,18 @@
   }
 
   void hear(size_t Daemon, const SuspectReport &Report) {
-    const SuspectNews News = readReport(Report, this->Now);
+    const PoisonRequestUpdate News = readReport(Report, this->Now);
     for (const RequestEnd &End : News.Ends)
-      this->Tables[Daemon].noteEnd(End, false, this->Now);
+      this->Tables[Daemon].recordEnd(End, false, this->Now);
     for (const RequestAnswer &Answer : News.Answers)
-      this->Tables[Daemon].notePeerAnswer(Answer);
+      this->Tables[Daemon].applyPeerAnswer(Answer);
   }
 
   void retell() {
     for (size_t Hall = 0; Hall < this->Setup.Halls; ++Hall) {
       const size_t Daemon = Hall * this->Setup.DaemonsOfHall +
                             this->draw(this->Setup.DaemonsOfHall);
-      this->tell(Daemon, this->Tables[Daemon].makeNews(Rows, this->Now));
+      this->tell(Daemon, this->Tables[Daemon].buildUpdate(Rows, this->Now));
     }
   }
 
@@ -147,11 +147,11 @@
   void exchangeRecords() {
     if (!this->Setup.HasStore)
       return;
-    for (SuspectTable &Each : this->Tables)
-      Each.takeRecords(this->Records, this->Now);
-    for (const SuspectTable &Each : this->Tables)
-      for (SuspectRecord &Record : Each.listUnrecorded()) {
-        Record.Tries = this->StoreTries;
+    for (PoisonRequestTable &Each : this->Tables)
+      Each.applyRecords(this->Records, this->Now);
+    for (const PoisonRequestTable &Each : this->Tables)
+      for (PoisonRequestRecord &Record : Each.listUnrecorded()) {
+        Record.Probes = this->StoreTries;
         mergeRecord(this->Records, std::move(Record),
                     toMillis(this->Now - TimePoint()));
       }
@@ -159,12 +159,12 @@
 
   const FleetSetup Setup;
   std::mt19937 Random;
-  std::vector<SuspectTable> Tables;
+  std::vector<PoisonRequestTable> Tables;
   TimePoint Now{fromSeconds(100000)};
   size_t Ends = 0;
   size_t Late = 0;
   TimePoint ThirdAt{};
-  std::vector<SuspectRecord> Records;
+  std::vector<PoisonRequestRecord> Records;
   int StoreTries = 0;
 };
 
--- a/unittests/Daemon/SuspectReportTest.cpp
+++ b/unittests/Daemon/SuspectReportTest.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-constexpr RequestDigest Fatal = 0xfedcba9876543210;
+constexpr RequestFingerprint Fatal = 0xfedcba9876543210;
 
 /// Returns an instant some seconds after an arbitrary start of both clocks.
 Instant at(double Seconds) {
@@ -33,11 +33,11 @@
           1000000000000 + toMillis(fromSeconds(Seconds))};
 }
 
-SuspectRecord makeRecord(RequestDigest Request, int Ends) {
-  SuspectRecord Record;
+PoisonRequestRecord makeRecord(RequestFingerprint Request, int Ends) {
+  PoisonRequestRecord Record;
   Record.Request = Request;
   for (int I = 0; I < Ends; ++I)
-    Record.Ends.push_back({Request, static_cast<EndedServer>(0xfffffff0 + I),
+    Record.Ends.push_back({Request, static_cast<EndedServerId>(0xfffffff0 + I),
                            at(I - 0.02).Steady, at(I).Steady,
                            static_cast<uint32_t>(I)});
   Record.ChangedMillis = at(Ends).CalendarMillis;
@@ -77,9 +77,9 @@
   explicit Reader(Shelf &Where) : Book(Where.open(Guard)) {}
 
   void see(int Server, double Ended) {
-    this->Guard.noteEnd({Fatal, static_cast<EndedServer>(Server),
-                         at(Ended - 0.02).Steady, at(Ended).Steady},
-                        at(Ended).Steady);
+    this->Guard.recordEnd({Fatal, static_cast<EndedServerId>(Server),
+                           at(Ended - 0.02).Steady, at(Ended).Steady},
+                          at(Ended).Steady);
   }
 
   CounterTable Counters;
@@ -90,9 +90,10 @@
 } // namespace
 
 TEST_CASE("records survive their text, to the millisecond") {
-  std::vector<SuspectRecord> Records{makeRecord(Fatal, 3), makeRecord(5, 2)};
-  Records[0].Tries = 4;
-  const Result<std::vector<SuspectRecord>> Back =
+  std::vector<PoisonRequestRecord> Records{makeRecord(Fatal, 3),
+                                           makeRecord(5, 2)};
+  Records[0].Probes = 4;
+  const Result<std::vector<PoisonRequestRecord>> Back =
       decodeRecords(encodeRecords(Records, at(10)), at(20));
   REQUIRE(Back);
   CHECK(Back.value() == Records);
@@ -100,7 +101,8 @@
 
 TEST_CASE("a clock that is off by hours makes no record of the future") {
   const std::string Text = encodeRecords({makeRecord(Fatal, 3)}, at(36000));
-  const Result<std::vector<SuspectRecord>> Back = decodeRecords(Text, at(0));
+  const Result<std::vector<PoisonRequestRecord>> Back =
+      decodeRecords(Text, at(0));
   REQUIRE(Back);
   CHECK(Back.value()[0].Ends.back().Ended <= at(36000).Steady);
 }
@@ -140,15 +142,15 @@
 }
 
 TEST_CASE("records merge, and old ones make room") {
-  std::vector<SuspectRecord> Records{makeRecord(Fatal, 2)};
-  SuspectRecord More = makeRecord(Fatal, 3);
+  std::vector<PoisonRequestRecord> Records{makeRecord(Fatal, 2)};
+  PoisonRequestRecord More = makeRecord(Fatal, 3);
   More.Ends.erase(More.Ends.begin());
-  More.Tries = 1;
+  More.Probes = 1;
   mergeRecord(Records, More, at(4).CalendarMillis);
   REQUIRE(Records.size() == 1);
   CHECK(Records[0].Ends.size() == 3);
-  CHECK(Records[0].Tries == 1);
-  for (RequestDigest Each = 100; Each < 200; ++Each)
+  CHECK(Records[0].Probes == 1);
+  for (RequestFingerprint Each = 100; Each < 200; ++Each)
     mergeRecord(Records, makeRecord(Each, 2), at(5).CalendarMillis);
   CHECK(Records.size() == 64);
   mergeRecord(Records, makeRecord(7, 2), at(24 * 3600).CalendarMillis);
@@ -165,7 +167,7 @@
     One.see(I, I);
   One.Book.runRound(at(3));
   REQUIRE(Two.Book.refresh(at(3)));
-  const SuspectRecord Known = Two.Guard.describe().at(0).Record;
+  const PoisonRequestRecord Known = Two.Guard.describe().at(0).Record;
   CHECK(Known.Ends.size() == 3);
   CHECK(One.Book.claimTry(Known, at(5)));
   // It has not heard of the first one's try yet.
@@ -234,7 +236,7 @@
   const auto Records = decodeRecords(Where.Page.Text, at(6));
   REQUIRE(Records);
   CHECK(std::any_of(Records.value().begin(), Records.value().end(),
-                    [](const SuspectRecord &Record) {
+                    [](const PoisonRequestRecord &Record) {
                       return Record.Request == Fatal && Record.Ends.size() == 3;
                     }));
 }
--- a/unittests/Directory/AheadPeersTest.cpp
+++ b/unittests/Directory/AheadPeersTest.cpp
@@ -27,11 +27,11 @@
   for (uint64_t Seed = 0; Seed < Daemons; ++Seed) {
     AheadPeers Peers(Seed);
     for (int I = 0; I < Sources; ++I)
-      CHECK(
-          Peers.note("p" + std::to_string(I), true, {0, 427}, {0, 421}, Start));
+      CHECK(Peers.recordPeer("p" + std::to_string(I), true, {0, 427}, {0, 421},
+                             Start));
     // One is a little further ahead than all others.
-    Peers.note("p0", true, {0, 428}, {0, 421}, Start);
-    ++Asked[*Peers.draw({0, 421}, Start)];
+    Peers.recordPeer("p0", true, {0, 428}, {0, 421}, Start);
+    ++Asked[*Peers.choosePeer({0, 421}, Start)];
   }
   CHECK(Asked.size() == Sources);
   for (const auto &[Name, Count] : Asked)
@@ -40,30 +40,30 @@
 
 TEST_CASE("peers of the own hall go first, and only those ahead count") {
   AheadPeers Peers(1);
-  CHECK_FALSE(Peers.note("near", true, {0, 5}, {0, 5}, Start));
-  CHECK_FALSE(Peers.draw({0, 5}, Start));
-  CHECK(Peers.note("far", false, {0, 6}, {0, 5}, Start));
-  CHECK(Peers.draw({0, 5}, Start) == "far");
-  CHECK(Peers.note("near", true, {0, 6}, {0, 5}, Start));
+  CHECK_FALSE(Peers.recordPeer("near", true, {0, 5}, {0, 5}, Start));
+  CHECK_FALSE(Peers.choosePeer({0, 5}, Start));
+  CHECK(Peers.recordPeer("far", false, {0, 6}, {0, 5}, Start));
+  CHECK(Peers.choosePeer({0, 5}, Start) == "far");
+  CHECK(Peers.recordPeer("near", true, {0, 6}, {0, 5}, Start));
   for (int I = 0; I < 20; ++I)
-    CHECK(Peers.draw({0, 5}, Start) == "near");
-  CHECK_FALSE(Peers.draw({0, 6}, Start));
+    CHECK(Peers.choosePeer({0, 5}, Start) == "near");
+  CHECK_FALSE(Peers.choosePeer({0, 6}, Start));
 }
 
 TEST_CASE("a peer that did not answer or fell silent is left alone") {
   AheadPeers Peers(1);
-  Peers.note("a", true, {0, 6}, {0, 5}, Start);
-  Peers.note("b", true, {0, 6}, {0, 5}, Start + fromSeconds(2));
+  Peers.recordPeer("a", true, {0, 6}, {0, 5}, Start);
+  Peers.recordPeer("b", true, {0, 6}, {0, 5}, Start + fromSeconds(2));
   Peers.forget("b");
-  CHECK(Peers.draw({0, 5}, Start + fromSeconds(2)) == "a");
-  CHECK_FALSE(Peers.draw({0, 5}, Start + fromSeconds(4)));
+  CHECK(Peers.choosePeer({0, 5}, Start + fromSeconds(2)) == "a");
+  CHECK_FALSE(Peers.choosePeer({0, 5}, Start + fromSeconds(4)));
 }
 
 TEST_CASE("it is known since when a daemon has been behind") {
   AheadPeers Peers(1);
   CHECK_FALSE(Peers.getBehindSince({0, 5}));
-  Peers.note("a", true, {0, 6}, {0, 5}, Start);
-  Peers.note("b", true, {0, 7}, {0, 5}, Start + fromSeconds(1));
+  Peers.recordPeer("a", true, {0, 6}, {0, 5}, Start);
+  Peers.recordPeer("b", true, {0, 7}, {0, 5}, Start + fromSeconds(1));
   CHECK(Peers.getBehindSince({0, 5}) == Start);
   CHECK_FALSE(Peers.getBehindSince({0, 7}));
 }
--- a/unittests/Directory/ItemTableTest.cpp
+++ b/unittests/Directory/ItemTableTest.cpp
@@ -92,9 +92,9 @@
       Newest[Item.Key] = Item;
     }
     // Removals are only safe in the store's order; other news in any.
-    std::erase_if(News, [](const StoreItem &Item) { return Item.IsGone; });
+    std::erase_if(News, [](const StoreItem &Item) { return Item.IsRemoved; });
     std::erase_if(Newest,
-                  [](const auto &Entry) { return Entry.second.IsGone; });
+                  [](const auto &Entry) { return Entry.second.IsRemoved; });
     ItemTable Table;
     for (auto Each = News.rbegin(); Each != News.rend(); ++Each)
       Table.apply(*Each);
--- a/unittests/Directory/TryWaitTest.cpp
+++ b/unittests/Directory/StoreBackoffTest.cpp
@@ -1,4 +1,4 @@
-//===- TryWaitTest.cpp - Tests of waits after the store has failed --------===//
+//===- StoreBackoffTest.cpp - Tests of waits after the store has failed ---===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Directory/TryWait.h"
+#include "canvaswick/Directory/StoreBackoff.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -21,10 +21,10 @@
 
 TEST_CASE("in a small hall waits double from 100 to 800 ms") {
   for (const size_t HallSize : {1, 12, 18}) {
-    CHECK(chooseTryWait(1, HallSize, 0) == fromMillis(50));
-    CHECK(chooseTryWait(1, HallSize, 0.999) <= fromMillis(100));
-    CHECK(chooseTryWait(4, HallSize, 0) == fromMillis(400));
-    CHECK(chooseTryWait(100, HallSize, 0.999) <= fromMillis(800));
+    CHECK(computeStoreBackoff(1, HallSize, 0) == fromMillis(50));
+    CHECK(computeStoreBackoff(1, HallSize, 0.999) <= fromMillis(100));
+    CHECK(computeStoreBackoff(4, HallSize, 0) == fromMillis(400));
+    CHECK(computeStoreBackoff(100, HallSize, 0.999) <= fromMillis(800));
   }
 }
 
@@ -32,7 +32,7 @@
     "halls up to 90 ask equally often, large ones from the first failure") {
   const auto GetRate = [](int Failures, size_t HallSize) {
     return static_cast<double>(HallSize) /
-           toSeconds(chooseTryWait(Failures, HallSize, 0.5));
+           toSeconds(computeStoreBackoff(Failures, HallSize, 0.5));
   };
   CHECK(GetRate(9, 18) == doctest::Approx(30));
   for (const int Failures : {1, 2, 9}) {
@@ -45,7 +45,7 @@
   CHECK(rc::check([](int Failures, size_t HallSize) {
     const double Draw = *rc::gen::map(rc::gen::inRange(0, 1000),
                                       [](int Part) { return Part / 1000.0; });
-    const Duration Wait = chooseTryWait(Failures, HallSize, Draw);
+    const Duration Wait = computeStoreBackoff(Failures, HallSize, Draw);
     RC_ASSERT(Wait >= fromMillis(50));
     RC_ASSERT(Wait <= fromSeconds(4));
   }));
--- a/unittests/Directory/StorePositionTest.cpp
+++ b/unittests/Directory/StorePositionTest.cpp
@@ -22,11 +22,11 @@
 
 TEST_CASE("an answer follows a copy, is outdated or shows a loss") {
   const StorePosition Copy(2, 50);
-  CHECK(compareAnswer(Copy, {2, 50}) == AnswerFit::Follows);
-  CHECK(compareAnswer(Copy, {2, 51}) == AnswerFit::Follows);
-  CHECK(compareAnswer(Copy, {2, 49}) == AnswerFit::HasLost);
-  CHECK(compareAnswer(Copy, {3, 51}) == AnswerFit::HasLost);
-  CHECK(compareAnswer(Copy, {9, 1}) == AnswerFit::HasLost);
-  CHECK(compareAnswer(Copy, {1, 900}) == AnswerFit::Outdated);
-  CHECK(compareAnswer({}, {4, 10}) == AnswerFit::Follows);
+  CHECK(compareAnswer(Copy, {2, 50}) == AnswerConsistency::Follows);
+  CHECK(compareAnswer(Copy, {2, 51}) == AnswerConsistency::Follows);
+  CHECK(compareAnswer(Copy, {2, 49}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Copy, {3, 51}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Copy, {9, 1}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Copy, {1, 900}) == AnswerConsistency::Outdated);
+  CHECK(compareAnswer({}, {4, 10}) == AnswerConsistency::Follows);
 }
--- a/unittests/Directory/WatchDutyTest.cpp
+++ b/unittests/Directory/WatchElectionTest.cpp
@@ -1,4 +1,4 @@
-//===- WatchDutyTest.cpp - Tests of who watches the store -----------------===//
+//===- WatchElectionTest.cpp - Tests of who watches the store -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Directory/WatchDuty.h"
+#include "canvaswick/Directory/WatchElection.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -31,17 +31,18 @@
 }
 
 /// Returns the duty of each daemon of a hall.
-static std::vector<WatchDuty> makeHall(const std::vector<std::string> &Names) {
-  std::vector<WatchDuty> Duties;
+static std::vector<WatchElection>
+makeHall(const std::vector<std::string> &Names) {
+  std::vector<WatchElection> Duties;
   for (const std::string &Name : Names) {
     Duties.emplace_back(Name);
-    Duties.back().setNear(Names, Start - fromSeconds(60));
+    Duties.back().setHallDaemons(Names, Start - fromSeconds(60));
   }
   return Duties;
 }
 
 /// Lets a hall run for a second, all hearing each other but for Silent.
-static std::vector<std::string> runHall(std::vector<WatchDuty> &Duties,
+static std::vector<std::string> runHall(std::vector<WatchElection> &Duties,
                                         const std::vector<std::string> &Names,
                                         const std::vector<std::string> &Silent,
                                         TimePoint &Now) {
@@ -54,8 +55,8 @@
       if (IsSilent || Duties[I].getRole(Now) == WatchRole::Follow)
         continue;
       Watching.push_back(Names[I]);
-      for (WatchDuty &Other : Duties)
-        Other.noteWatcher(Names[I], Now);
+      for (WatchElection &Other : Duties)
+        Other.recordWatcher(Names[I], Now);
     }
   }
   return Watching;
@@ -63,7 +64,7 @@
 
 TEST_CASE("two daemons of a hall watch, and two others if they fall silent") {
   const std::vector<std::string> Names = makeNames(12);
-  std::vector<WatchDuty> Duties = makeHall(Names);
+  std::vector<WatchElection> Duties = makeHall(Names);
   TimePoint Now = Start;
   const std::vector<std::string> First = runHall(Duties, Names, {}, Now);
   CHECK(First.size() == 2);
@@ -74,29 +75,29 @@
 }
 
 TEST_CASE("a daemon alone watches") {
-  WatchDuty Duty("d1");
+  WatchElection Duty("d1");
   CHECK(Duty.getRole(Start) == WatchRole::Lead);
-  Duty.setNear({}, Start);
+  Duty.setHallDaemons({}, Start);
   CHECK(Duty.getRole(Start) == WatchRole::Lead);
 }
 
 TEST_CASE("a daemon alone waits for others of its hall to register") {
-  WatchDuty Duty("d1", fromSeconds(2));
+  WatchElection Duty("d1", fromSeconds(2));
   CHECK(Duty.getRole(Start) == WatchRole::Lead);
-  Duty.setNear({"d1"}, Start);
+  Duty.setHallDaemons({"d1"}, Start);
   CHECK(Duty.getRole(Start + fromSeconds(1.9)) == WatchRole::Follow);
   CHECK(Duty.getRole(Start + fromSeconds(2)) == WatchRole::Lead);
   // The wait is not begun again.
-  Duty.setNear({}, Start + fromSeconds(2));
+  Duty.setHallDaemons({}, Start + fromSeconds(2));
   CHECK(Duty.getRole(Start + fromSeconds(2)) == WatchRole::Lead);
 }
 
 TEST_CASE("of a hall that starts at once two ask the store") {
   std::vector<std::string> Names = makeNames(88);
-  std::vector<WatchDuty> Duties;
+  std::vector<WatchElection> Duties;
   for (const std::string &Name : Names) {
     Duties.emplace_back(Name, fromSeconds(2));
-    Duties.back().setNear(Names, Start);
+    Duties.back().setHallDaemons(Names, Start);
   }
   const auto CountFollowers = [&](Duration After) {
     return std::count_if(Duties.begin(), Duties.end(), [&](const auto &Each) {
@@ -110,22 +111,23 @@
 }
 
 /// Lets every daemon hear that the store last answered all at HeardAt.
-static void tellAll(std::vector<WatchDuty> &Duties, TimePoint HeardAt) {
-  for (WatchDuty &Each : Duties)
+static void tellAll(std::vector<WatchElection> &Duties, TimePoint HeardAt) {
+  for (WatchElection &Each : Duties)
     for (size_t I = 0; I < Duties.size(); ++I)
-      Each.noteWatcher(fmt::format("d{}", I), HeardAt);
+      Each.recordWatcher(fmt::format("d{}", I), HeardAt);
 }
 
-static long countRole(const std::vector<WatchDuty> &Duties, WatchRole Role,
+static long countRole(const std::vector<WatchElection> &Duties, WatchRole Role,
                       TimePoint Now) {
-  return std::count_if(
-      Duties.begin(), Duties.end(),
-      [Role, Now](const WatchDuty &Each) { return Each.getRole(Now) == Role; });
+  return std::count_if(Duties.begin(), Duties.end(),
+                       [Role, Now](const WatchElection &Each) {
+                         return Each.getRole(Now) == Role;
+                       });
 }
 
 TEST_CASE(
     "all of a hall ask 1.5 s after the store last answered its watchers") {
-  std::vector<WatchDuty> Duties = makeHall(makeNames(36));
+  std::vector<WatchElection> Duties = makeHall(makeNames(36));
   // They say on and on that they watch; the store has left them waiting.
   for (int I = 0; I < 15; ++I)
     tellAll(Duties, Start);
@@ -136,7 +138,7 @@
 }
 
 TEST_CASE("the last answer of a watcher counts, whichever word comes last") {
-  std::vector<WatchDuty> Duties = makeHall(makeNames(3));
+  std::vector<WatchElection> Duties = makeHall(makeNames(3));
   tellAll(Duties, Start + fromMillis(600));
   tellAll(Duties, Start);
   const TimePoint Now = Start + fromMillis(1500);
--- a/unittests/EndingRequest/EndingRequestTest.cpp
+++ b/unittests/EndingRequest/EndingRequestTest.cpp
@@ -91,11 +91,11 @@
   }
 
   /// Returns the requests of which the store has a record.
-  std::vector<SuspectRecord> readRecords() {
+  std::vector<PoisonRequestRecord> readRecords() {
     const std::string Text = this->Store.peek("canvaswick/suspects");
     if (Text.empty())
       return {};
-    Result<std::vector<SuspectRecord>> Records =
+    Result<std::vector<PoisonRequestRecord>> Records =
         decodeRecords(Text, readInstant());
     REQUIRE(Records);
     return Records.value();
@@ -144,7 +144,7 @@
   }
   // Nothing is sent but for a try that has come due, by its record.
   CHECK(Under.Servers.listArrivals().size() == Before + Sent);
-  CHECK(Sent <= static_cast<size_t>(Under.readRecords().at(0).Tries));
+  CHECK(Sent <= static_cast<size_t>(Under.readRecords().at(0).Probes));
 }
 
 TEST_CASE("what no longer ends servers comes free, at all daemons") {
--- a/unittests/Lifetimes/LifetimesTest.cpp
+++ b/unittests/Lifetimes/LifetimesTest.cpp
@@ -104,7 +104,7 @@
                       false};
       Told &Known = Oracle[Id];
       if (Kind == 0) {
-        Event.IsGone = true;
+        Event.IsRemoved = true;
         Event.Value.clear();
         Known.IsListed = false;
       } else if (Kind == 1) {
--- a/unittests/PlatformAdapter/StoreFeedTest.cpp
+++ b/unittests/PlatformAdapter/StoreFeedTest.cpp
@@ -140,7 +140,7 @@
 /// Returns a copy as a fleet leaves it at the store.
 static std::string makeCopy(const Bench &Under, uint64_t AsOf) {
   ItemChanges All;
-  All.IsAll = true;
+  All.IsFull = true;
   All.AsOf = {1, AsOf};
   All.Items.push_back({DaemonKey, encodeDaemon(Under.Self), {1, AsOf}, false});
   return encodeCopy(All);
--- a/unittests/StoreRestore/FeedRestoreTest.cpp
+++ b/unittests/StoreRestore/FeedRestoreTest.cpp
@@ -223,7 +223,7 @@
     "a copy for starts of an earlier epoch is followed by a read of all") {
   RestoreBench Under;
   ItemChanges All = Under.View.getChangesAfter({});
-  All.IsAll = true;
+  All.IsFull = true;
   Under.Store.put("canvaswick/copy", encodeCopy(All));
   Under.Store.keepBackup();
   Under.Store.restoreBackup();
--- a/unittests/StoreRestore/FleetModelTest.cpp
+++ b/unittests/StoreRestore/FleetModelTest.cpp
@@ -127,9 +127,9 @@
   void read(const ModelStore &Store, TimePoint Now) {
     const StorePosition Before = this->View->getAsOf();
     const StorePosition AsOf = Store.getAsOf();
-    if (compareAnswer(Before, AsOf) == AnswerFit::HasLost &&
+    if (compareAnswer(Before, AsOf) == AnswerConsistency::HasLost &&
         AsOf.Epoch == Before.Epoch)
-      this->View->distrust(Now);
+      this->View->markStale(Now);
     this->View->replaceAll(Store.readAll(), AsOf, Now);
   }
 
@@ -137,7 +137,7 @@
     const StorePosition Before = this->View->getAsOf();
     const auto Events = Store.watch(Before.Revision);
     const bool Follows =
-        compareAnswer(Before, Store.getAsOf()) == AnswerFit::Follows;
+        compareAnswer(Before, Store.getAsOf()) == AnswerConsistency::Follows;
     if (Before.isNone() || !Events || !Follows)
       this->read(Store, Now);
     else
--- a/unittests/StoreRestore/ViewRestoreTest.cpp
+++ b/unittests/StoreRestore/ViewRestoreTest.cpp
@@ -114,7 +114,7 @@
   Under.View.applyEvents(
       {makeItem("servers/i-1", makeServer(8, "draining"), {1, 51})}, {1, 51},
       Start);
-  Under.View.distrust(Under.Now);
+  Under.View.markStale(Under.Now);
   Under.restore({makeItem("servers/i-1", makeServer(7, "ready"), {1, 20})},
                 {1, 30});
   CHECK(Under.findState() == ServerState::Draining);
@@ -262,7 +262,7 @@
        makeItem("servers/i-1", makeServer(8, "draining"), {2, 11})},
       {2, 20}, Start);
   const ItemChanges Told = Ahead.getChangesAfter(Under.View.getAsOf());
-  CHECK(Told.IsAll);
+  CHECK(Told.IsFull);
   const Result<ItemChanges> Heard = decodeChanges(encodeChanges(Told));
   REQUIRE(Heard);
   CHECK(Under.View.applyChanges(Heard.value(), Under.Now));
