--- a/include/canvaswick/Admission/DecayingCounter.h
+++ b/include/canvaswick/Admission/DecayingCounter.h
@@ -1,4 +1,4 @@
-//===- DecayingCounter.h - Rates of events, by means that fade --*- C++ -*-===//
+//===- DecayingCounter.h - Exponentially decaying counters ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// How often something happens: one mean that follows at once, and one that
-/// follows only what lasts.
+/// Event rates by exponential decay: one estimate that reacts at once, and one
+/// that follows only lasting changes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,48 +19,52 @@
 
 namespace canvaswick {
 
-/// A count that fades with time: its value falls to 1/e within Fade.
+/// A counter that decays exponentially: its value falls to 1/e within
+/// TimeConstant. Not thread-safe.
 class DecayingCounter {
 public:
-  explicit DecayingCounter(Duration Fade) : Fade(Fade) {}
+  explicit DecayingCounter(Duration TimeConstant)
+      : TimeConstant(TimeConstant) {}
 
-  /// Returns the value at an instant not before the last change.
+  /// Returns the value at Now, which must not be before the last change.
   double get(TimePoint Now) const;
 
-  /// Returns what the value comes to in a second.
+  /// Returns the rate, in events a second, that the value stands for.
   double getRate(TimePoint Now) const {
-    return this->get(Now) / toSeconds(this->Fade);
+    return this->get(Now) / toSeconds(this->TimeConstant);
   }
 
-  /// Adds to the value, which does not fall below zero.
+  /// Adds Amount, which may be negative; the value never falls below zero.
   void add(double Amount, TimePoint Now);
 
 private:
-  Duration Fade;
+  Duration TimeConstant;
   double Value = 0;
-  TimePoint At{};
+  TimePoint UpdatedAt{};
 };
 
-/// A rate that follows what happens only after a while: a mean of a fading
-/// mean. Within the first fifth of its time a tenfold rise shows by a fifth.
+/// A rate smoothed by two exponential stages in series, so that it follows a
+/// change only after a delay: within the first fifth of TimeConstant, a tenfold
+/// rise raises it by a fifth. Not thread-safe.
 class SmoothedRate {
 public:
-  explicit SmoothedRate(Duration Fade) : Fade(Fade) {}
+  explicit SmoothedRate(Duration TimeConstant) : TimeConstant(TimeConstant) {}
 
-  /// Returns events a second at an instant not before the last one. Since is
-  /// when they began to be noted: what was before is not taken for none.
+  /// Returns events a second at Now, which must not be before the last event.
+  /// Since is when recording began: the time before it is treated as unknown,
+  /// not as free of events.
   double get(TimePoint Now, TimePoint Since) const;
 
-  /// Notes events.
+  /// Records Amount events; negative amounts take events back.
   void add(double Amount, TimePoint Now);
 
 private:
-  double getSettled(double Steps) const;
+  double decaySecondStage(double Elapsed) const;
 
-  Duration Fade;
-  double Fresh = 0;
-  double Settled = 0;
-  TimePoint At{};
+  Duration TimeConstant;
+  double FirstStage = 0;
+  double SecondStage = 0;
+  TimePoint UpdatedAt{};
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Admission/FleetQuota.h
+++ b/include/canvaswick/Admission/FleetQuota.h
@@ -1,4 +1,4 @@
-//===- FleetQuota.h - Organisations' rates over a fleet ---------*- C++ -*-===//
+//===- FleetQuota.h - Fleet-wide rate limits of organisations ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,18 +7,19 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What an organisation may send holds for all daemons together, and its
-/// callers reach a few of them, so no fixed part of it would fit. Daemons tell
-/// each other how much was asked of them and how much they admitted; each
-/// keeps the fleet's bucket of tokens by that. While the bucket holds more than
-/// what may have been taken unheard, requests are admitted freely. Near its
-/// bottom each daemon admits the part of its requests that, over all daemons,
-/// comes to the rate.
+/// An organisation's rate limit holds for all daemons together, and its callers
+/// reach only a few of them, so a fixed share per daemon would not fit. Daemons
+/// report to each other their demand and how many requests they admitted, and
+/// each keeps a copy of the fleet's token bucket from these reports. While the
+/// bucket holds more tokens than may have been taken without having been
+/// reported yet, all requests are admitted. When it is nearly empty, each
+/// daemon admits the fraction of its requests that adds up to the rate over all
+/// daemons.
 ///
-/// Daemons that are not heard are taken to go on as usual, and do: what was
-/// usual for them, and their part of what is usually left, is theirs, and the
-/// others leave it to them. So parts of a fleet that are cut off from each
-/// other do not spend the same tokens.
+/// A daemon that is not heard from is assumed to continue at its typical rate,
+/// and it does: it keeps its typical rate and its share of the rate that is
+/// typically unused, and the others reserve both for it. So the parts of a
+/// partitioned fleet do not spend the same tokens.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -40,211 +41,217 @@
 
 namespace canvaswick {
 
-/// The name that an organisation has in messages between daemons.
+/// Identifies an organisation in messages between daemons.
 using OrganisationId = uint64_t;
 
-/// Returns the name that an organisation has in messages.
+/// Returns the identifier of an organisation: a hash of its name.
 OrganisationId getOrganisationId(const std::string &Name);
 
-/// What an organisation has of late asked of a daemon, or of all daemons of a
-/// hall.
+/// Recent demand of an organisation at one daemon, or at all daemons of a hall.
 struct QuotaUsage {
   OrganisationId Organisation = 0;
-  /// Requests a second that were asked.
+  /// Requests a second, admitted or not.
   double Demand = 0;
-  /// Requests that were admitted since who tells this began to count.
+  /// Requests admitted since the reporting daemon began to count.
   int64_t Admitted = 0;
 
   bool operator==(const QuotaUsage &) const = default;
 };
 
-/// Whether a request is admitted, and if not when to come back.
+/// Whether a request is admitted, and if not, when to retry.
 struct QuotaAnswer {
   bool IsAdmitted = true;
   Duration Wait{};
-  /// Of a refusal, for the log: the limit and what is asked of the fleet, in
-  /// requests a second, and what its bucket holds.
+  /// For the log line of a refusal: the limit and the demand at the whole
+  /// fleet, in requests a second, and the tokens in the bucket.
   double Limit = 0;
   double FleetDemand = 0;
   double Tokens = 0;
 };
 
-/// What an operator may ask about one organisation.
+/// Status of one organisation, for operators.
 struct QuotaStatus {
   std::string Name;
   double RequestsPerSecond = 0;
-  /// Tokens in the fleet's bucket, as this daemon sees it; below zero where
-  /// more was taken than it knew.
+  /// Tokens in the fleet's bucket as this daemon sees it; negative if others
+  /// had admitted more requests than it knew of.
   double Tokens = 0;
-  /// Requests a second that are asked of the fleet, and of this daemon.
+  /// Demand at the whole fleet and at this daemon, in requests a second.
   double FleetDemand = 0;
   double LocalDemand = 0;
   int64_t Admitted = 0;
   uint64_t Refused = 0;
-  /// Daemons that are not heard.
+  /// Number of daemons that are not heard from.
   size_t Silent = 0;
 };
 
-/// The organisations' buckets as one daemon sees them. Not thread-safe.
+/// The organisations' token buckets as one daemon sees them. Not thread-safe.
 class FleetQuota {
 public:
-  /// Started is the process's start: what an earlier process of this daemon has
-  /// admitted is not known to it, and after a start of the whole fleet to
-  /// nobody. Draw is in [0, 1) and differs between daemons.
+  /// Started is when the process started: what an earlier process of this
+  /// daemon admitted is unknown to this one, and after a restart of the whole
+  /// fleet to all. Draw is in [0, 1) and must differ between daemons.
   FleetQuota(AllowanceBounds Bounds, TimePoint Started, double Draw);
 
-  /// Takes the organisations of a version of the settings.
+  /// Applies the organisations of a new version of the settings.
   void configure(const OrganisationDirectoryRef &Directory, TimePoint Now);
 
   /// Changes the bounds.
   void setBounds(const AllowanceBounds &Given) { this->Bounds = Given; }
 
-  /// Returns who there is and is heard.
-  FleetLiveness &getLiveness() { return this->Heard; }
+  /// Returns the liveness of the other daemons.
+  FleetLiveness &getLiveness() { return this->Liveness; }
 
-  /// Decides on one request of an organisation. Without a name it is of no
-  /// organisation, and the limits of the one called "default" hold.
+  /// Decides whether to admit one request of an organisation. A request without
+  /// an organisation's name has the limits of the organisation called
+  /// "default".
   QuotaAnswer admit(const std::string &Organisation, TimePoint Now);
 
-  /// Takes back that a request was admitted: it was not run after all.
+  /// Refunds the token of an admitted request that was not executed.
   void giveBack(const std::string &Organisation, TimePoint Now);
 
-  /// Returns what has changed of this daemon's own levels since the last call,
-  /// at most so many.
-  std::vector<QuotaUsage> drainUsageChanges(size_t Most, TimePoint Now);
+  /// Returns usage of this daemon that has changed since the last call, for at
+  /// most Max organisations; the others follow in the next calls.
+  std::vector<QuotaUsage> drainUsageChanges(size_t Max, TimePoint Now);
 
-  /// Returns whether an organisation asks so much of this hall that others
-  /// should hear of it at once.
+  /// Returns whether the demand of some organisation at this hall is high
+  /// enough that other halls should be told at once.
   bool isUrgent(TimePoint Now) const;
 
-  /// Returns the levels of the whole hall, for other halls: those that others
-  /// must know now, or all.
+  /// Returns the usage of this whole hall, to be sent to other halls: of all
+  /// organisations, or only of those near their limit.
   std::vector<QuotaUsage> getHallUsage(bool WantsAll, TimePoint Now) const;
 
-  /// Takes what a daemon of this hall told of itself, or the teller of another
-  /// hall of all of that hall.
+  /// Applies a report of a daemon of this hall on itself, or of another hall's
+  /// reporter on all of that hall.
   void applyPeerUsage(const std::string &Daemon,
-                      const std::vector<QuotaUsage> &Levels, TimePoint Now);
-  void applyHallUsage(const std::string &Hall, const std::string &Teller,
-                      const std::vector<QuotaUsage> &Levels, TimePoint Now);
+                      const std::vector<QuotaUsage> &Usages, TimePoint Now);
+  void applyHallUsage(const std::string &Hall, const std::string &Reporter,
+                      const std::vector<QuotaUsage> &Usages, TimePoint Now);
 
-  /// Returns whether any organisation has a limit, so that peers must hear of
-  /// this daemon.
+  /// Returns whether any organisation has a limit, so that peers need reports
+  /// from this daemon.
   bool hasLimits() const { return this->HasLimits; }
 
-  /// Forgets organisations of which nothing need be remembered.
+  /// Removes organisations whose bucket is full and that have been idle, and
+  /// sources that have left the fleet.
   void forgetIdle(TimePoint Now);
 
-  /// Returns how many organisations are remembered.
+  /// Returns how many organisations have a bucket here.
   size_t countAccounts() const { return this->Accounts.size(); }
 
-  /// Returns what an operator may know, the busiest first, at most so many.
-  std::vector<QuotaStatus> describe(size_t Most, TimePoint Now) const;
+  /// Returns the status of at most Max organisations, those with the highest
+  /// demand first.
+  std::vector<QuotaStatus> describe(size_t Max, TimePoint Now) const;
 
 private:
-  /// What a source has told of one organisation.
-  struct Part {
+  /// What one source has reported of one organisation.
+  struct SourceUsage {
     size_t Source = 0;
-    /// Of a hall: whose count it is.
-    std::string Teller;
+    /// The daemon whose count Admitted is. Differs from the source if that is a
+    /// hall.
+    std::string Reporter;
     int64_t Admitted = 0;
-    TimePoint ToldAt{};
+    TimePoint ReportedAt{};
     double Demand = 0;
-    SmoothedRate Usual;
-    Part(size_t Source, Duration UsualFade)
-        : Source(Source), Usual(UsualFade) {}
+    SmoothedRate Typical;
+    SourceUsage(size_t Source, Duration TypicalTimeConstant)
+        : Source(Source), Typical(TypicalTimeConstant) {}
   };
 
-  /// What this daemon and those that it hears may use of a bucket.
+  /// The part of a bucket that this daemon and those it hears from may use.
   struct UsableQuota {
     double Rate = 0;
-    double Size = 0;
-    /// Requests a second that are asked.
+    double Capacity = 0;
+    /// Requests a second at this daemon and those it hears from.
     double Demand = 0;
-    /// Requests that may have been admitted since others were heard.
-    double Unheard = 0;
-    /// Requests a second that are left to daemons of this hall that are not
-    /// heard.
-    double NearReserved = 0;
+    /// Requests that others may have admitted since their last report.
+    double Unreported = 0;
+    /// Requests a second that are reserved for silent daemons of this hall.
+    double HallReservedRate = 0;
     size_t Silent = 0;
   };
 
-  /// One organisation's bucket.
+  /// The token bucket of one organisation.
   struct Account {
     std::string Name;
     double Rate = 0;
     double Burst = 0;
     double Tokens = 0;
-    /// While a part of the fleet is silent: what those that are heard may use.
-    std::optional<double> TokensWithin;
-    TimePoint At{};
+    /// Set while a part of the fleet is silent: the tokens that this daemon and
+    /// those it hears from may use.
+    std::optional<double> UsableTokens;
+    TimePoint RefilledAt{};
     /// When this daemon first saw the organisation.
-    TimePoint Since{};
-    /// This daemon's own requests.
+    TimePoint FirstSeenAt{};
+    /// Requests at this daemon.
     DecayingCounter Demand;
-    SmoothedRate Usual;
+    SmoothedRate Typical;
     int64_t Admitted = 0;
     uint64_t Refused = 0;
-    /// What all of this hall have admitted, as far as this daemon has heard,
-    /// and what was left to those of it that were not heard.
+    /// Requests admitted by this whole hall as far as this daemon knows, and
+    /// requests that were reserved for silent daemons of it.
     int64_t HallAdmitted = 0;
     double HallReserved = 0;
-    std::vector<Part> Parts;
-    /// As it was when it was last computed.
-    UsableQuota Within;
-    TimePoint WithinAt{};
-    /// Part of the next request that is admitted, while not all are.
+    std::vector<SourceUsage> SourceUsages;
+    /// The result of the last computeUsable.
+    UsableQuota Usable;
+    TimePoint UsableAt{};
+    /// Fraction of the next request that may be admitted, while not all are.
     double Credit = 0;
-    bool HasNews = false;
-    Account(Duration AskedFade, Duration UsualFade)
-        : Demand(AskedFade), Usual(UsualFade) {}
+    bool IsChanged = false;
+    Account(Duration DemandTimeConstant, Duration TypicalTimeConstant)
+        : Demand(DemandTimeConstant), Typical(TypicalTimeConstant) {}
   };
 
   Account *findAccount(OrganisationId Id, TimePoint Now);
-  void setLimits(Account &Of, const OrganisationConfig *Config,
+  void setLimits(Account &Bucket, const OrganisationConfig *Config,
                  TimePoint Now) const;
-  void noteChange(Account &Of, OrganisationId Id);
-  bool hasLeft(const Part &Each, TimePoint Now) const;
-  double getHallAsked(const Account &Of, TimePoint Now) const;
-  double getSurge(const Account &Of, TimePoint Now) const;
-  double getSlack(const Account &Of) const;
-  double getSize(const Account &Of) const;
-  double getSavedPart() const;
-  double getUsualRate(const Account &Of, const SmoothedRate &Usual,
-                      TimePoint HeardAt, TimePoint Now) const;
-  double getUsualRate(const Account &Of, const Part &Each, TimePoint Now) const;
-  double getOwnUsualRate(const Account &Of, TimePoint Now) const;
+  void markChanged(Account &Bucket, OrganisationId Id);
+  bool hasLeft(const SourceUsage &Each, TimePoint Now) const;
+  double getHallDemand(const Account &Bucket, TimePoint Now) const;
+  double getDemandRatio(const Account &Bucket, TimePoint Now) const;
+  double getSlack(const Account &Bucket) const;
+  double getCapacity(const Account &Bucket) const;
+  double getCapacityFraction() const;
+  double getTypicalRate(const Account &Bucket, const SmoothedRate &Typical,
+                        TimePoint HeardAt, TimePoint Now) const;
+  double getTypicalRate(const Account &Bucket, const SourceUsage &Each,
+                        TimePoint Now) const;
+  double getLocalTypicalRate(const Account &Bucket, TimePoint Now) const;
   void updateFreeze(TimePoint Now);
-  void addUsual(SmoothedRate &Usual, double Amount, TimePoint Now) const;
-  void addUntold(const Account &Of, UsableQuota &Within, TimePoint Now) const;
-  UsableQuota computeUsable(const Account &Of, TimePoint Now) const;
-  const UsableQuota &updateUsable(Account &Of, Duration MostAge,
+  void addTypical(SmoothedRate &Typical, double Amount, TimePoint Now) const;
+  void addUnreportedHalls(const Account &Bucket, UsableQuota &Usable,
+                          TimePoint Now) const;
+  UsableQuota computeUsable(const Account &Bucket, TimePoint Now) const;
+  const UsableQuota &updateUsable(Account &Bucket, Duration MaxAge,
                                   TimePoint Now) const;
-  void refill(Account &Of, TimePoint Now) const;
-  static double getTokens(const Account &Of);
-  static void charge(Account &Of, double Requests);
-  bool decide(Account &Of) const;
-  Duration chooseWait(const Account &Of) const;
-  Part &findPart(Account &Of, size_t Source) const;
-  void takeLevels(size_t Source, const std::string &Teller,
-                  const std::vector<QuotaUsage> &Levels, TimePoint Now);
-  void takeLevel(Account &Of, size_t Source, const std::string &Teller,
-                 const QuotaUsage &Given, bool WasSilent, TimePoint Now);
-  bool isAlone() const { return this->Heard.countDaemons() <= 1; }
+  void refill(Account &Bucket, TimePoint Now) const;
+  static double getTokens(const Account &Bucket);
+  static void charge(Account &Bucket, double Requests);
+  bool decide(Account &Bucket) const;
+  Duration chooseWait(const Account &Bucket) const;
+  SourceUsage &findOrAddUsage(Account &Bucket, size_t Source) const;
+  void applyUsages(size_t Source, const std::string &Reporter,
+                   const std::vector<QuotaUsage> &Usages, TimePoint Now);
+  void applyUsage(Account &Bucket, size_t Source, const std::string &Reporter,
+                  const QuotaUsage &Given, bool WasSilent, TimePoint Now);
+  bool isAlone() const { return this->Liveness.countDaemons() <= 1; }
 
   AllowanceBounds Bounds;
   const TimePoint Started;
   const double Draw;
   OrganisationDirectoryRef Directory;
-  /// Organisations that messages name, of this version.
+  /// Organisations of this version of the settings by the identifier in
+  /// messages.
   std::unordered_map<OrganisationId, const OrganisationConfig *> Configs;
   bool HasLimits = false;
-  FleetLiveness Heard;
-  /// Since when a part of the fleet has been silent, and what is usual is not
-  /// learned, while that is so.
+  FleetLiveness Liveness;
+  /// Set while so many daemons are silent that typical rates are not updated:
+  /// since when.
   std::optional<TimePoint> FrozenAt;
   std::unordered_map<OrganisationId, Account> Accounts;
-  /// Those that have news.
+  /// Organisations whose usage is to be reported.
   std::vector<OrganisationId> Changed;
 };
 
--- a/include/canvaswick/Admission/FleetRetryBudget.h
+++ b/include/canvaswick/Admission/FleetRetryBudget.h
@@ -1,4 +1,4 @@
-//===- FleetRetryBudget.h - The repeats of a whole fleet --------*- C++ -*-===//
+//===- FleetRetryBudget.h - Fleet-wide retry budget -------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Each daemon takes a part of the fleet's allowance that, added up over all
-/// daemons, stays below it: its share grows with its own requests, and the
-/// reserve is divided by the daemons there may be.
+/// Each daemon gets a part of the fleet's retry limit, and these parts add up
+/// to less than the limit: the share grows with the daemon's own requests, and
+/// the reserve is divided by the number of daemons there may be.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,63 +25,64 @@
 
 namespace canvaswick {
 
-/// How long a right that a peer lends may be used, from the moment at which it
-/// was asked for. Some times what asking may take; lenders do without it for as
-/// long.
+/// How long a retry borrowed from a peer may be used, counted from the moment
+/// at which the borrower asked for it. It is several times what asking may
+/// take; the lender does without the retry for as long.
 inline constexpr Duration LoanTimeout = fromMillis(300);
 
-/// The repeats of one service that one daemon may send. Not thread-safe; its
-/// service's mutex guards it. It outlives changes of the settings, which must
-/// not fill it up again.
+/// The retries of one service that one daemon may send. Not thread-safe: the
+/// service's mutex guards it. It is kept across changes of the settings, which
+/// must not refill it.
 class FleetRetryBudget : public boost::intrusive_ref_counter<FleetRetryBudget> {
 public:
-  /// Started is the process's start: what an earlier process of this daemon
-  /// has sent is not known, so the reserve is held back for one window.
-  FleetRetryBudget(RepeatAllowance Allowance, TimePoint Started);
+  /// Started is when the process started: what an earlier process of this
+  /// daemon sent is unknown, so the reserve is withheld for one window.
+  FleetRetryBudget(RepeatAllowance FleetLimit, TimePoint Started);
 
-  /// Changes the allowance, and sets how many daemons there may be and which of
-  /// them, counted from 0, this one is. The most daemons that were ever set
-  /// count.
-  void configure(const RepeatAllowance &Allowance, size_t Daemons, size_t Rank);
+  /// Sets the limit, the number of daemons there may be, and the position of
+  /// this daemon among them, counted from 0. The highest number of daemons that
+  /// was ever set counts.
+  void configure(const RepeatAllowance &FleetLimit, size_t Daemons,
+                 size_t Rank);
 
-  /// Notes the first try of a request.
+  /// Records the first attempt of a request.
   void recordRequest(TimePoint Now);
 
-  /// Takes the right to one repeat.
+  /// Takes one retry. Returns false if there is none left.
   bool tryTake(TimePoint Now);
 
   /// Returns whether tryTake would succeed.
   bool hasRoom(TimePoint Now);
 
-  /// Returns the part of what this daemon may send that it has sent, from 0 to
-  /// 1 and above where it has borrowed.
+  /// Returns the fraction of its part that this daemon has used: from 0 to 1,
+  /// and above 1 after it has borrowed.
   double getUsedPart(TimePoint Now);
 
-  /// Gives a peer the right to one repeat, if there is one. This daemon can ask
-  /// for one in turn. Counted here as sent at the end of the right's life, so
-  /// that the fleet's sum holds whenever the peer uses it, and if it never
-  /// does.
+  /// Lends one retry to a peer. Returns false if there is none left. The daemon
+  /// may still borrow in its turn. The retry counts here as sent at the end of
+  /// LoanTimeout, so that the fleet's sum holds whenever the peer uses it, or
+  /// if it never does.
   bool tryLend(TimePoint Now);
 
-  /// Takes a right that a peer gave, to be used by tryTake before Until.
+  /// Adds a retry lent by a peer, which tryTake may use until Until.
   void borrow(TimePoint Until);
 
-  /// Returns, before rounding, how many repeats may be in the window that ends
-  /// at Now.
+  /// Returns, before rounding, how many retries are allowed in the window that
+  /// ends at Now.
   double getAllowed(TimePoint Now);
 
 private:
   void forgetOld(TimePoint Now);
-  bool hasOwnRoom(TimePoint Now);
+  bool hasLocalRoom(TimePoint Now);
 
-  RepeatAllowance Allowance;
+  RepeatAllowance FleetLimit;
   const TimePoint Started;
   size_t Daemons = 1;
-  /// What this daemon may round up by, from 0 to 1.
+  /// How much of one retry this daemon may round up, from 0 to 1.
   double Rounding = 0;
   std::deque<TimePoint> Requests;
-  std::deque<TimePoint> Repeats;
-  /// Until when borrowed rights may be used, in no order.
+  std::deque<TimePoint> Retries;
+  /// When each borrowed retry expires, in no order.
   std::deque<TimePoint> Borrowed;
 };
 
--- a/include/canvaswick/Admission/Limits.h
+++ b/include/canvaswick/Admission/Limits.h
@@ -1,4 +1,4 @@
-//===- Limits.h - Which requests are taken ----------------------*- C++ -*-===//
+//===- Limits.h - Request admission limits ----------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Bounds on requests in flight, on an organisation's rate, on repeats, and on
-/// requests that cannot make their deadline. Every refusal comes at once and
-/// says when to come back.
+/// Limits on requests in flight, on rates, on retries, and on requests that
+/// can't meet their deadline. Every refusal is immediate and says when to
+/// retry.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
 
 namespace canvaswick {
 
-/// Why a request was not taken.
+/// Why a request was refused.
 enum class Refusal : uint8_t {
   None,
   UnknownRoute,
@@ -37,10 +37,10 @@
   Stopping,
 };
 
-/// Returns the name of a refusal, as the header Canvaswick-Reason carries it.
+/// Returns the name of a refusal, as sent in the Canvaswick-Reason header.
 const char *getName(Refusal Reason);
 
-/// A bucket of tokens that fills with time.
+/// A token bucket that refills over time. Not thread-safe.
 class TokenBucket {
 public:
   /// Starts full. Rate is in tokens a second.
@@ -49,13 +49,14 @@
   /// Takes one token. Returns false if there is none.
   bool tryTake(TimePoint Now);
 
-  /// Returns how long until a token is there.
+  /// Returns how long it takes until a token is available.
   Duration getWait(TimePoint Now) const;
 
-  /// Returns whether the bucket is full, so that forgetting it changes nothing.
+  /// Returns whether the bucket is full, so that removing it loses no state.
   bool isFull(TimePoint Now) const;
 
-  /// Changes the rate and size; the tokens there stay, up to the new size.
+  /// Changes the rate and the size. Tokens in the bucket stay, up to the new
+  /// size.
   void reshape(double Rate, double Burst);
 
 private:
@@ -67,28 +68,28 @@
   TimePoint At;
 };
 
-/// Bounds repeats to a part of the requests, so that repeats cannot multiply
-/// an overload.
+/// Limits retries to a fraction of the requests, so that retries can't amplify
+/// an overload. Not thread-safe.
 class RetryBudget {
 public:
-  /// Percent of requests that may be repeated.
+  /// Percent is the percentage of requests that may be retried.
   explicit RetryBudget(int64_t Percent);
 
-  /// Notes a first try.
+  /// Records the first attempt of a request.
   void recordRequest(TimePoint Now);
 
-  /// Takes the right to one repeat.
+  /// Takes one retry. Returns false if there is none left.
   bool tryTake(TimePoint Now);
 
 private:
-  void fade(TimePoint Now);
+  void refill(TimePoint Now);
 
   double PerRequest;
   double Tokens;
   TimePoint At{};
 };
 
-/// Requests of one service in flight at one daemon.
+/// Limits the requests of one service in flight at one daemon. Not thread-safe.
 class InFlightLimit {
 public:
   explicit InFlightLimit(int64_t Max);
@@ -102,19 +103,19 @@
   int64_t Current = 0;
 };
 
-/// Returns whether a request with this much time left has a chance, when half
-/// of the service's answers take Median. Too short a time is refused at once
-/// instead of burning a slot for nothing.
+/// Returns whether a request with Left until its deadline can still be answered
+/// in time by a service whose median latency is Median. A request that can't is
+/// refused at once instead of occupying a slot in vain.
 bool canMeetDeadline(Duration Left, Duration Median);
 
 /// Returns how long a caller should stay away from a daemon that has been
-/// without settings for this long: about as long again, since a daemon that
-/// starts has them in a moment and one that cannot reach the store may lack
-/// them for long. Draw is in [0, 1) and spreads callers, so that they do not
-/// come back together.
+/// without settings for the time Without. That is about as long again, since a
+/// daemon that has just started has its settings within a moment, and one that
+/// can't reach the store may lack them for long. Draw is in [0, 1) and spreads
+/// the callers, so that they don't come back together.
 Duration computeSettingsRetryAfter(Duration Without, double Draw);
 
-/// Rounds a wait up to the whole seconds of a Retry-After header, 1 at least.
+/// Rounds a wait up to the whole seconds of a Retry-After header, at least 1.
 int64_t toRetryAfterSeconds(Duration Wait);
 
 } // namespace canvaswick
--- a/include/canvaswick/Admission/PoisonRequestTable.h
+++ b/include/canvaswick/Admission/PoisonRequestTable.h
@@ -1,4 +1,4 @@
-//===- PoisonRequestTable.h - Requests under which servers end --*- C++ -*-===//
+//===- PoisonRequestTable.h - Requests that crash servers -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,19 +7,19 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Remembers under which requests backend servers ended. A request under which
-/// three have ended is held back: it reaches no server but in a few tries, one
-/// daemon at a time.
+/// Remembers which requests were in flight when backend servers ended the
+/// connection. A request with three such ends is quarantined: it reaches no
+/// server except in a few probes, each sent by one daemon of the fleet.
 ///
-/// An end counts against a request if its connection ended before a byte of an
-/// answer had come. Whether the server's process ended is not asked: one that
-/// lost a worker looks the same, and a request that three in a row have cut off
-/// gains little by a fourth. What speaks for a request: that it was answered
-/// since; that several servers ended at one moment while it was in flight at
-/// all of them, which counts as one end; that another request, which is held
-/// back already, was in flight at the same end.
+/// An end counts against a request if the server's connection ended before the
+/// first byte of an answer. Whether the server's process died is not checked: a
+/// server that lost a worker looks the same, and a request that three servers
+/// in a row have cut off gains little from a fourth. Evidence in favour of a
+/// request: it was answered since; several servers ended at the same moment
+/// while it was in flight at all of them, which counts as one end; another
+/// request that is already quarantined was in flight at the same end.
 ///
-/// No sockets, no threads, no clock: the time is an argument.
+/// The table uses no sockets, threads or clock: the time is an argument.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,22 +35,23 @@
 
 namespace canvaswick {
 
-/// Stands for one backend server of one service, as in all messages.
+/// Identifies one backend server of one service, as in all messages.
 using EndedServerId = uint32_t;
 
-/// One attempt of a request whose server ended it without an answer.
+/// One attempt of a request that its server ended without an answer.
 struct RequestEnd {
   RequestFingerprint Request = 0;
   EndedServerId Server = 0;
   TimePoint Began{};
   TimePoint Ended{};
-  /// Drawn by who saw it, so that it is known again however it was told.
+  /// Random number drawn by the daemon that saw the end, by which duplicates
+  /// are recognised however they arrive.
   uint32_t Id = 0;
 
   bool operator==(const RequestEnd &) const = default;
 };
 
-/// A request that a server has answered, and when.
+/// When a server last answered a request.
 struct RequestAnswer {
   RequestFingerprint Request = 0;
   TimePoint At{};
@@ -58,7 +59,7 @@
   bool operator==(const RequestAnswer &) const = default;
 };
 
-/// What daemons tell each other of requests.
+/// What daemons send to each other about requests.
 struct PoisonRequestUpdate {
   std::vector<RequestEnd> Ends;
   std::vector<RequestAnswer> Answers;
@@ -67,12 +68,12 @@
   bool operator==(const PoisonRequestUpdate &) const = default;
 };
 
-/// All that is kept of one request where it outlasts the daemons.
+/// What is stored about one request outside of the daemons.
 struct PoisonRequestRecord {
   RequestFingerprint Request = 0;
-  /// In the order in which they ended.
+  /// Ordered by Ended.
   std::vector<RequestEnd> Ends;
-  /// Tries that it was given since it is held back.
+  /// Number of probes since the request was quarantined.
   int Probes = 0;
   /// Calendar time of the last change, in milliseconds.
   int64_t ChangedMillis = 0;
@@ -80,108 +81,115 @@
   bool operator==(const PoisonRequestRecord &) const = default;
 };
 
-/// What may become of a request now.
+/// How a request is to be handled now.
 enum class QuarantineVerdict : uint8_t {
   /// It may be sent.
   Allowed,
-  /// A try is due: it may be sent by who gets the right to that try.
+  /// A probe is due: the daemon that obtains the right to the probe may send
+  /// the request.
   ProbeDue,
   /// It is refused.
   Quarantined,
 };
 
-/// A request as operators see it.
+/// The status of one request, for operators.
 struct PoisonRequestStatus {
   PoisonRequestRecord Record;
   bool IsQuarantined = false;
-  /// When the next try is due, if it is held back.
+  /// When the next probe is due, if the request is quarantined.
   TimePoint NextProbe{};
 };
 
-/// The requests that a daemon suspects.
+/// The suspected requests of one daemon. Not thread-safe.
 class PoisonRequestTable {
 public:
-  /// Takes an end. IsOwn: this daemon's own attempt. Returns whether it was
-  /// news.
-  bool recordEnd(const RequestEnd &End, bool IsOwn, TimePoint Now);
+  /// Records an end. IsLocal says whether the attempt was one of this daemon.
+  /// Returns whether the end was new.
+  bool recordEnd(const RequestEnd &End, bool IsLocal, TimePoint Now);
 
-  /// Takes an answer to a request of this daemon's. Returns whether it cleared
-  /// the request of an end: only then peers need to know.
+  /// Records an answer that this daemon received. Returns whether it cleared
+  /// the request of an end: only then do peers need to know.
   bool recordLocalAnswer(const RequestAnswer &Answer);
 
-  /// Takes an answer that a peer tells of. Returns whether it was news.
+  /// Applies an answer reported by a peer. Returns whether it was new.
   bool applyPeerAnswer(const RequestAnswer &Answer);
 
-  /// Says what may become of a request.
+  /// Returns how a request is to be handled at Now.
   QuarantineVerdict classify(RequestFingerprint Request, TimePoint Now) const;
 
-  /// Returns how long until the next try of a request that is held back.
+  /// Returns how long it takes until the next probe of a quarantined request,
+  /// zero if none is awaited.
   Duration getWait(RequestFingerprint Request, TimePoint Now) const;
 
-  /// Returns whether a server has ended under the request, other than Server.
+  /// Returns whether a server other than Server has ended under the request.
   bool isSuspect(RequestFingerprint Request, EndedServerId Server) const;
 
-  /// Notes that this daemon has the right to the try that was due.
+  /// Records that this daemon obtained the right to the probe that was due.
   void recordProbe(RequestFingerprint Request, TimePoint Now);
 
-  /// Gives a right back that was not used: no server was reached.
+  /// Returns a right to a probe that was not used, since no server was reached.
   void returnProbe(RequestFingerprint Request);
 
-  /// Takes a right that was given back. Returns false if there is none.
+  /// Takes the right that returnProbe has returned. Returns false if there is
+  /// none.
   bool takeReturnedProbe(RequestFingerprint Request);
 
-  /// Notes that another daemon had the right to the try that was due.
+  /// Delays the probe that was due, because another daemon obtained the right
+  /// to it or the store did not answer.
   void postponeProbe(RequestFingerprint Request, TimePoint Now);
 
-  /// Takes all records that are kept outside. A request that was among them
-  /// before and is not any more has come free.
+  /// Applies all records of the store. A request that had a record before and
+  /// has none now is released.
   void applyRecords(const std::vector<PoisonRequestRecord> &Records,
                     TimePoint Now);
 
-  /// Notes that the records can no longer be read: they are to be written anew.
+  /// Forgets which requests have records, because the records can no longer be
+  /// read and must be written again.
   void invalidateRecords();
 
-  /// Returns the requests that should be among the records, and are not as they
-  /// are known here. Only those of which this daemon has seen an end itself.
+  /// Returns the requests that have no record yet, or one with fewer ends than
+  /// are known here. Only requests of which this daemon itself saw an end are
+  /// listed.
   std::vector<PoisonRequestRecord> listUnrecorded() const;
 
-  /// Returns recorded requests that an answer of this daemon's has cleared.
+  /// Returns the requests that have a record and that an answer seen by this
+  /// daemon has cleared.
   std::vector<RequestFingerprint> listCleared() const;
 
-  /// Returns the record of a request as it is known here.
+  /// Returns the record of a request as known here.
   PoisonRequestRecord getRecord(RequestFingerprint Request) const;
 
-  /// Returns what peers should know, at most MaxRows ends and answers together,
-  /// those of the gravest suspects first.
+  /// Returns the ends and answers to send to peers, at most MaxRows together.
+  /// Answers come first, then the ends of the requests with the most ends.
   PoisonRequestUpdate buildUpdate(size_t MaxRows, TimePoint Now) const;
 
-  /// Lists all suspects.
+  /// Returns all requests with at least one end.
   std::vector<PoisonRequestStatus> describe() const;
 
-  /// Forgets what is too old to count.
+  /// Removes entries that are too old to count.
   void forgetOld(TimePoint Now);
 
-  /// Returns how many requests are held back.
+  /// Returns how many requests are quarantined.
   size_t countQuarantined() const;
 
-  bool isEmpty() const { return this->Suspects.empty(); }
+  bool isEmpty() const { return this->Requests.empty(); }
 
 private:
   struct Suspect {
-    /// In the order in which they ended; none before AnsweredAt.
+    /// Ordered by Ended; none is before AnsweredAt.
     std::vector<RequestEnd> Ends;
     std::optional<TimePoint> AnsweredAt;
-    bool IsOwn = false;
-    /// Since when it is held back.
-    std::optional<TimePoint> HeldSince;
+    bool IsLocal = false;
+    /// Set while the request is quarantined: since when.
+    std::optional<TimePoint> QuarantinedSince;
     int Probes = 0;
-    TimePoint TriedAt{};
-    /// Whether this daemon has a right to a try that it has not used.
-    bool HasReturnedTry = false;
-    /// Whether it was this daemon that saw the answer at AnsweredAt.
-    bool IsClearedHere = false;
-    /// Ends of the record that is kept outside, 0 where there is none, and when
-    /// that was last changed.
+    TimePoint ProbedAt{};
+    /// Whether this daemon has a right to a probe that it has not used.
+    bool HasReturnedProbe = false;
+    /// Whether this daemon itself saw the answer at AnsweredAt.
+    bool IsClearedLocally = false;
+    /// Number of ends in the stored record, 0 if there is none, and when the
+    /// record was last changed.
     size_t RecordedEnds = 0;
     int64_t RecordedMillis = 0;
   };
@@ -190,13 +198,14 @@
   const Suspect *find(RequestFingerprint Request) const;
   bool addEnd(Suspect &Entry, const RequestEnd &End) const;
   bool isExplained(const RequestEnd &End) const;
-  void updateHold(RequestFingerprint Request, Suspect &Entry);
-  void explainOthers(RequestFingerprint Held, const Suspect &By);
-  void takeRecord(const PoisonRequestRecord &Record, TimePoint Now);
+  void updateQuarantine(RequestFingerprint Request, Suspect &Entry);
+  void removeExplainedEnds(RequestFingerprint QuarantinedRequest,
+                           const Suspect &By);
+  void applyRecord(const PoisonRequestRecord &Record, TimePoint Now);
   void clear(Suspect &Entry, TimePoint At);
-  void makeRoom();
+  void evictIfFull();
 
-  std::map<RequestFingerprint, Suspect> Suspects;
+  std::map<RequestFingerprint, Suspect> Requests;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Admission/RequestFingerprint.h
+++ b/include/canvaswick/Admission/RequestFingerprint.h
@@ -1,4 +1,4 @@
-//===- RequestFingerprint.h - What two equal requests have in ---*- C++ -*-===//
+//===- RequestFingerprint.h - Fingerprints of equal requests ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A number that is the same for two requests that ask for the same thing, at
-/// whatever daemon they arrive and however often their caller asks.
+/// A number that is the same for two requests for the same thing, whichever
+/// daemon they reach and however often a caller sends them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,29 +20,30 @@
 
 namespace canvaswick {
 
-/// Stands for a request in logs and between daemons. Not proof against somebody
-/// who looks for two requests with one digest on purpose.
+/// Identifies a request in logs and between daemons. Not collision-resistant:
+/// an attacker can find two requests with the same fingerprint.
 using RequestFingerprint = uint64_t;
 
-/// What makes a request the same as another. The address that it comes from
-/// does not: one caller may be many machines, and asks at several halls, each
-/// time from another address. With it, 36 servers ended under one request in a
-/// session that asks 36 times, without it three, and one a try. Callers who ask
-/// for the same thing are told apart by what comes of it: a request that is
-/// answered for one of them is not held back from the others.
+/// The parts of a request that make up its identity. The caller's address is
+/// not one of them: one caller may run many VMs and send the same request in
+/// several halls, each time from another address. With the address, a request
+/// sent 36 times ended 36 servers; without it, it ended three, and one with
+/// each probe. Callers that send the same request are told apart by its
+/// outcome: a request that is answered for one of them is not quarantined for
+/// the others.
 struct RequestParts {
-  /// Who asks, if the caller says so.
+  /// The organisation that the caller names, if any.
   std::string_view Organisation;
   std::string_view Method;
-  /// The host that its route is for. Not the one it names: where callers know
-  /// the daemons by address, that is another at each daemon.
+  /// The host of the route, not the one in the Host header: callers that
+  /// address daemons by IP address send a different one to each daemon.
   std::string_view Host;
   std::string_view Target;
-  /// The whole body, or what stands for one that is not kept.
+  /// The whole body, or a substitute for a body that is not kept.
   std::string_view Body;
 };
 
-/// Returns the digest of a request.
+/// Returns the fingerprint of a request.
 RequestFingerprint computeRequestFingerprint(const RequestParts &Parts);
 
 } // namespace canvaswick
--- a/lib/Admission/DecayingCounter.cpp
+++ b/lib/Admission/DecayingCounter.cpp
@@ -1,4 +1,4 @@
-//===- DecayingCounter.cpp - Rates of events, by means that fade ----------===//
+//===- DecayingCounter.cpp - Exponentially decaying counts and rates ------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Exponentials, brought up to date when they are asked.
+/// The decay is applied lazily, when a value is read or changed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,41 +22,45 @@
 //-------------------------------------------------------===//
 
 double DecayingCounter::get(TimePoint Now) const {
-  if (Now <= this->At)
+  if (Now <= this->UpdatedAt)
     return this->Value;
-  return this->Value *
-         std::exp(-toSeconds(Now - this->At) / toSeconds(this->Fade));
+  return this->Value * std::exp(-toSeconds(Now - this->UpdatedAt) /
+                                toSeconds(this->TimeConstant));
 }
 
 void DecayingCounter::add(double Amount, TimePoint Now) {
   this->Value = std::max(0.0, this->get(Now) + Amount);
-  this->At = std::max(this->At, Now);
+  this->UpdatedAt = std::max(this->UpdatedAt, Now);
 }
 
 //===-- SmoothedRate
 //-------------------------------------------------------===//
 
-/// Returns the settled part after so many times Fade.
-double SmoothedRate::getSettled(double Steps) const {
-  return (this->Settled + this->Fresh * Steps) * std::exp(-Steps);
+/// Returns the second stage after Elapsed time constants without events.
+double SmoothedRate::decaySecondStage(double Elapsed) const {
+  return (this->SecondStage + this->FirstStage * Elapsed) * std::exp(-Elapsed);
 }
 
 double SmoothedRate::get(TimePoint Now, TimePoint Since) const {
-  // Less of its time than this would make one event a high rate.
-  constexpr double LeastSteps = 0.25;
-  const double Fade = toSeconds(this->Fade);
-  const Duration Quiet = std::max(Duration::zero(), Now - this->At);
-  const double Steps = std::max(LeastSteps, toSeconds(Now - Since) / Fade);
-  const double Known = 1 - (1 + Steps) * std::exp(-Steps);
-  return this->getSettled(toSeconds(Quiet) / Fade) / Fade / Known;
+  // With less observed time than this, a single event would look like a high
+  // rate.
+  constexpr double MinElapsed = 0.25;
+  const double TimeConstant = toSeconds(this->TimeConstant);
+  const Duration Idle = std::max(Duration::zero(), Now - this->UpdatedAt);
+  const double Elapsed =
+      std::max(MinElapsed, toSeconds(Now - Since) / TimeConstant);
+  const double SettledFraction = 1 - (1 + Elapsed) * std::exp(-Elapsed);
+  return this->decaySecondStage(toSeconds(Idle) / TimeConstant) / TimeConstant /
+         SettledFraction;
 }
 
 void SmoothedRate::add(double Amount, TimePoint Now) {
-  const Duration Since = std::max(Duration::zero(), Now - this->At);
-  const double Steps = toSeconds(Since) / toSeconds(this->Fade);
-  this->Settled = this->getSettled(Steps);
-  this->Fresh = std::max(0.0, this->Fresh * std::exp(-Steps) + Amount);
-  this->At = std::max(this->At, Now);
+  const Duration Since = std::max(Duration::zero(), Now - this->UpdatedAt);
+  const double Elapsed = toSeconds(Since) / toSeconds(this->TimeConstant);
+  this->SecondStage = this->decaySecondStage(Elapsed);
+  this->FirstStage =
+      std::max(0.0, this->FirstStage * std::exp(-Elapsed) + Amount);
+  this->UpdatedAt = std::max(this->UpdatedAt, Now);
 }
 
 } // namespace canvaswick
--- a/lib/Admission/FleetLiveness.cpp
+++ b/lib/Admission/FleetLiveness.cpp
@@ -1,4 +1,4 @@
-//===- FleetLiveness.cpp - Which daemons of a fleet are heard -------------===//
+//===- FleetLiveness.cpp - Liveness of the other daemons ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One list of sources; indexes into it stay.
+/// Sources are kept in one vector, so that their indexes stay valid.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,17 +17,18 @@
 
 namespace canvaswick {
 
-/// Who has not been heard for some times QuotaReportInterval is silent. A hall
-/// is heard through a daemon that passes its teller's words on.
-static constexpr Duration PeerSilence = fromMillis(700);
-static constexpr Duration HallSilence = fromMillis(1200);
+/// A source is silent after several times QuotaReportInterval without a
+/// message. Another hall has a longer timeout, since its reports arrive through
+/// a daemon of this hall that relays them.
+static constexpr Duration PeerTimeout = fromMillis(700);
+static constexpr Duration HallTimeout = fromMillis(1200);
 
-/// A daemon that hears none of its hall, while as many messages as this were to
-/// come from them all, is cut off. Their number makes that certain long before
-/// one of them counts as silent. A machine that stands still for a moment hears
-/// none either, hence the least.
+/// A daemon that receives nothing from its hall, in a time in which all the
+/// others together would have sent this many messages, is isolated. With many
+/// peers that is certain long before any one of them times out. A VM that
+/// pauses for a moment receives nothing either, hence the minimum.
 static constexpr double MissedMessages = 8;
-static constexpr Duration LeastIsolated = fromMillis(250);
+static constexpr Duration MinIsolationTime = fromMillis(250);
 
 size_t FleetLiveness::findOrAddSource(const std::string &Name, bool IsHall,
                                       TimePoint Now) {
@@ -35,61 +36,61 @@
   if (Found != this->IndexOfSource.end())
     return Found->second;
   size_t Index = this->Sources.size();
-  if (this->Free.empty()) {
+  if (this->FreeIndexes.empty()) {
     this->Sources.emplace_back();
   } else {
-    Index = this->Free.back();
-    this->Free.pop_back();
+    Index = this->FreeIndexes.back();
+    this->FreeIndexes.pop_back();
   }
-  // It is not silent before it had time to speak.
+  // A new source is not silent before it had time to report.
   this->Sources[Index] = {Name, IsHall, false, false, 1, Now};
   this->IndexOfSource[{IsHall, Name}] = Index;
   return Index;
 }
 
-void FleetLiveness::setFleet(const std::vector<std::string> &NearNames,
-                             const std::map<std::string, size_t> &Far,
+void FleetLiveness::setFleet(const std::vector<std::string> &HallPeerNames,
+                             const std::map<std::string, size_t> &OtherHalls,
                              TimePoint Now) {
   for (Source &Each : this->Sources)
     Each.IsListed = false;
-  this->All = 1;
-  this->Near = NearNames.size();
-  this->NearHeardAt = std::max(this->NearHeardAt, Now);
+  this->DaemonCount = 1;
+  this->HallPeers = HallPeerNames.size();
+  this->HallHeardAt = std::max(this->HallHeardAt, Now);
   const auto List = [&](const std::string &Name, bool IsHall, size_t Daemons) {
     Source &Listed = this->Sources[this->findOrAddSource(Name, IsHall, Now)];
     Listed.IsListed = true;
     Listed.Daemons = Daemons;
-    this->All += Daemons;
+    this->DaemonCount += Daemons;
   };
-  for (const std::string &Daemon : NearNames)
+  for (const std::string &Daemon : HallPeerNames)
     List(Daemon, false, 1);
-  for (const auto &[Hall, Daemons] : Far)
+  for (const auto &[Hall, Daemons] : OtherHalls)
     List(Hall, true, Daemons);
 }
 
 void FleetLiveness::recordPeerMessage(const std::string &Daemon,
                                       TimePoint Now) {
   this->Sources[this->findOrAddSource(Daemon, false, Now)].HeardAt = Now;
-  this->NearHeardAt = Now;
+  this->HallHeardAt = Now;
 }
 
 void FleetLiveness::recordHallMessage(const std::string &Hall, TimePoint Now) {
-  Source &Heard = this->Sources[this->findOrAddSource(Hall, true, Now)];
-  Heard.HeardAt = Now;
-  Heard.HasReported = true;
+  Source &Reporter = this->Sources[this->findOrAddSource(Hall, true, Now)];
+  Reporter.HeardAt = Now;
+  Reporter.HasReported = true;
 }
 
 bool FleetLiveness::isIsolated(TimePoint Now) const {
-  if (this->Near == 0)
+  if (this->HallPeers == 0)
     return false;
   const Duration Limit =
       fromSeconds(MissedMessages * toSeconds(QuotaReportInterval) /
-                  static_cast<double>(this->Near));
-  return Now - this->NearHeardAt > std::max(LeastIsolated, Limit);
+                  static_cast<double>(this->HallPeers));
+  return Now - this->HallHeardAt > std::max(MinIsolationTime, Limit);
 }
 
 bool FleetLiveness::hasTimedOut(const Source &Each, TimePoint Now) const {
-  const Duration Limit = Each.IsHall ? HallSilence : PeerSilence;
+  const Duration Limit = Each.IsHall ? HallTimeout : PeerTimeout;
   return Now - Each.HeardAt > Limit;
 }
 
@@ -99,10 +100,10 @@
 
 void FleetLiveness::forgetDeparted(TimePoint Now) {
   std::erase_if(this->IndexOfSource, [this, Now](const auto &Entry) {
-    const bool IsGone = this->hasLeft(this->Sources[Entry.second], Now);
-    if (IsGone)
-      this->Free.push_back(Entry.second);
-    return IsGone;
+    const bool IsDeparted = this->hasLeft(this->Sources[Entry.second], Now);
+    if (IsDeparted)
+      this->FreeIndexes.push_back(Entry.second);
+    return IsDeparted;
   });
 }
 
--- a/lib/Admission/FleetQuota.cpp
+++ b/lib/Admission/FleetQuota.cpp
@@ -1,4 +1,4 @@
-//===- FleetQuota.cpp - Organisations' rates over a whole fleet -----------===//
+//===- FleetQuota.cpp - Fleet-wide rate limits of organisations -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// In any window of time a fleet admits at most what its bucket fills by, what
-/// the bucket held, and what was taken below zero because daemons had not heard
-/// of each other yet. The constants below divide the operators' slack between
-/// the three.
+/// In any window, a fleet admits at most what its bucket is refilled by, what
+/// the bucket held, and what was overdrawn because daemons had not received
+/// each other's reports yet. The constants below divide the operators' slack
+/// between these three.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,45 +24,47 @@
 
 namespace canvaswick {
 
-/// Part of the burst that a bucket holds, and parts of the operators' slack
-/// that it holds besides, and that a daemon which has just started takes to be
-/// there. A large organisation loses half of its burst, once in a rise, for
-/// what is admitted before all have heard of it. A small one's slack makes up
-/// for that.
-static constexpr double BurstPart = 0.5;
-static constexpr double SavedPart = 0.3;
-static constexpr double StartPart = 0.1;
+/// Fraction of the burst that a bucket holds; fraction of the operators' slack
+/// that it holds besides; and fraction of the slack with which a daemon that
+/// has just started begins. A large organisation loses half of its burst, once
+/// in a surge, to what is admitted before all daemons know of the surge. For a
+/// small one the slack makes up for that.
+static constexpr double BurstFraction = 0.5;
+static constexpr double SlackFraction = 0.3;
+static constexpr double InitialSlackFraction = 0.1;
 
-/// Daemons of a hall beside this one whose silence together shows soon enough
-/// that it is cut off.
-static constexpr double SureNear = 5;
+/// Number of hall peers whose common silence shows soon enough that this daemon
+/// is isolated.
+static constexpr double ReliableHallPeers = 5;
 
-/// With fewer, this part of what may be saved up is, and so many requests: a
-/// small organisation's callers come together at times.
-static constexpr double LeastSavedPart = 0.4;
-static constexpr double LeastSaved = 7;
+/// With fewer peers, a bucket holds a smaller fraction of its capacity, but at
+/// least this fraction, and at least this many tokens if its full capacity
+/// allows it: the callers of a small organisation send in bursts.
+static constexpr double MinCapacityFraction = 0.4;
+static constexpr double MinCapacity = 7;
 
-/// A bucket that is below its bottom is brought back, and one that is above is
-/// used up, within about this time.
+/// A bucket that is overdrawn recovers, and one with tokens left is used up,
+/// within about this time.
 static constexpr Duration RecoveryTime = fromSeconds(1);
 
-/// Once more than this many times the rate is asked, the bucket is used up over
-/// RecoveryTime instead of at once: in a tenfold rise it would be empty before
-/// the others hear of it.
-static constexpr double MostFree = 2;
+/// When the demand exceeds the rate by more than this factor, the bucket is
+/// used up over RecoveryTime instead of at once: in a tenfold surge it would be
+/// empty before the other daemons know of the surge.
+static constexpr double MaxFreeDemandRatio = 2;
 
-/// Who is cut off takes a request once it holds half of one: rounded as often
-/// up as down, what many such daemons take comes to their parts.
-static constexpr double LeastTaken = 0.5;
+/// A daemon that is cut off admits a request once it holds half a token. This
+/// rounds up as often as down, so that many such daemons together admit the sum
+/// of their shares.
+static constexpr double MinUsableTokens = 0.5;
 
-/// Bounds of a wait that is told.
-static constexpr Duration LeastWait = fromMillis(100);
+/// Lower bound of the wait in a refusal.
+static constexpr Duration MinWait = fromMillis(100);
 
-/// Smaller levels are as good as none.
-static constexpr double LeastLevel = 0.01;
+/// Rates and counts below this are treated as zero.
+static constexpr double NegligibleRate = 0.01;
 
-/// Bits of an OrganisationId: short in messages, and among 69,000
-/// organisations two share one with a chance of 1 in 100,000.
+/// Bits of an OrganisationId. 48 bits keep messages short, and the chance that
+/// any two of 69,000 organisations collide is 1 in 100,000.
 static constexpr uint64_t IdMask = (uint64_t(1) << 48) - 1;
 
 OrganisationId getOrganisationId(const std::string &Name) {
@@ -73,7 +75,7 @@
     : Bounds(Bounds), Started(Started), Draw(Draw),
       Directory(makeOrganisationDirectory({}, false)) {}
 
-//===-- Whose limits ------------------------------------------------------===//
+//===-- Configuration -----------------------------------------------------===//
 
 void FleetQuota::configure(const OrganisationDirectoryRef &Given,
                            TimePoint Now) {
@@ -92,49 +94,52 @@
     return Found == this->Configs.end() ||
            Found->second->RequestsPerSecond <= 0;
   });
-  for (auto &[Id, Of] : this->Accounts)
-    this->setLimits(Of, this->Configs.at(Id), Now);
+  for (auto &[Id, Bucket] : this->Accounts)
+    this->setLimits(Bucket, this->Configs.at(Id), Now);
 }
 
-double FleetQuota::getSlack(const Account &Of) const {
+double FleetQuota::getSlack(const Account &Bucket) const {
   return this->Bounds.Excess *
-             (Of.Rate * toSeconds(this->Bounds.Window) + Of.Burst) +
+             (Bucket.Rate * toSeconds(this->Bounds.Window) + Bucket.Burst) +
          this->Bounds.Slack;
 }
 
-double FleetQuota::getSize(const Account &Of) const {
-  const double Slack = this->getSlack(Of);
-  // Where nothing is borne above the burst, nothing is known of other daemons.
+double FleetQuota::getCapacity(const Account &Bucket) const {
+  const double Slack = this->getSlack(Bucket);
+  // Without slack above the burst, other daemons are not taken into account.
   if (Slack <= 0)
-    return std::max(1.0, Of.Burst);
-  const double Saved = BurstPart * Of.Burst + SavedPart * Slack;
-  return std::max(std::min(Saved, LeastSaved), Saved * this->getSavedPart());
+    return std::max(1.0, Bucket.Burst);
+  const double Reserve = BurstFraction * Bucket.Burst + SlackFraction * Slack;
+  return std::max(std::min(Reserve, MinCapacity),
+                  Reserve * this->getCapacityFraction());
 }
 
-/// Returns the part of what may be saved up that is, by how soon this daemon
-/// sees that it is cut off: until then both sides spend what is there.
-double FleetQuota::getSavedPart() const {
+/// Returns the fraction of a bucket's capacity that may be used. It grows with
+/// the number of hall peers, since these determine how soon this daemon detects
+/// that it is isolated: until then both sides of a partition spend the same
+/// tokens.
+double FleetQuota::getCapacityFraction() const {
   if (this->isAlone())
     return 1;
-  const auto Near = static_cast<double>(this->Heard.countHallPeers());
-  return std::clamp(Near / SureNear, LeastSavedPart, 1.0);
+  const auto HallPeers = static_cast<double>(this->Liveness.countHallPeers());
+  return std::clamp(HallPeers / ReliableHallPeers, MinCapacityFraction, 1.0);
 }
 
-void FleetQuota::setLimits(Account &Of, const OrganisationConfig *Config,
+void FleetQuota::setLimits(Account &Bucket, const OrganisationConfig *Config,
                            TimePoint Now) const {
-  if (Of.Rate > 0) {
-    this->updateUsable(Of, Duration::zero(), Now);
-    this->refill(Of, Now);
+  if (Bucket.Rate > 0) {
+    this->updateUsable(Bucket, Duration::zero(), Now);
+    this->refill(Bucket, Now);
   }
-  Of.Rate = Config->RequestsPerSecond;
-  Of.Burst = Config->Burst;
-  Of.Tokens = std::min(Of.Tokens, this->getSize(Of));
-  this->updateUsable(Of, Duration::zero(), Now);
+  Bucket.Rate = Config->RequestsPerSecond;
+  Bucket.Burst = Config->Burst;
+  Bucket.Tokens = std::min(Bucket.Tokens, this->getCapacity(Bucket));
+  this->updateUsable(Bucket, Duration::zero(), Now);
 }
 
-/// Returns an organisation's account, or null if it has no limit. One that is
-/// new to this daemon holds what the rate has brought since the process began:
-/// what was admitted before is not known.
+/// Returns the bucket of an organisation, or null if the organisation has no
+/// limit. A bucket that is created here holds what the rate has brought since
+/// the process started, because what was admitted before is unknown.
 FleetQuota::Account *FleetQuota::findAccount(OrganisationId Id, TimePoint Now) {
   const auto Found = this->Accounts.find(Id);
   if (Found != this->Accounts.end())
@@ -142,132 +147,138 @@
   const auto Config = this->Configs.find(Id);
   if (Config == this->Configs.end() || Config->second->RequestsPerSecond <= 0)
     return nullptr;
-  Account &Of =
-      this->Accounts.emplace(Id, Account(AskedFade, UsualFade)).first->second;
-  Of.Name = Config->second->Name;
-  this->setLimits(Of, Config->second, Now);
-  const double Size = this->getSize(Of);
-  const double Slack = this->getSlack(Of);
-  // Without a stated bound there is nothing to keep to after a start.
-  Of.Tokens = Slack > 0
-                  ? std::min(Size, StartPart * Slack +
-                                       Of.Rate * toSeconds(Now - this->Started))
-                  : Size;
-  Of.At = Now;
-  Of.Since = Now;
+  Account &Bucket =
+      this->Accounts
+          .emplace(Id, Account(DemandTimeConstant, TypicalTimeConstant))
+          .first->second;
+  Bucket.Name = Config->second->Name;
+  this->setLimits(Bucket, Config->second, Now);
+  const double Capacity = this->getCapacity(Bucket);
+  const double Slack = this->getSlack(Bucket);
+  // Without slack there is no bound to keep after a start.
+  Bucket.Tokens =
+      Slack > 0
+          ? std::min(Capacity, InitialSlackFraction * Slack +
+                                   Bucket.Rate * toSeconds(Now - this->Started))
+          : Capacity;
+  Bucket.RefilledAt = Now;
+  Bucket.FirstSeenAt = Now;
   const double Spread = static_cast<double>(Id % 1000) / 1000;
-  // Where nothing is borne above the burst, no part of a request is rounded up.
-  Of.Credit = Slack > 0 ? std::fmod(this->Draw + Spread, 1.0) : 0;
-  return &Of;
+  // Without slack, fractions of a request are never rounded up.
+  Bucket.Credit = Slack > 0 ? std::fmod(this->Draw + Spread, 1.0) : 0;
+  return &Bucket;
 }
 
 //===-- Decisions ---------------------------------------------------------===//
 
-/// Decides on a request that is in the levels already.
-bool FleetQuota::decide(Account &Of) const {
-  const UsableQuota &Within = Of.Within;
-  const double Tokens = getTokens(Of);
+/// Decides on a request that Demand already includes.
+bool FleetQuota::decide(Account &Bucket) const {
+  const UsableQuota &Usable = Bucket.Usable;
+  const double Tokens = getTokens(Bucket);
   if (this->isAlone())
     return Tokens >= 1;
-  const bool IsRise = Within.Demand > MostFree * Within.Rate +
-                                          ImaginedAsked / toSeconds(AskedFade);
-  const double Least = Within.Silent > 0 ? LeastTaken : 0;
-  if (Tokens > Within.Unheard + Least && !IsRise)
+  const bool IsSurge =
+      Usable.Demand > MaxFreeDemandRatio * Usable.Rate +
+                          PriorRequests / toSeconds(DemandTimeConstant);
+  const double MinTokens = Usable.Silent > 0 ? MinUsableTokens : 0;
+  if (Tokens > Usable.Unreported + MinTokens && !IsSurge)
     return true;
-  const double Wanted = Within.Rate + Tokens / toSeconds(RecoveryTime);
-  Of.Credit += std::clamp(Wanted / Within.Demand, 0.0, 1.0);
-  if (Of.Credit < 1)
+  const double TargetRate = Usable.Rate + Tokens / toSeconds(RecoveryTime);
+  Bucket.Credit += std::clamp(TargetRate / Usable.Demand, 0.0, 1.0);
+  if (Bucket.Credit < 1)
     return false;
-  Of.Credit -= 1;
+  Bucket.Credit -= 1;
   return true;
 }
 
-/// Returns when a token will be there for a caller that is refused, if all who
-/// are refused come back evenly spread over the time that serving them takes.
-Duration FleetQuota::chooseWait(const Account &Of) const {
-  const UsableQuota &Within = Of.Within;
+/// Returns how long a refused caller should wait for a token, if all refused
+/// callers are spread evenly over the time that it takes to serve them.
+Duration FleetQuota::chooseWait(const Account &Bucket) const {
+  const UsableQuota &Usable = Bucket.Usable;
   static constexpr double GoldenRatio = 0.6180339887498949;
-  const double Missing = std::max(0.0, 1 - getTokens(Of));
+  const double MissingTokens = std::max(0.0, 1 - getTokens(Bucket));
   if (this->isAlone())
-    return fromSeconds(Missing / Of.Rate);
+    return fromSeconds(MissingTokens / Bucket.Rate);
   const double Waiting =
-      std::max(0.0, Within.Demand - Of.Rate) * toSeconds(RecoveryTime);
+      std::max(0.0, Usable.Demand - Bucket.Rate) * toSeconds(RecoveryTime);
   const double Place =
-      std::fmod(static_cast<double>(Of.Refused) * GoldenRatio, 1.0);
+      std::fmod(static_cast<double>(Bucket.Refused) * GoldenRatio, 1.0);
   const double Half = toSeconds(this->Bounds.Window) / 2;
-  const double Until = std::min(Missing / Of.Rate, Half);
-  const double Spread = std::min(Waiting / Of.Rate, Half);
-  return std::max(LeastWait, fromSeconds(Until + Spread * Place));
+  const double Until = std::min(MissingTokens / Bucket.Rate, Half);
+  const double Spread = std::min(Waiting / Bucket.Rate, Half);
+  return std::max(MinWait, fromSeconds(Until + Spread * Place));
 }
 
 QuotaAnswer FleetQuota::admit(const std::string &Organisation, TimePoint Now) {
   const OrganisationId Id = getOrganisationId(Organisation);
-  Account *Of = this->findAccount(Id, Now);
-  if (!Of)
+  Account *Bucket = this->findAccount(Id, Now);
+  if (!Bucket)
     return {};
-  Of->Demand.add(1, Now);
-  this->noteChange(*Of, Id);
+  Bucket->Demand.add(1, Now);
+  this->markChanged(*Bucket, Id);
   this->updateFreeze(Now);
-  this->updateUsable(*Of, Duration::zero(), Now);
-  this->refill(*Of, Now);
-  if (!this->decide(*Of)) {
-    ++Of->Refused;
-    return {false, this->chooseWait(*Of), Of->Rate, Of->Within.Demand,
-            getTokens(*Of)};
+  this->updateUsable(*Bucket, Duration::zero(), Now);
+  this->refill(*Bucket, Now);
+  if (!this->decide(*Bucket)) {
+    ++Bucket->Refused;
+    return {false, this->chooseWait(*Bucket), Bucket->Rate,
+            Bucket->Usable.Demand, getTokens(*Bucket)};
   }
-  charge(*Of, 1);
-  this->addUsual(Of->Usual, 1, Now);
-  ++Of->Admitted;
-  ++Of->HallAdmitted;
+  charge(*Bucket, 1);
+  this->addTypical(Bucket->Typical, 1, Now);
+  ++Bucket->Admitted;
+  ++Bucket->HallAdmitted;
   return {};
 }
 
 void FleetQuota::giveBack(const std::string &Organisation, TimePoint Now) {
   const OrganisationId Id = getOrganisationId(Organisation);
-  Account *Of = this->findAccount(Id, Now);
-  if (!Of)
+  Account *Bucket = this->findAccount(Id, Now);
+  if (!Bucket)
     return;
-  charge(*Of, -1);
-  this->addUsual(Of->Usual, -1, Now);
-  --Of->Admitted;
-  --Of->HallAdmitted;
-  this->noteChange(*Of, Id);
+  charge(*Bucket, -1);
+  this->addTypical(Bucket->Typical, -1, Now);
+  --Bucket->Admitted;
+  --Bucket->HallAdmitted;
+  this->markChanged(*Bucket, Id);
 }
 
-//===-- What is kept ------------------------------------------------------===//
+//===-- Maintenance -------------------------------------------------------===//
 
 void FleetQuota::forgetIdle(TimePoint Now) {
-  for (auto &[Id, Of] : this->Accounts) {
-    std::erase_if(Of.Parts, [this, Now, &Account = Of](const Part &Each) {
+  for (auto &[Id, Bucket] : this->Accounts) {
+    std::erase_if(Bucket.SourceUsages, [this, Now, &Account = Bucket](
+                                           const SourceUsage &Each) {
       return this->hasLeft(Each, Now) ||
-             (this->getUsualRate(Account, Each, Now) < LeastLevel &&
+             (this->getTypicalRate(Account, Each, Now) < NegligibleRate &&
               Each.Demand == 0);
     });
-    this->updateUsable(Of, Duration::zero(), Now);
-    this->refill(Of, Now);
+    this->updateUsable(Bucket, Duration::zero(), Now);
+    this->refill(Bucket, Now);
   }
-  this->Heard.forgetDeparted(Now);
+  this->Liveness.forgetDeparted(Now);
   std::erase_if(this->Accounts, [this, Now](const auto &Entry) {
-    const Account &Of = Entry.second;
-    return Of.Parts.empty() && this->getOwnUsualRate(Of, Now) < LeastLevel &&
-           Of.Demand.get(Now) < LeastLevel && Of.Tokens >= this->getSize(Of);
+    const Account &Bucket = Entry.second;
+    return Bucket.SourceUsages.empty() &&
+           this->getLocalTypicalRate(Bucket, Now) < NegligibleRate &&
+           Bucket.Demand.get(Now) < NegligibleRate &&
+           Bucket.Tokens >= this->getCapacity(Bucket);
   });
 }
 
-std::vector<QuotaStatus> FleetQuota::describe(size_t Most,
-                                              TimePoint Now) const {
+std::vector<QuotaStatus> FleetQuota::describe(size_t Max, TimePoint Now) const {
   std::vector<QuotaStatus> All;
-  for (const auto &[Id, Of] : this->Accounts) {
-    const UsableQuota Within = this->computeUsable(Of, Now);
+  for (const auto &[Id, Bucket] : this->Accounts) {
+    const UsableQuota Usable = this->computeUsable(Bucket, Now);
     QuotaStatus Each;
-    Each.Name = Of.Name;
-    Each.RequestsPerSecond = Of.Rate;
-    Each.Tokens = getTokens(Of);
-    Each.FleetDemand = Within.Demand;
-    Each.LocalDemand = Of.Demand.getRate(Now);
-    Each.Admitted = Of.Admitted;
-    Each.Refused = Of.Refused;
-    Each.Silent = Within.Silent;
+    Each.Name = Bucket.Name;
+    Each.RequestsPerSecond = Bucket.Rate;
+    Each.Tokens = getTokens(Bucket);
+    Each.FleetDemand = Usable.Demand;
+    Each.LocalDemand = Bucket.Demand.getRate(Now);
+    Each.Admitted = Bucket.Admitted;
+    Each.Refused = Bucket.Refused;
+    Each.Silent = Usable.Silent;
     All.push_back(std::move(Each));
   }
   std::sort(All.begin(), All.end(),
@@ -275,8 +286,8 @@
               return std::pair(-Left.FleetDemand, Left.Name) <
                      std::pair(-Right.FleetDemand, Right.Name);
             });
-  if (All.size() > Most)
-    All.resize(Most);
+  if (All.size() > Max)
+    All.resize(Max);
   return All;
 }
 
--- a/lib/Admission/FleetRetryBudget.cpp
+++ b/lib/Admission/FleetRetryBudget.cpp
@@ -1,4 +1,4 @@
-//===- FleetRetryBudget.cpp - Repeats that the whole fleet may send -------===//
+//===- FleetRetryBudget.cpp - Fleet-wide retry budget ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Queues of instants: first tries, repeats with those that were lent, and how
-/// long borrowed rights last.
+/// Keeps queues of times: first attempts, retries including those lent to
+/// peers, and when borrowed retries expire.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,19 +18,21 @@
 
 namespace canvaswick {
 
-/// Part of the fleet's allowance that is used. The rest covers requests that
-/// were counted here and never reached a server, and repeats that straddle two
-/// windows of different rates.
-static constexpr double UsedPart = 0.8;
+/// Fraction of the fleet's retry limit that is used. The rest covers requests
+/// that were counted here and never reached a server, and retries that straddle
+/// two windows with different request rates.
+static constexpr double SafetyFactor = 0.8;
 
-FleetRetryBudget::FleetRetryBudget(RepeatAllowance Allowance, TimePoint Started)
-    : Allowance(Allowance), Started(Started) {}
+FleetRetryBudget::FleetRetryBudget(RepeatAllowance FleetLimit,
+                                   TimePoint Started)
+    : FleetLimit(FleetLimit), Started(Started) {}
 
-/// Parts of one or two repeats lose much when each is rounded down. Daemons in
-/// order round up by ever more, so that their parts add up nearly as they are.
+/// A part of only one or two retries loses much when it is rounded down. By
+/// their position, daemons round up by increasing fractions, so that their
+/// parts add up to nearly the limit.
 void FleetRetryBudget::configure(const RepeatAllowance &Given, size_t Count,
                                  size_t Rank) {
-  this->Allowance = Given;
+  this->FleetLimit = Given;
   this->Daemons = std::max(this->Daemons, Count);
   this->Rounding = static_cast<double>(std::min(Rank, this->Daemons - 1)) /
                    static_cast<double>(this->Daemons);
@@ -42,9 +44,9 @@
 }
 
 void FleetRetryBudget::forgetOld(TimePoint Now) {
-  const TimePoint Limit = Now - this->Allowance.Window;
+  const TimePoint Limit = Now - this->FleetLimit.Window;
   dropBefore(this->Requests, Limit);
-  dropBefore(this->Repeats, Limit);
+  dropBefore(this->Retries, Limit);
   std::erase_if(this->Borrowed, [Now](TimePoint Until) { return Until < Now; });
 }
 
@@ -56,45 +58,45 @@
 double FleetRetryBudget::getAllowed(TimePoint Now) {
   this->forgetOld(Now);
   const double ByRate =
-      this->Allowance.Share * static_cast<double>(this->Requests.size());
-  if (Now - this->Started < this->Allowance.Window)
-    return ByRate * UsedPart;
-  const double ByReserve = static_cast<double>(this->Allowance.Reserve) /
+      this->FleetLimit.Share * static_cast<double>(this->Requests.size());
+  if (Now - this->Started < this->FleetLimit.Window)
+    return ByRate * SafetyFactor;
+  const double ByReserve = static_cast<double>(this->FleetLimit.Reserve) /
                            static_cast<double>(this->Daemons);
-  return (ByRate + ByReserve) * UsedPart;
+  return (ByRate + ByReserve) * SafetyFactor;
 }
 
-/// Returns whether one repeat more is within the daemon's own part.
-bool FleetRetryBudget::hasOwnRoom(TimePoint Now) {
+/// Returns whether one more retry is within this daemon's own part.
+bool FleetRetryBudget::hasLocalRoom(TimePoint Now) {
   const double Allowed = this->getAllowed(Now) + this->Rounding;
-  return static_cast<double>(this->Repeats.size() + 1) <= Allowed;
+  return static_cast<double>(this->Retries.size() + 1) <= Allowed;
 }
 
 bool FleetRetryBudget::hasRoom(TimePoint Now) {
-  return this->hasOwnRoom(Now) || !this->Borrowed.empty();
+  return this->hasLocalRoom(Now) || !this->Borrowed.empty();
 }
 
 double FleetRetryBudget::getUsedPart(TimePoint Now) {
   const double Allowed = this->getAllowed(Now) + this->Rounding;
-  return Allowed <= 0 ? 1 : static_cast<double>(this->Repeats.size()) / Allowed;
+  return Allowed <= 0 ? 1 : static_cast<double>(this->Retries.size()) / Allowed;
 }
 
 bool FleetRetryBudget::tryTake(TimePoint Now) {
-  if (this->hasOwnRoom(Now)) {
-    this->Repeats.push_back(Now);
+  if (this->hasLocalRoom(Now)) {
+    this->Retries.push_back(Now);
     return true;
   }
   if (this->Borrowed.empty())
     return false;
-  // The lender counts it.
+  // The lender counts this retry.
   this->Borrowed.pop_front();
   return true;
 }
 
 bool FleetRetryBudget::tryLend(TimePoint Now) {
-  if (!this->hasOwnRoom(Now))
+  if (!this->hasLocalRoom(Now))
     return false;
-  this->Repeats.push_back(Now + LoanTimeout);
+  this->Retries.push_back(Now + LoanTimeout);
   return true;
 }
 
--- a/lib/Admission/Limits.cpp
+++ b/lib/Admission/Limits.cpp
@@ -1,4 +1,4 @@
-//===- Limits.cpp - Which requests are taken ------------------------------===//
+//===- Limits.cpp - Request admission limits ------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plain counters and buckets; the caller holds the lock of its table.
+/// Plain counters and buckets; the caller holds the lock of the table that they
+/// are in.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -67,8 +68,8 @@
   this->Tokens = std::min(this->Tokens, Burst);
 }
 
-/// Repeats that are allowed whatever the rate, so that a quiet service can
-/// repeat at all.
+/// Retries that are allowed whatever the request rate, so that a service with
+/// few requests can retry at all.
 static constexpr double RetryReserve = 3;
 static constexpr double RetryReservePerSecond = 0.2;
 static constexpr double MaxRetryTokens = 100;
@@ -77,7 +78,7 @@
     : PerRequest(static_cast<double>(Percent) / 100),
       Tokens(Percent > 0 ? RetryReserve : 0) {}
 
-void RetryBudget::fade(TimePoint Now) {
+void RetryBudget::refill(TimePoint Now) {
   if (this->PerRequest > 0 && Now > this->At && this->At != TimePoint{}) {
     const double Refill = toSeconds(Now - this->At) * RetryReservePerSecond;
     if (this->Tokens < RetryReserve)
@@ -87,12 +88,12 @@
 }
 
 void RetryBudget::recordRequest(TimePoint Now) {
-  this->fade(Now);
+  this->refill(Now);
   this->Tokens = std::min(MaxRetryTokens, this->Tokens + this->PerRequest);
 }
 
 bool RetryBudget::tryTake(TimePoint Now) {
-  this->fade(Now);
+  this->refill(Now);
   if (this->Tokens < 1)
     return false;
   this->Tokens -= 1;
@@ -114,27 +115,28 @@
 }
 
 bool canMeetDeadline(Duration Left, Duration Median) {
-  // A quarter of the median is under the fastest answers of most services.
+  // A quarter of the median is below the fastest answers of most services.
   return Left > Duration::zero() && Left >= Median / 4;
 }
 
-/// A start takes 0.2 s from its process to its settings on a tenth of a core
-/// (eleven daemons of one hall of 90 after a loss of power), and a fleet's
-/// processes come up within 0.3 s of each other: who comes back, to another
-/// daemon as likely as not, after the sum of both finds it ready. With 0.3 s,
-/// requests worth 270 of the 76,332 of a day came back and were refused again
-/// (all processes killed, 106 and then 200 daemons, one play).
-static constexpr Duration LeastSettingsWait = fromMillis(500);
+/// A daemon needs 0.2 s from the start of its process to its settings on a
+/// tenth of a core (eleven daemons of a hall of 90 after a loss of power), and
+/// the processes of a fleet start within 0.3 s of each other. A caller that
+/// comes back after the sum of both, possibly to another daemon, finds it
+/// ready. With a wait of 0.3 s, requests worth 270 of the 76,332 of a day came
+/// back and were refused again (in a simulation in which all processes were
+/// killed, with 106 and then 200 daemons).
+static constexpr Duration MinSettingsWait = fromMillis(500);
 
-/// A daemon that gets its settings back is used again at least this soon.
-static constexpr Duration MostSettingsWait = fromSeconds(2);
+/// A daemon that has its settings again receives requests again within this
+/// time, plus the spread.
+static constexpr Duration MaxSettingsWait = fromSeconds(2);
 
-/// Callers are spread over this part of their wait.
+/// Callers are spread over this fraction of their wait.
 static constexpr double SettingsWaitSpread = 0.5;
 
 Duration computeSettingsRetryAfter(Duration Without, double Draw) {
-  const Duration Wait =
-      std::clamp(Without, LeastSettingsWait, MostSettingsWait);
+  const Duration Wait = std::clamp(Without, MinSettingsWait, MaxSettingsWait);
   return Wait + fromSeconds(toSeconds(Wait) * SettingsWaitSpread * Draw);
 }
 
--- a/lib/Admission/PoisonRequestTable.cpp
+++ b/lib/Admission/PoisonRequestTable.cpp
@@ -1,4 +1,4 @@
-//===- PoisonRequestTable.cpp - Requests under which servers end ----------===//
+//===- PoisonRequestTable.cpp - Requests that crash backend servers -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Ends and answers in, verdicts out. All daemons that have heard of the same
-/// ends and answers come to the same verdict.
+/// All daemons that know the same ends and answers come to the same verdict, in
+/// whatever order they learned of them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,70 +20,74 @@
 
 namespace canvaswick {
 
-/// Ends after which a request is held back. By the users' rule a request may
-/// still reach servers three times after its third.
-static constexpr size_t EndsToHold = 3;
+/// Number of independent ends at which a request is quarantined. After its
+/// third end, the users' rule lets a request reach servers three more times.
+static constexpr size_t EndsToQuarantine = 3;
 
 /// Servers that end within this time of each other, while the request was in
-/// flight at all of them, ended for one reason: a rack that lost power looks
-/// like this at every request that is asked for often. Far above the spread of
-/// such ends (some milliseconds), and below the time that a caller needs to ask
-/// again three times.
-static constexpr Duration AtOnce = fromMillis(100);
-
-/// By how much daemons see the end of one server at different times, at most.
-static constexpr Duration SeenApart = fromMillis(250);
-
-/// How long an end counts. A request that ends a server each time must not come
-/// back so seldom that it is forgotten between; one that is asked for and well
-/// is cleared by its next answer.
-static constexpr Duration EndMemory = fromSeconds(600);
-
-/// After how long the next try of a request that is held back is due, by the
-/// tries it has had. The first two serve those that were held back wrongly,
-/// while servers ended for another reason: these are mostly back after some
-/// seconds. The first is sent before the users count (three seconds after the
-/// third end); they allow three more in all, which are the next three. The last
-/// ones find out whether servers were mended.
-static constexpr std::array<Duration, 5> TryWaits = {
+/// flight at all of them, are assumed to have ended for a common cause: a rack
+/// that loses power looks like this at every frequent request. It is far above
+/// the spread of such ends (some milliseconds) and below the time that a caller
+/// needs for three more requests.
+static constexpr Duration CommonCauseWindow = fromMillis(100);
+
+/// Upper bound of the difference between the times at which two daemons observe
+/// the same end of a server.
+static constexpr Duration MaxObservationSkew = fromMillis(250);
+
+/// How long an end counts. A request that ends a server each time must not be
+/// forgotten between two rare arrivals; a frequent request that is harmless is
+/// cleared by its next answer.
+static constexpr Duration EndRetention = fromSeconds(600);
+
+/// How long after the previous probe, or after the start of the quarantine, the
+/// next one is due, by the number of probes so far. The first two release
+/// requests that were quarantined wrongly because servers ended for another
+/// reason: such servers are mostly back after some seconds. The first probe
+/// comes before the users start to count (three seconds after the third end);
+/// they allow three more in all, which are the next three. The last ones find
+/// out whether the servers were fixed.
+static constexpr std::array<Duration, 5> ProbeDelays = {
     fromSeconds(2), fromSeconds(5), fromSeconds(30), fromSeconds(600),
     fromSeconds(6 * 3600)};
 
-/// After a try that another daemon has, or that the store did not answer for.
-static constexpr Duration MissedTryWait = fromSeconds(1);
+/// Delay after a probe that another daemon obtained, or for which the store did
+/// not answer.
+static constexpr Duration PostponedProbeDelay = fromSeconds(1);
 
-/// How long it is told again that a request was answered. Who missed it goes on
-/// telling the ends before; others, which have never heard of the request,
-/// would take them for new.
-static constexpr Duration AnswerRetold = fromSeconds(5);
+/// How long an answer is reported again and again. A daemon that missed it
+/// continues to report the earlier ends, and others that have never received
+/// the request would take these for new.
+static constexpr Duration AnswerReportTime = fromSeconds(5);
 
-/// Requests that are remembered, at some 300 bytes each. Who invents new ones
-/// pushes out only such with a single end.
-static constexpr size_t MaxSuspects = 256;
+/// Number of requests that are remembered, at about 300 bytes each. A caller
+/// that keeps sending new requests evicts only requests with a single end.
+static constexpr size_t MaxRequests = 256;
 
-/// Ends of one request that are remembered.
+/// Number of ends that are remembered for each request.
 static constexpr size_t MaxEnds = 8;
 
-/// Ends from which on a request's record is kept outside: one alone is mostly
-/// chance, and a call each.
+/// Number of ends from which on a request is recorded in the store. A single
+/// end is mostly chance, and each record costs a call.
 static constexpr size_t EndsToRecord = 2;
 
-/// Returns whether two attempts ended with the same life of a server. One that
-/// began after the other had ended met the next life, however soon that came.
+/// Returns whether two attempts ended with the same instance of a server. An
+/// attempt that began after the other had ended met the next instance, however
+/// soon that started.
 static bool areSameEnd(const RequestEnd &One, const RequestEnd &Two) {
   const Duration Apart = One.Ended - Two.Ended;
   return One.Server == Two.Server && One.Began < Two.Ended &&
-         Two.Began < One.Ended && std::max(Apart, -Apart) <= SeenApart;
+         Two.Began < One.Ended && std::max(Apart, -Apart) <= MaxObservationSkew;
 }
 
-/// Counts ends, those at one moment as one.
-static size_t countSeparate(const std::vector<RequestEnd> &Ends) {
+/// Returns the number of ends, counting those with a common cause as one.
+static size_t countIndependent(const std::vector<RequestEnd> &Ends) {
   size_t Count = 0;
   const RequestEnd *Last = nullptr;
   for (const RequestEnd &Each : Ends) {
-    const bool IsAtOnce =
-        Last && Each.Began < Last->Ended && Each.Ended - Last->Ended <= AtOnce;
-    if (IsAtOnce)
+    const bool HasCommonCause = Last && Each.Began < Last->Ended &&
+                                Each.Ended - Last->Ended <= CommonCauseWindow;
+    if (HasCommonCause)
       continue;
     ++Count;
     Last = &Each;
@@ -91,34 +95,35 @@
   return Count;
 }
 
-/// Returns when the third separate end came. There must be as many.
-static TimePoint findHoldStart(const std::vector<RequestEnd> &Ends) {
+/// Returns when the request reached EndsToQuarantine independent ends. It must
+/// have that many.
+static TimePoint findQuarantineStart(const std::vector<RequestEnd> &Ends) {
   for (size_t Count = 1; Count <= Ends.size(); ++Count) {
     const auto Until = Ends.begin() + static_cast<ptrdiff_t>(Count);
-    if (countSeparate({Ends.begin(), Until}) == EndsToHold)
+    if (countIndependent({Ends.begin(), Until}) == EndsToQuarantine)
       return Ends[Count - 1].Ended;
   }
   return Ends.back().Ended;
 }
 
-static Duration getTryWait(int Probes) {
-  const auto Place = static_cast<size_t>(std::max(0, Probes));
-  return TryWaits[std::min(Place, TryWaits.size() - 1)];
+static Duration getProbeDelay(int Probes) {
+  const auto Index = static_cast<size_t>(std::max(0, Probes));
+  return ProbeDelays[std::min(Index, ProbeDelays.size() - 1)];
 }
 
 PoisonRequestTable::Suspect *
 PoisonRequestTable::find(RequestFingerprint Request) {
-  const auto Found = this->Suspects.find(Request);
-  return Found == this->Suspects.end() ? nullptr : &Found->second;
+  const auto Found = this->Requests.find(Request);
+  return Found == this->Requests.end() ? nullptr : &Found->second;
 }
 
 const PoisonRequestTable::Suspect *
 PoisonRequestTable::find(RequestFingerprint Request) const {
-  const auto Found = this->Suspects.find(Request);
-  return Found == this->Suspects.end() ? nullptr : &Found->second;
+  const auto Found = this->Requests.find(Request);
+  return Found == this->Requests.end() ? nullptr : &Found->second;
 }
 
-/// Adds an end in its place. Returns whether it was not known.
+/// Inserts an end in order. Returns whether it was new.
 bool PoisonRequestTable::addEnd(Suspect &Entry, const RequestEnd &End) const {
   if (Entry.AnsweredAt && End.Ended <= *Entry.AnsweredAt)
     return false;
@@ -128,21 +133,21 @@
       });
   if (IsKnown || Entry.Ends.size() >= MaxEnds)
     return false;
-  const auto Place =
+  const auto Index =
       std::upper_bound(Entry.Ends.begin(), Entry.Ends.end(), End,
                        [](const RequestEnd &Left, const RequestEnd &Right) {
                          return Left.Ended < Right.Ended;
                        });
-  Entry.Ends.insert(Place, End);
+  Entry.Ends.insert(Index, End);
   return true;
 }
 
-/// Returns whether a request that is held back was in flight at the same end.
+/// Returns whether a quarantined request was in flight at the same end.
 bool PoisonRequestTable::isExplained(const RequestEnd &End) const {
-  return std::any_of(this->Suspects.begin(), this->Suspects.end(),
+  return std::any_of(this->Requests.begin(), this->Requests.end(),
                      [&End](const auto &Entry) {
                        const auto &[Request, Other] = Entry;
-                       if (Request == End.Request || !Other.HeldSince)
+                       if (Request == End.Request || !Other.QuarantinedSince)
                          return false;
                        return std::any_of(Other.Ends.begin(), Other.Ends.end(),
                                           [&End](const RequestEnd &Each) {
@@ -151,12 +156,12 @@
                      });
 }
 
-/// Takes the ends of a request that is now held back away from the others that
-/// were in flight or queued at them.
-void PoisonRequestTable::explainOthers(RequestFingerprint Held,
-                                       const Suspect &By) {
-  for (auto &[Request, Other] : this->Suspects) {
-    if (Request == Held || Other.HeldSince)
+/// Removes the ends of a request that is now quarantined from the other
+/// requests that were in flight or queued at the same ends.
+void PoisonRequestTable::removeExplainedEnds(
+    RequestFingerprint QuarantinedRequest, const Suspect &By) {
+  for (auto &[Request, Other] : this->Requests) {
+    if (Request == QuarantinedRequest || Other.QuarantinedSince)
       continue;
     std::erase_if(Other.Ends, [&By](const RequestEnd &End) {
       return std::any_of(
@@ -166,23 +171,24 @@
   }
 }
 
-void PoisonRequestTable::updateHold(RequestFingerprint Request,
-                                    Suspect &Entry) {
-  if (countSeparate(Entry.Ends) < EndsToHold)
+void PoisonRequestTable::updateQuarantine(RequestFingerprint Request,
+                                          Suspect &Entry) {
+  if (countIndependent(Entry.Ends) < EndsToQuarantine)
     return;
-  // Also for one that is held: an earlier end may have come late, and tries are
-  // due at the same time for all who know of the same ends.
-  Entry.HeldSince = findHoldStart(Entry.Ends);
-  this->explainOthers(Request, Entry);
+  // This also applies to a request that is quarantined already: an earlier end
+  // may arrive late, and probes must be due at the same time at all daemons
+  // that know the same ends.
+  Entry.QuarantinedSince = findQuarantineStart(Entry.Ends);
+  this->removeExplainedEnds(Request, Entry);
 }
 
-/// Leaves out a request with the fewest ends, and of these the oldest, if there
-/// are too many.
-void PoisonRequestTable::makeRoom() {
-  if (this->Suspects.size() < MaxSuspects)
+/// If the table is full, evicts a request with the fewest ends, and among these
+/// the oldest.
+void PoisonRequestTable::evictIfFull() {
+  if (this->Requests.size() < MaxRequests)
     return;
-  const auto Least = std::min_element(
-      this->Suspects.begin(), this->Suspects.end(),
+  const auto Victim = std::min_element(
+      this->Requests.begin(), this->Requests.end(),
       [](const auto &Left, const auto &Right) {
         const std::vector<RequestEnd> &One = Left.second.Ends;
         const std::vector<RequestEnd> &Two = Right.second.Ends;
@@ -190,22 +196,22 @@
           return One.size() < Two.size();
         return !One.empty() && One.back().Ended < Two.back().Ended;
       });
-  this->Suspects.erase(Least);
+  this->Requests.erase(Victim);
 }
 
-bool PoisonRequestTable::recordEnd(const RequestEnd &End, bool IsOwn,
+bool PoisonRequestTable::recordEnd(const RequestEnd &End, bool IsLocal,
                                    TimePoint Now) {
-  if (Now - End.Ended >= EndMemory || this->isExplained(End))
+  if (Now - End.Ended >= EndRetention || this->isExplained(End))
     return false;
   Suspect *Entry = this->find(End.Request);
   if (!Entry) {
-    this->makeRoom();
-    Entry = &this->Suspects[End.Request];
+    this->evictIfFull();
+    Entry = &this->Requests[End.Request];
   }
-  Entry->IsOwn = Entry->IsOwn || IsOwn;
+  Entry->IsLocal = Entry->IsLocal || IsLocal;
   if (!this->addEnd(*Entry, End))
     return false;
-  this->updateHold(End.Request, *Entry);
+  this->updateQuarantine(End.Request, *Entry);
   return true;
 }
 
@@ -214,8 +220,8 @@
   Entry.AnsweredAt = std::max(Entry.AnsweredAt.value_or(At), At);
   std::erase_if(Entry.Ends,
                 [At](const RequestEnd &End) { return End.Ended <= At; });
-  Entry.HeldSince.reset();
-  Entry.HasReturnedTry = false;
+  Entry.QuarantinedSince.reset();
+  Entry.HasReturnedProbe = false;
   Entry.Probes = 0;
 }
 
@@ -223,9 +229,9 @@
   Suspect *Entry = this->find(Answer.Request);
   if (!Entry || Entry->Ends.empty() || Entry->Ends.front().Ended > Answer.At)
     return false;
-  Entry->IsClearedHere = true;
+  Entry->IsClearedLocally = true;
   this->clear(*Entry, Answer.At);
-  this->updateHold(Answer.Request, *Entry);
+  this->updateQuarantine(Answer.Request, *Entry);
   return true;
 }
 
@@ -233,20 +239,20 @@
   Suspect *Entry = this->find(Answer.Request);
   if (Entry && Entry->AnsweredAt && *Entry->AnsweredAt >= Answer.At)
     return false;
-  // Ends before it may be on their way still.
+  // Reports of ends before this answer may still arrive.
   if (!Entry) {
-    this->makeRoom();
-    Entry = &this->Suspects[Answer.Request];
+    this->evictIfFull();
+    Entry = &this->Requests[Answer.Request];
   }
   this->clear(*Entry, Answer.At);
-  this->updateHold(Answer.Request, *Entry);
+  this->updateQuarantine(Answer.Request, *Entry);
   return true;
 }
 
 QuarantineVerdict PoisonRequestTable::classify(RequestFingerprint Request,
                                                TimePoint Now) const {
   const Suspect *Entry = this->find(Request);
-  if (!Entry || !Entry->HeldSince)
+  if (!Entry || !Entry->QuarantinedSince)
     return QuarantineVerdict::Allowed;
   return this->getWait(Request, Now) > Duration::zero()
              ? QuarantineVerdict::Quarantined
@@ -256,10 +262,10 @@
 Duration PoisonRequestTable::getWait(RequestFingerprint Request,
                                      TimePoint Now) const {
   const Suspect *Entry = this->find(Request);
-  if (!Entry || !Entry->HeldSince)
+  if (!Entry || !Entry->QuarantinedSince)
     return Duration::zero();
-  const TimePoint Since = std::max(*Entry->HeldSince, Entry->TriedAt);
-  return std::max(Duration::zero(), Since + getTryWait(Entry->Probes) - Now);
+  const TimePoint Since = std::max(*Entry->QuarantinedSince, Entry->ProbedAt);
+  return std::max(Duration::zero(), Since + getProbeDelay(Entry->Probes) - Now);
 }
 
 bool PoisonRequestTable::isSuspect(RequestFingerprint Request,
@@ -276,36 +282,37 @@
   Suspect *Entry = this->find(Request);
   if (!Entry)
     return;
-  Entry->TriedAt = Now;
+  Entry->ProbedAt = Now;
   ++Entry->Probes;
 }
 
 void PoisonRequestTable::returnProbe(RequestFingerprint Request) {
   Suspect *Entry = this->find(Request);
-  if (Entry && Entry->HeldSince)
-    Entry->HasReturnedTry = true;
+  if (Entry && Entry->QuarantinedSince)
+    Entry->HasReturnedProbe = true;
 }
 
 bool PoisonRequestTable::takeReturnedProbe(RequestFingerprint Request) {
   Suspect *Entry = this->find(Request);
-  return Entry && std::exchange(Entry->HasReturnedTry, false);
+  return Entry && std::exchange(Entry->HasReturnedProbe, false);
 }
 
 void PoisonRequestTable::postponeProbe(RequestFingerprint Request,
                                        TimePoint Now) {
   if (Suspect *Entry = this->find(Request))
-    Entry->TriedAt = std::max(Entry->TriedAt,
-                              Now + MissedTryWait - getTryWait(Entry->Probes));
+    Entry->ProbedAt =
+        std::max(Entry->ProbedAt,
+                 Now + PostponedProbeDelay - getProbeDelay(Entry->Probes));
 }
 
-/// Takes one record, if it has changed: what it has more than is known here
-/// counts.
-void PoisonRequestTable::takeRecord(const PoisonRequestRecord &Record,
-                                    TimePoint Now) {
+/// Applies one record if it has changed, adding what it has beyond what is
+/// known here.
+void PoisonRequestTable::applyRecord(const PoisonRequestRecord &Record,
+                                     TimePoint Now) {
   Suspect *Entry = this->find(Record.Request);
   if (!Entry) {
-    this->makeRoom();
-    Entry = &this->Suspects[Record.Request];
+    this->evictIfFull();
+    Entry = &this->Requests[Record.Request];
   }
   if (Entry->RecordedEnds > 0 && Entry->RecordedMillis == Record.ChangedMillis)
     return;
@@ -315,23 +322,23 @@
   Entry->RecordedMillis = Record.ChangedMillis;
   if (Record.Probes > Entry->Probes) {
     Entry->Probes = Record.Probes;
-    Entry->TriedAt = Now;
+    Entry->ProbedAt = Now;
   }
-  this->updateHold(Record.Request, *Entry);
+  this->updateQuarantine(Record.Request, *Entry);
 }
 
 void PoisonRequestTable::applyRecords(
     const std::vector<PoisonRequestRecord> &Records, TimePoint Now) {
   for (const PoisonRequestRecord &Record : Records)
-    this->takeRecord(Record, Now);
-  for (auto &[Request, Entry] : this->Suspects) {
+    this->applyRecord(Record, Now);
+  for (auto &[Request, Entry] : this->Requests) {
     const RequestFingerprint Wanted = Request;
-    const bool IsThere =
+    const bool IsListed =
         std::any_of(Records.begin(), Records.end(),
                     [Wanted](const PoisonRequestRecord &Record) {
                       return Record.Request == Wanted;
                     });
-    if (IsThere || Entry.RecordedEnds == 0)
+    if (IsListed || Entry.RecordedEnds == 0)
       continue;
     Entry.RecordedEnds = 0;
     this->clear(Entry, Now);
@@ -339,7 +346,7 @@
 }
 
 void PoisonRequestTable::invalidateRecords() {
-  for (auto &[Request, Entry] : this->Suspects)
+  for (auto &[Request, Entry] : this->Requests)
     Entry.RecordedEnds = 0;
 }
 
@@ -356,11 +363,12 @@
 
 std::vector<PoisonRequestRecord> PoisonRequestTable::listUnrecorded() const {
   std::vector<PoisonRequestRecord> Missing;
-  for (const auto &[Request, Entry] : this->Suspects) {
+  for (const auto &[Request, Entry] : this->Requests) {
     const size_t Ends = Entry.Ends.size();
-    // What is held back already gains nothing by more ends.
-    const bool IsRecorded = Entry.RecordedEnds >= std::min(Ends, EndsToHold);
-    if (Entry.IsOwn && Ends >= EndsToRecord && !IsRecorded)
+    // More ends add nothing to a request that is already quarantined.
+    const bool IsRecorded =
+        Entry.RecordedEnds >= std::min(Ends, EndsToQuarantine);
+    if (Entry.IsLocal && Ends >= EndsToRecord && !IsRecorded)
       Missing.push_back(this->getRecord(Request));
   }
   return Missing;
@@ -368,8 +376,8 @@
 
 std::vector<RequestFingerprint> PoisonRequestTable::listCleared() const {
   std::vector<RequestFingerprint> Cleared;
-  for (const auto &[Request, Entry] : this->Suspects)
-    if (Entry.RecordedEnds > 0 && Entry.Ends.empty() && Entry.IsClearedHere)
+  for (const auto &[Request, Entry] : this->Requests)
+    if (Entry.RecordedEnds > 0 && Entry.Ends.empty() && Entry.IsClearedLocally)
       Cleared.push_back(Request);
   return Cleared;
 }
@@ -377,12 +385,12 @@
 PoisonRequestUpdate PoisonRequestTable::buildUpdate(size_t MaxRows,
                                                     TimePoint Now) const {
   std::vector<const Suspect *> Order;
-  PoisonRequestUpdate News;
-  for (const auto &[Request, Entry] : this->Suspects) {
+  PoisonRequestUpdate Update;
+  for (const auto &[Request, Entry] : this->Requests) {
     Order.push_back(&Entry);
-    if (Entry.AnsweredAt && Now - *Entry.AnsweredAt < AnswerRetold &&
-        News.Answers.size() < MaxRows / 2)
-      News.Answers.push_back({Request, *Entry.AnsweredAt});
+    if (Entry.AnsweredAt && Now - *Entry.AnsweredAt < AnswerReportTime &&
+        Update.Answers.size() < MaxRows / 2)
+      Update.Answers.push_back({Request, *Entry.AnsweredAt});
   }
   std::stable_sort(Order.begin(), Order.end(),
                    [](const Suspect *Left, const Suspect *Right) {
@@ -390,49 +398,50 @@
                    });
   for (const Suspect *Entry : Order)
     for (const RequestEnd &End : Entry->Ends)
-      if (News.Ends.size() + News.Answers.size() < MaxRows)
-        News.Ends.push_back(End);
-  return News;
+      if (Update.Ends.size() + Update.Answers.size() < MaxRows)
+        Update.Ends.push_back(End);
+  return Update;
 }
 
 std::vector<PoisonRequestStatus> PoisonRequestTable::describe() const {
   std::vector<PoisonRequestStatus> All;
-  for (const auto &[Request, Entry] : this->Suspects) {
+  for (const auto &[Request, Entry] : this->Requests) {
     if (Entry.Ends.empty())
       continue;
     PoisonRequestStatus Status;
     Status.Record = this->getRecord(Request);
-    Status.IsQuarantined = Entry.HeldSince.has_value();
+    Status.IsQuarantined = Entry.QuarantinedSince.has_value();
     if (Status.IsQuarantined)
-      Status.NextProbe =
-          std::max(*Entry.HeldSince, Entry.TriedAt) + getTryWait(Entry.Probes);
+      Status.NextProbe = std::max(*Entry.QuarantinedSince, Entry.ProbedAt) +
+                         getProbeDelay(Entry.Probes);
     All.push_back(std::move(Status));
   }
   return All;
 }
 
 void PoisonRequestTable::forgetOld(TimePoint Now) {
-  for (auto &[Request, Entry] : this->Suspects)
-    if (!Entry.HeldSince)
+  for (auto &[Request, Entry] : this->Requests)
+    if (!Entry.QuarantinedSince)
       std::erase_if(Entry.Ends, [Now](const RequestEnd &End) {
-        return Now - End.Ended >= EndMemory;
+        return Now - End.Ended >= EndRetention;
       });
-  std::erase_if(this->Suspects, [Now](const auto &Each) {
+  std::erase_if(this->Requests, [Now](const auto &Each) {
     const Suspect &Entry = Each.second;
-    // What is held back is remembered until its last try has passed.
-    if (Entry.HeldSince)
-      return Now - std::max(*Entry.HeldSince, Entry.TriedAt) >=
-             TryWaits.back() + EndMemory;
+    // A quarantined request is kept until its last probe delay has passed.
+    if (Entry.QuarantinedSince)
+      return Now - std::max(*Entry.QuarantinedSince, Entry.ProbedAt) >=
+             ProbeDelays.back() + EndRetention;
     const bool IsAnswerOld =
-        !Entry.AnsweredAt || Now - *Entry.AnsweredAt >= EndMemory;
+        !Entry.AnsweredAt || Now - *Entry.AnsweredAt >= EndRetention;
     return Entry.Ends.empty() && Entry.RecordedEnds == 0 && IsAnswerOld;
   });
 }
 
 size_t PoisonRequestTable::countQuarantined() const {
   return static_cast<size_t>(std::count_if(
-      this->Suspects.begin(), this->Suspects.end(),
-      [](const auto &Each) { return Each.second.HeldSince.has_value(); }));
+      this->Requests.begin(), this->Requests.end(), [](const auto &Each) {
+        return Each.second.QuarantinedSince.has_value();
+      }));
 }
 
 } // namespace canvaswick
--- a/lib/Admission/QuotaTimes.h
+++ b/lib/Admission/QuotaTimes.h
@@ -1,4 +1,4 @@
-//===- QuotaTimes.h - Means over which allowances look ----------*- C++ -*-===//
+//===- QuotaTimes.h - Time constants of fleet quotas ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Times that both the buckets and what may be used of them go by. Private to
-/// this library.
+/// Time constants that both the buckets and the usable quota are based on.
+/// Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,17 +19,17 @@
 
 namespace canvaswick {
 
-/// The rate at which a daemon is asked is the mean over about this time: some
-/// messages between daemons long, so that a rise is told soon.
-inline constexpr Duration AskedFade = fromMillis(250);
+/// Time constant of a daemon's demand: a few intervals between messages, so
+/// that a surge is reported soon.
+inline constexpr Duration DemandTimeConstant = fromMillis(250);
 
-/// What is usual of a daemon is the mean over about this time: longer than the
-/// time between two requests of most organisations at a daemon.
-inline constexpr Duration UsualFade = fromSeconds(4);
+/// Time constant of a daemon's typical rate: longer than the time between two
+/// requests of most organisations at one daemon.
+inline constexpr Duration TypicalTimeConstant = fromSeconds(4);
 
-/// Requests that are imagined beside those within AskedFade, so that the first
-/// one after a while is not taken for a rise of the whole fleet.
-inline constexpr double ImaginedAsked = 3;
+/// Requests added as a prior to those within DemandTimeConstant, so that the
+/// first request after a pause does not look like a surge of the whole fleet.
+inline constexpr double PriorRequests = 3;
 
 } // namespace canvaswick
 
--- a/lib/Admission/RequestFingerprint.cpp
+++ b/lib/Admission/RequestFingerprint.cpp
@@ -1,4 +1,4 @@
-//===- RequestFingerprint.cpp - What two equal requests have in common ----===//
+//===- RequestFingerprint.cpp - Fingerprints of equal requests ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Each part is hashed with the hash of those before it as its seed, so that no
-/// two divisions of the same bytes are alike.
+/// Each part is hashed with the hash of the parts before it as seed, so that
+/// splitting the same bytes differently gives another fingerprint.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,11 +18,11 @@
 namespace canvaswick {
 
 RequestFingerprint computeRequestFingerprint(const RequestParts &Parts) {
-  RequestFingerprint Digest = 0;
+  RequestFingerprint Fingerprint = 0;
   for (const std::string_view Part :
        {Parts.Organisation, Parts.Method, Parts.Host, Parts.Target, Parts.Body})
-    Digest = hashText(Part, Digest);
-  return Digest;
+    Fingerprint = hashText(Part, Fingerprint);
+  return Fingerprint;
 }
 
 } // namespace canvaswick
--- a/lib/Admission/UsableQuota.cpp
+++ b/lib/Admission/UsableQuota.cpp
@@ -1,4 +1,4 @@
-//===- UsableQuota.cpp - What a daemon may use of a bucket ----------------===//
+//===- UsableQuota.cpp - The usable part of a fleet quota -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of FleetQuota that works out, from who is heard and what is
-/// usual, what this daemon and those that it hears may use of an organisation's
-/// bucket, and fills it by that.
+/// The part of FleetQuota that computes, from liveness and typical rates, how
+/// much of an organisation's bucket this daemon and those it hears from may
+/// use, and refills the bucket accordingly.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,197 +20,209 @@
 
 namespace canvaswick {
 
-/// What a hall told longer ago than this is taken to have risen as much as what
-/// is known better has.
-static constexpr Duration FreshFor = fromMillis(100);
-
-/// What may have been admitted unheard is counted for this long at most; later
-/// who is not heard counts as silent.
-static constexpr Duration MostUnheard = fromMillis(700);
-
-/// While more than this part of the fleet is silent, what is usual stays as it
-/// was. Those that are heard use what is usually left beside, and if that
-/// became usual for them, those that are not would be left less than they take.
-static constexpr double FreezePart = 0.05;
-
-/// What those on the two sides of a cut think usual differs by what they heard
-/// last; while a part of the fleet is silent, each side uses this much of its
-/// part.
-static constexpr double KeptWhileApart = 0.95;
-
-/// Who is cut off holds at least one request, since less is of no use.
-static constexpr double LeastReach = 1;
-
-/// Returns the requests a second that are usual of who was last heard at an
-/// instant. What it did before it fell silent stays usual.
-double FleetQuota::getUsualRate(const Account &Of, const SmoothedRate &Usual,
-                                TimePoint HeardAt, TimePoint Now) const {
-  const TimePoint Known = std::min(Now, HeardAt + QuotaReportInterval);
-  return Usual.get(this->FrozenAt ? std::min(Known, *this->FrozenAt) : Known,
-                   Of.Since);
+/// A hall whose last report is older than this is assumed to have risen by the
+/// same factor as the demand at this hall.
+static constexpr Duration FreshReportAge = fromMillis(100);
+
+/// Unreported admissions are estimated for at most this time since the last
+/// message; later the source counts as silent.
+static constexpr Duration MaxUnreportedTime = fromMillis(700);
+
+/// While more than this fraction of the fleet is silent, typical rates are not
+/// updated. The daemons that are heard from also use the rate that is typically
+/// unused, and if that became their typical rate, less would be reserved for
+/// the silent ones than these use.
+static constexpr double FreezeFraction = 0.05;
+
+/// The typical rates known on the two sides of a partition differ by the last
+/// reports; while a part of the fleet is silent, each side uses this fraction
+/// of its share.
+static constexpr double PartitionedFraction = 0.95;
+
+/// A daemon that is cut off has a bucket of at least one request, since less is
+/// of no use.
+static constexpr double MinUsableCapacity = 1;
+
+/// Returns the typical rate, in requests a second, of a source that was last
+/// heard from at HeardAt. The rate from before it fell silent remains its
+/// typical rate.
+double FleetQuota::getTypicalRate(const Account &Bucket,
+                                  const SmoothedRate &Typical,
+                                  TimePoint HeardAt, TimePoint Now) const {
+  const TimePoint Until = std::min(Now, HeardAt + QuotaReportInterval);
+  return Typical.get(this->FrozenAt ? std::min(Until, *this->FrozenAt) : Until,
+                     Bucket.FirstSeenAt);
 }
 
-double FleetQuota::getUsualRate(const Account &Of, const Part &Each,
-                                TimePoint Now) const {
-  return this->getUsualRate(Of, Each.Usual,
-                            this->Heard.get(Each.Source).HeardAt, Now);
+double FleetQuota::getTypicalRate(const Account &Bucket,
+                                  const SourceUsage &Each,
+                                  TimePoint Now) const {
+  return this->getTypicalRate(Bucket, Each.Typical,
+                              this->Liveness.get(Each.Source).HeardAt, Now);
 }
 
-double FleetQuota::getOwnUsualRate(const Account &Of, TimePoint Now) const {
-  return this->getUsualRate(Of, Of.Usual, Now, Now);
+double FleetQuota::getLocalTypicalRate(const Account &Bucket,
+                                       TimePoint Now) const {
+  return this->getTypicalRate(Bucket, Bucket.Typical, Now, Now);
 }
 
-/// Returns whether who told a part has left the fleet. What it asked last is
-/// asked of others now, or of nobody.
-bool FleetQuota::hasLeft(const Part &Each, TimePoint Now) const {
-  return this->Heard.hasLeft(this->Heard.get(Each.Source), Now);
+/// Returns whether the source of a report has left the fleet. Its demand has
+/// moved to other daemons, or ended.
+bool FleetQuota::hasLeft(const SourceUsage &Each, TimePoint Now) const {
+  return this->Liveness.hasLeft(this->Liveness.get(Each.Source), Now);
 }
 
-void FleetQuota::addUsual(SmoothedRate &Usual, double Amount,
-                          TimePoint Now) const {
+void FleetQuota::addTypical(SmoothedRate &Typical, double Amount,
+                            TimePoint Now) const {
   if (!this->FrozenAt)
-    Usual.add(Amount, Now);
+    Typical.add(Amount, Now);
 }
 
 void FleetQuota::updateFreeze(TimePoint Now) {
   const bool IsFrozen =
-      static_cast<double>(this->Heard.countSilent(Now)) >
-      FreezePart * static_cast<double>(this->Heard.countDaemons());
+      static_cast<double>(this->Liveness.countSilent(Now)) >
+      FreezeFraction * static_cast<double>(this->Liveness.countDaemons());
   if (!IsFrozen)
     this->FrozenAt.reset();
   else if (!this->FrozenAt)
     this->FrozenAt = Now;
 }
 
-/// Returns the requests a second that are asked of this hall.
-double FleetQuota::getHallAsked(const Account &Of, TimePoint Now) const {
-  double Demand = Of.Demand.getRate(Now);
-  for (const Part &Each : Of.Parts)
-    if (!this->Heard.get(Each.Source).IsHall &&
-        !this->Heard.hasTimedOut(this->Heard.get(Each.Source), Now))
+/// Returns the demand at this hall in requests a second.
+double FleetQuota::getHallDemand(const Account &Bucket, TimePoint Now) const {
+  double Demand = Bucket.Demand.getRate(Now);
+  for (const SourceUsage &Each : Bucket.SourceUsages)
+    if (!this->Liveness.get(Each.Source).IsHall &&
+        !this->Liveness.hasTimedOut(this->Liveness.get(Each.Source), Now))
       Demand += Each.Demand;
   return Demand;
 }
 
-/// Returns how many times as much as usual is asked of this hall, 1 at least:
-/// likely of others too, though they have not told so yet.
-double FleetQuota::getSurge(const Account &Of, TimePoint Now) const {
-  double Usual = this->getOwnUsualRate(Of, Now);
-  for (const Part &Each : Of.Parts)
-    if (!this->Heard.get(Each.Source).IsHall && !this->hasLeft(Each, Now))
-      Usual += this->getUsualRate(Of, Each, Now);
-  const double Seconds = toSeconds(AskedFade);
-  const double Demand = this->getHallAsked(Of, Now) * Seconds;
-  return std::max(1.0,
-                  (Demand + ImaginedAsked) / (Usual * Seconds + ImaginedAsked));
+/// Returns the demand at this hall divided by its typical demand, at least 1.
+/// Other halls have probably risen alike, though they have not reported it yet.
+double FleetQuota::getDemandRatio(const Account &Bucket, TimePoint Now) const {
+  double Typical = this->getLocalTypicalRate(Bucket, Now);
+  for (const SourceUsage &Each : Bucket.SourceUsages)
+    if (!this->Liveness.get(Each.Source).IsHall && !this->hasLeft(Each, Now))
+      Typical += this->getTypicalRate(Bucket, Each, Now);
+  const double Seconds = toSeconds(DemandTimeConstant);
+  const double Demand = this->getHallDemand(Bucket, Now) * Seconds;
+  return std::max(1.0, (Demand + PriorRequests) /
+                           (Typical * Seconds + PriorRequests));
 }
 
-/// Adds what may be asked of halls that have not spoken since this daemon
-/// started: as much for each daemon as of this hall.
-void FleetQuota::addUntold(const Account &Of, UsableQuota &Within,
-                           TimePoint Now) const {
-  const double OfEach = this->getHallAsked(Of, Now) /
-                        static_cast<double>(this->Heard.countHallPeers() + 1);
-  for (const FleetLiveness::Source &Each : this->Heard.getAll()) {
+/// Adds the possible demand at halls that have not reported since this daemon
+/// started, assuming as much for each of their daemons as at this hall.
+void FleetQuota::addUnreportedHalls(const Account &Bucket, UsableQuota &Usable,
+                                    TimePoint Now) const {
+  const double PerDaemon =
+      this->getHallDemand(Bucket, Now) /
+      static_cast<double>(this->Liveness.countHallPeers() + 1);
+  for (const FleetLiveness::Source &Each : this->Liveness.getAll()) {
     if (!Each.IsHall || !Each.IsListed || Each.HasReported)
       continue;
-    const double Demand = OfEach * static_cast<double>(Each.Daemons);
-    Within.Demand += Demand;
-    Within.Unheard +=
-        Demand * toSeconds(std::min(Now - Each.HeardAt, MostUnheard));
+    const double Demand = PerDaemon * static_cast<double>(Each.Daemons);
+    Usable.Demand += Demand;
+    Usable.Unreported +=
+        Demand * toSeconds(std::min(Now - Each.HeardAt, MaxUnreportedTime));
   }
 }
 
-FleetQuota::UsableQuota FleetQuota::computeUsable(const Account &Of,
+FleetQuota::UsableQuota FleetQuota::computeUsable(const Account &Bucket,
                                                   TimePoint Now) const {
-  UsableQuota Within;
-  Within.Demand = Of.Demand.getRate(Now);
-  const double Surge = this->getSurge(Of, Now);
-  double Usual = this->getOwnUsualRate(Of, Now);
-  double SilentUsual = 0;
-  double NearUsual = 0;
-  this->addUntold(Of, Within, Now);
-  for (const Part &Each : Of.Parts) {
-    const FleetLiveness::Source &Told = this->Heard.get(Each.Source);
+  UsableQuota Usable;
+  Usable.Demand = Bucket.Demand.getRate(Now);
+  const double DemandRatio = this->getDemandRatio(Bucket, Now);
+  double Typical = this->getLocalTypicalRate(Bucket, Now);
+  double SilentTypical = 0;
+  double HallTypical = 0;
+  this->addUnreportedHalls(Bucket, Usable, Now);
+  for (const SourceUsage &Each : Bucket.SourceUsages) {
+    const FleetLiveness::Source &State = this->Liveness.get(Each.Source);
     if (this->hasLeft(Each, Now))
       continue;
-    const double Rate = this->getUsualRate(Of, Each, Now);
-    Usual += Rate;
-    if (this->Heard.isSilent(Told, Now)) {
-      SilentUsual += Rate;
-      NearUsual += Told.IsHall ? 0 : Rate;
+    const double Rate = this->getTypicalRate(Bucket, Each, Now);
+    Typical += Rate;
+    if (this->Liveness.isSilent(State, Now)) {
+      SilentTypical += Rate;
+      HallTypical += State.IsHall ? 0 : Rate;
       continue;
     }
-    const Duration Age = Now - Each.ToldAt;
-    const bool MayHaveRisen = Told.IsHall && Age > FreshFor;
+    const Duration Age = Now - Each.ReportedAt;
+    const bool MayHaveRisen = State.IsHall && Age > FreshReportAge;
     const double Demand =
-        MayHaveRisen ? std::max(Each.Demand, Rate * Surge) : Each.Demand;
-    Within.Demand += Demand;
-    Within.Unheard +=
-        Demand * toSeconds(std::min(Now - Told.HeardAt, MostUnheard));
+        MayHaveRisen ? std::max(Each.Demand, Rate * DemandRatio) : Each.Demand;
+    Usable.Demand += Demand;
+    Usable.Unreported +=
+        Demand * toSeconds(std::min(Now - State.HeardAt, MaxUnreportedTime));
   }
-  size_t NearSilent = 0;
-  for (const FleetLiveness::Source &Each : this->Heard.getAll()) {
-    if (!this->Heard.isSilent(Each, Now))
+  size_t HallSilent = 0;
+  for (const FleetLiveness::Source &Each : this->Liveness.getAll()) {
+    if (!this->Liveness.isSilent(Each, Now))
       continue;
-    Within.Silent += Each.Daemons;
-    NearSilent += Each.IsHall ? 0 : 1;
+    Usable.Silent += Each.Daemons;
+    HallSilent += Each.IsHall ? 0 : 1;
   }
-  const double Scale = Usual > Of.Rate ? Of.Rate / Usual : 1;
-  const double SpareOfEach = (Of.Rate - Usual * Scale) /
-                             static_cast<double>(this->Heard.countDaemons());
-  const double Left =
-      SilentUsual * Scale + SpareOfEach * static_cast<double>(Within.Silent);
-  Within.NearReserved =
-      NearUsual * Scale + SpareOfEach * static_cast<double>(NearSilent);
-  Within.Rate = std::max(0.0, Of.Rate - Left);
+  const double Scale = Typical > Bucket.Rate ? Bucket.Rate / Typical : 1;
+  const double SparePerDaemon =
+      (Bucket.Rate - Typical * Scale) /
+      static_cast<double>(this->Liveness.countDaemons());
+  const double SilentReserved =
+      SilentTypical * Scale +
+      SparePerDaemon * static_cast<double>(Usable.Silent);
+  Usable.HallReservedRate =
+      HallTypical * Scale + SparePerDaemon * static_cast<double>(HallSilent);
+  Usable.Rate = std::max(0.0, Bucket.Rate - SilentReserved);
   if (this->FrozenAt)
-    Within.Rate *= KeptWhileApart;
-  Within.Size = std::max(LeastReach, this->getSize(Of) * Within.Rate / Of.Rate);
-  return Within;
+    Usable.Rate *= PartitionedFraction;
+  Usable.Capacity = std::max(MinUsableCapacity, this->getCapacity(Bucket) *
+                                                    Usable.Rate / Bucket.Rate);
+  return Usable;
 }
 
-/// Computes anew what may be used if what is known of that is older than
-/// MostAge.
-const FleetQuota::UsableQuota &
-FleetQuota::updateUsable(Account &Of, Duration MostAge, TimePoint Now) const {
-  if (Now - Of.WithinAt >= MostAge) {
-    Of.Within = this->computeUsable(Of, Now);
-    Of.WithinAt = Now;
+/// Recomputes the usable quota if it is older than MaxAge.
+const FleetQuota::UsableQuota &FleetQuota::updateUsable(Account &Bucket,
+                                                        Duration MaxAge,
+                                                        TimePoint Now) const {
+  if (Now - Bucket.UsableAt >= MaxAge) {
+    Bucket.Usable = this->computeUsable(Bucket, Now);
+    Bucket.UsableAt = Now;
   }
-  return Of.Within;
+  return Bucket.Usable;
 }
 
-/// Fills the bucket by what those that are heard may use. While others are not,
-/// a second one of their size holds beside it: who is cut off for a moment by
-/// mistake has lost nothing when that is over.
-void FleetQuota::refill(Account &Of, TimePoint Now) const {
-  const UsableQuota &Within = Of.Within;
-  const double Seconds = std::max(0.0, toSeconds(Now - Of.At));
-  const double Size = this->getSize(Of);
-  const double Brought = Within.Rate * Seconds;
-  Of.Tokens = std::min(Size, Of.Tokens + Brought);
-  Of.HallReserved += Within.NearReserved * Seconds;
-  Of.At = std::max(Of.At, Now);
-  if (Within.Silent == 0)
-    Of.TokensWithin.reset();
-  else if (Of.TokensWithin)
-    Of.TokensWithin = std::min(Within.Size, *Of.TokensWithin + Brought);
+/// Refills the bucket at the usable rate. While a part of the fleet is silent,
+/// UsableTokens holds a second, smaller bucket beside it: a daemon that is cut
+/// off by mistake for a moment has lost nothing when that is over.
+void FleetQuota::refill(Account &Bucket, TimePoint Now) const {
+  const UsableQuota &Usable = Bucket.Usable;
+  const double Seconds = std::max(0.0, toSeconds(Now - Bucket.RefilledAt));
+  const double Capacity = this->getCapacity(Bucket);
+  const double Refill = Usable.Rate * Seconds;
+  Bucket.Tokens = std::min(Capacity, Bucket.Tokens + Refill);
+  Bucket.HallReserved += Usable.HallReservedRate * Seconds;
+  Bucket.RefilledAt = std::max(Bucket.RefilledAt, Now);
+  if (Usable.Silent == 0)
+    Bucket.UsableTokens.reset();
+  else if (Bucket.UsableTokens)
+    Bucket.UsableTokens =
+        std::min(Usable.Capacity, *Bucket.UsableTokens + Refill);
   else
-    // What was admitted before the silence showed is charged already.
-    Of.TokensWithin = Within.Size * std::clamp(Of.Tokens / Size, 0.0, 1.0) -
-                      Of.Demand.get(Now);
+    // What was admitted before the silence was detected is charged already.
+    Bucket.UsableTokens =
+        Usable.Capacity * std::clamp(Bucket.Tokens / Capacity, 0.0, 1.0) -
+        Bucket.Demand.get(Now);
 }
 
-/// Returns the tokens that may be used.
-double FleetQuota::getTokens(const Account &Of) {
-  return std::min(Of.Tokens, Of.TokensWithin.value_or(Of.Tokens));
+/// Returns the tokens that this daemon may use.
+double FleetQuota::getTokens(const Account &Bucket) {
+  return std::min(Bucket.Tokens, Bucket.UsableTokens.value_or(Bucket.Tokens));
 }
 
-void FleetQuota::charge(Account &Of, double Requests) {
-  Of.Tokens -= Requests;
-  if (Of.TokensWithin)
-    *Of.TokensWithin -= Requests;
+void FleetQuota::charge(Account &Bucket, double Requests) {
+  Bucket.Tokens -= Requests;
+  if (Bucket.UsableTokens)
+    *Bucket.UsableTokens -= Requests;
 }
 
 } // namespace canvaswick
--- a/unittests/Admission/FleetRetryBudgetTest.cpp
+++ b/unittests/Admission/FleetRetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-//===- FleetRetryBudgetTest.cpp - Tests of the fleet's budget of repeats --===//
+//===- FleetRetryBudgetTest.cpp - Tests of the fleet-wide retry budget ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whatever the daemons do, together they stay within the fleet's allowance.
+/// Whatever the daemons do, together they stay within the fleet's retry limit.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,12 +22,12 @@
 
 using namespace canvaswick;
 
-static constexpr RepeatAllowance Allowance{0.2, fromSeconds(10), 58};
+static constexpr RepeatAllowance Limit{0.2, fromSeconds(10), 58};
 static constexpr TimePoint Start{fromSeconds(1000)};
 
-TEST_CASE("repeats follow the daemon's own requests and its part of the rest") {
-  FleetRetryBudget Budget(Allowance, Start);
-  Budget.configure(Allowance, 40, 0);
+TEST_CASE("retries follow the daemon's requests and its part of the reserve") {
+  FleetRetryBudget Budget(Limit, Start);
+  Budget.configure(Limit, 40, 0);
   const TimePoint Later = Start + fromSeconds(20);
   // 58 * 0.8 / 40 = 1.16 without any request.
   CHECK(Budget.tryTake(Later));
@@ -38,34 +38,34 @@
   while (Budget.tryTake(Later))
     ++Taken;
   CHECK(Taken == 8);
-  // A window later all is forgotten.
+  // One window later, nothing is remembered.
   CHECK(Budget.tryTake(Later + fromSeconds(11)));
 }
 
-TEST_CASE("a process that has just started takes nothing of the reserve") {
-  FleetRetryBudget Budget(Allowance, Start);
+TEST_CASE("a process that has just started does not use the reserve") {
+  FleetRetryBudget Budget(Limit, Start);
   CHECK_FALSE(Budget.tryTake(Start + fromSeconds(9)));
   CHECK(Budget.tryTake(Start + fromSeconds(11)));
 }
 
-TEST_CASE("fewer daemons in view do not raise a daemon's part") {
-  FleetRetryBudget Budget(Allowance, Start);
-  Budget.configure(Allowance, 40, 0);
-  Budget.configure(Allowance, 3, 0);
+TEST_CASE("a smaller view of the fleet does not raise a daemon's part") {
+  FleetRetryBudget Budget(Limit, Start);
+  Budget.configure(Limit, 40, 0);
+  Budget.configure(Limit, 3, 0);
   CHECK(Budget.getAllowed(Start + fromSeconds(20)) < 2);
 }
 
-TEST_CASE("a right that is lent is gone here, and used within its life") {
+TEST_CASE("a lent retry is spent at the lender and expires at the borrower") {
   const TimePoint Later = Start + fromSeconds(20);
-  FleetRetryBudget Lender(Allowance, Start);
-  Lender.configure(Allowance, 20, 0);
+  FleetRetryBudget Lender(Limit, Start);
+  Lender.configure(Limit, 20, 0);
   // 58 * 0.8 / 20 = 2.32.
   CHECK(Lender.tryLend(Later));
   CHECK(Lender.tryTake(Later));
   CHECK_FALSE(Lender.tryLend(Later));
   CHECK_FALSE(Lender.tryTake(Later));
-  FleetRetryBudget Short(Allowance, Start);
-  Short.configure(Allowance, 100, 0);
+  FleetRetryBudget Short(Limit, Start);
+  Short.configure(Limit, 100, 0);
   CHECK_FALSE(Short.tryTake(Later));
   Short.borrow(Later + LoanTimeout);
   CHECK(Short.hasRoom(Later));
@@ -77,17 +77,17 @@
 
 namespace {
 
-/// A right on its way to the daemon that asked for it.
-struct LoanOnItsWay {
+/// A lent retry that has not reached its borrower yet.
+struct PendingLoan {
   size_t Borrower = 0;
   TimePoint Until{};
 };
 
-/// A fleet with an oracle that has seen every request and repeat.
+/// A fleet with an oracle that sees every request and retry.
 struct Fleet {
   std::vector<std::unique_ptr<FleetRetryBudget>> Daemons;
   std::vector<TimePoint> Requests;
-  std::vector<TimePoint> Repeats;
+  std::vector<TimePoint> Retries;
 
   static size_t countWithin(const std::vector<TimePoint> &Instants,
                             TimePoint From, TimePoint Until) {
@@ -96,35 +96,34 @@
                       [&](TimePoint At) { return At > From && At <= Until; }));
   }
 
-  /// The allowance counts the requests of the window or, where these are more,
-  /// those of a window that lies up to one window before.
-  bool isWithinAllowance(TimePoint Until) const {
-    const TimePoint From = Until - Allowance.Window;
-    const size_t Sent = countWithin(this->Repeats, From, Until);
+  /// The limit counts the requests of the window or, if these are more, those
+  /// of a window that begins up to one window earlier.
+  bool isWithinLimit(TimePoint Until) const {
+    const TimePoint From = Until - Limit.Window;
+    const size_t Sent = countWithin(this->Retries, From, Until);
     size_t Most = 0;
     for (int Half = 0; Half <= 2; ++Half) {
-      const Duration Shift = Allowance.Window * Half / 2;
+      const Duration Shift = Limit.Window * Half / 2;
       Most = std::max(Most,
                       countWithin(this->Requests, From - Shift, Until - Shift));
     }
     return static_cast<double>(Sent) <=
-           Allowance.Share * static_cast<double>(Most) +
-               static_cast<double>(Allowance.Reserve);
+           Limit.Share * static_cast<double>(Most) +
+               static_cast<double>(Limit.Reserve);
   }
 };
 
 } // namespace
 
-TEST_CASE("a fleet stays within its allowance under restarts and any view") {
+TEST_CASE("a fleet stays within its limit under restarts and partial views") {
   CHECK(rc::check([] {
     Fleet Under;
     static constexpr size_t Count = 12;
     for (size_t I = 0; I < Count; ++I) {
-      Under.Daemons.push_back(
-          std::make_unique<FleetRetryBudget>(Allowance, Start));
-      Under.Daemons[I]->configure(Allowance, Count, I);
+      Under.Daemons.push_back(std::make_unique<FleetRetryBudget>(Limit, Start));
+      Under.Daemons[I]->configure(Limit, Count, I);
     }
-    std::vector<LoanOnItsWay> Loans;
+    std::vector<PendingLoan> Loans;
     TimePoint Now = Start + fromSeconds(30);
     const auto Steps =
         *rc::gen::container<std::vector<int>>(400, rc::gen::inRange(0, 4000));
@@ -134,18 +133,17 @@
       Now += fromMillis(Step % 90);
       if (Kind == 0) {
         // A restart forgets what was sent.
-        Under.Daemons[Which] =
-            std::make_unique<FleetRetryBudget>(Allowance, Now);
-        Under.Daemons[Which]->configure(Allowance, Count, Which);
+        Under.Daemons[Which] = std::make_unique<FleetRetryBudget>(Limit, Now);
+        Under.Daemons[Which]->configure(Limit, Count, Which);
       } else if (Kind == 1) {
-        Under.Daemons[Which]->configure(Allowance, 1 + Which, Which);
+        Under.Daemons[Which]->configure(Limit, 1 + Which, Which);
       } else if (Kind < 4) {
-        // A peer lends; its answer may take its time, or never come.
+        // A peer lends; its answer may be delayed or lost.
         const size_t Lender = (Which + 1 + static_cast<size_t>(Kind)) % Count;
         if (Under.Daemons[Lender]->tryLend(Now) && Step % 7 != 0)
           Loans.push_back({Which, Now + LoanTimeout});
       } else if (Kind < 6) {
-        for (const LoanOnItsWay &Loan : Loans)
+        for (const PendingLoan &Loan : Loans)
           Under.Daemons[Loan.Borrower]->borrow(Loan.Until);
         Loans.clear();
       } else if (Kind < 12) {
@@ -153,26 +151,26 @@
         Under.Requests.push_back(Now);
       } else {
         while (Under.Daemons[Which]->tryTake(Now))
-          Under.Repeats.push_back(Now);
+          Under.Retries.push_back(Now);
       }
-      RC_ASSERT(Under.isWithinAllowance(Now));
+      RC_ASSERT(Under.isWithinLimit(Now));
     }
   }));
 }
 
-TEST_CASE("parts of daemons in order add up nearly as they are") {
+TEST_CASE("rounded parts of all daemons add up to nearly the limit") {
   static constexpr size_t Count = 36;
   const TimePoint Later = Start + fromSeconds(20);
   size_t Taken = 0;
   for (size_t I = 0; I < Count; ++I) {
-    FleetRetryBudget Budget(Allowance, Start);
-    Budget.configure(Allowance, Count, I);
+    FleetRetryBudget Budget(Limit, Start);
+    Budget.configure(Limit, Count, I);
     for (int J = 0; J < 7; ++J)
       Budget.recordRequest(Later);
     while (Budget.tryTake(Later))
       ++Taken;
   }
-  // 36 * (0.2 * 7 + 58 / 36) * 0.8 = 86.7; rounded down each, 72.
+  // 36 * (0.2 * 7 + 58 / 36) * 0.8 = 86.7; if each part were rounded down, 72.
   CHECK(Taken >= 84);
   CHECK(Taken <= 88);
 }
--- a/unittests/Admission/LimitsTest.cpp
+++ b/unittests/Admission/LimitsTest.cpp
@@ -1,4 +1,4 @@
-//===- LimitsTest.cpp - Tests of the limits -------------------------------===//
+//===- LimitsTest.cpp - Tests of request admission limits -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Rates, budgets and waits, on a clock that is an argument.
+/// Rates, budgets and waits, with the time as an argument.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,43 +19,43 @@
 
 using namespace canvaswick;
 
-TEST_CASE("repeats stay within their part of the requests") {
+TEST_CASE("retries stay within their percentage of the requests") {
   RetryBudget Budget(10);
   TimePoint Now = TimePoint{} + fromSeconds(1);
-  int Repeats = 0;
+  int Retries = 0;
   for (int I = 0; I < 10000; ++I) {
     Now += fromMillis(1);
     Budget.recordRequest(Now);
-    Repeats += Budget.tryTake(Now);
-    Repeats += Budget.tryTake(Now);
+    Retries += Budget.tryTake(Now);
+    Retries += Budget.tryTake(Now);
   }
-  CHECK(Repeats >= 950);
-  CHECK(Repeats <= 1010);
+  CHECK(Retries >= 950);
+  CHECK(Retries <= 1010);
   RetryBudget None(0);
   None.recordRequest(Now);
   CHECK(!None.tryTake(Now + fromSeconds(1000)));
 }
 
-TEST_CASE("a request that cannot make its deadline has no chance") {
+TEST_CASE("a request with too little time left cannot meet its deadline") {
   CHECK(!canMeetDeadline(Duration::zero(), Duration::zero()));
   CHECK(canMeetDeadline(fromMillis(1), Duration::zero()));
   CHECK(!canMeetDeadline(fromMillis(10), fromMillis(100)));
   CHECK(canMeetDeadline(fromMillis(30), fromMillis(100)));
 }
 
-TEST_CASE("Retry-After is whole seconds, one at least") {
+TEST_CASE("Retry-After is in whole seconds, at least one") {
   CHECK(toRetryAfterSeconds(Duration::zero()) == 1);
   CHECK(toRetryAfterSeconds(fromMillis(1000)) == 1);
   CHECK(toRetryAfterSeconds(fromMillis(1001)) == 2);
 }
 
-TEST_CASE("callers stay away from a daemon without settings as long again") {
+TEST_CASE("the wait grows with the time that a daemon is without settings") {
   const auto IsWithin = [](Duration Without, double Least, double Most) {
     const Duration First = computeSettingsRetryAfter(Without, 0);
     const Duration Last = computeSettingsRetryAfter(Without, 0.999);
     CHECK(First >= fromSeconds(Least));
     CHECK(Last <= fromSeconds(Most));
-    // They do not come back together.
+    // The callers are spread.
     CHECK(Last - First >= fromSeconds(0.4 * Least));
   };
   IsWithin(Duration::zero(), 0.5, 0.75);
--- a/unittests/Admission/RequestFingerprintTest.cpp
+++ b/unittests/Admission/RequestFingerprintTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestFingerprintTest.cpp - Tests of what equal requests share ----===//
+//===- RequestFingerprintTest.cpp - Tests of request fingerprints ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Equal requests have one digest; a difference in any part makes another.
+/// Equal requests have the same fingerprint; a difference in any part changes
+/// it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,8 +20,8 @@
 
 using namespace canvaswick;
 
-TEST_CASE("a request has one digest wherever it arrives, and no other shares "
-          "it") {
+TEST_CASE(
+    "equal requests have one fingerprint, different ones do not share it") {
   const RequestParts Asked{"org", "GET", "a.example", "/x/1", "b"};
   CHECK(computeRequestFingerprint(Asked) ==
         computeRequestFingerprint(RequestParts(Asked)));
@@ -35,7 +36,7 @@
   CHECK(All.size() == 6);
 }
 
-TEST_CASE("where one part ends and the next begins makes a difference") {
+TEST_CASE("the boundaries between parts affect the fingerprint") {
   CHECK(computeRequestFingerprint({"", "GET", "a", "/x", ""}) !=
         computeRequestFingerprint({"", "GET", "a/", "x", ""}));
 }
