--- a/include/canvaswick/Directory/AheadPeers.h
+++ b/include/canvaswick/Directory/AheadPeers.h
@@ -1,4 +1,4 @@
-//===- AheadPeers.h - Peers that know more ----------------------*- C++ -*-===//
+//===- AheadPeers.h - Peers with a newer replica ----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Which peers hold a later copy of the store, and which of them to ask for it.
-/// Daemons that fall behind together ask different ones: were they all to ask
-/// the one that is furthest ahead, its link would be full and nobody served.
+/// Tracks which peers hold a newer replica of the store, and chooses the one to
+/// fetch it from. Daemons that fall behind together choose different peers: if
+/// all of them asked the one that is furthest ahead, its link would be
+/// saturated and none would be served.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,33 +28,33 @@
 
 namespace canvaswick {
 
-/// Not thread-safe.
+/// The peers known to be ahead of this daemon. Not thread-safe.
 class AheadPeers {
 public:
-  /// Seed differs between daemons.
+  /// Seed must differ between daemons.
   explicit AheadPeers(uint64_t Seed) : Random(Seed) {}
 
-  /// Notes how far a peer's copy goes, if that is further than Known, this
-  /// daemon's own. Returns whether it is.
-  bool recordPeer(const std::string &Peer, bool IsNear,
+  /// Records the position of a peer's replica if it is ahead of Known, the
+  /// position of this daemon's own. Returns whether it is.
+  bool recordPeer(const std::string &Peer, bool IsSameHall,
                   const StorePosition &AsOf, const StorePosition &Known,
                   TimePoint Now);
 
-  /// Returns a peer that is ahead of Known, drawn anew each time: one of the
-  /// own hall if there is any.
+  /// Returns a random peer that is ahead of Known, from the same hall if there
+  /// is one there, or nullopt if no peer is ahead.
   std::optional<std::string> choosePeer(const StorePosition &Known,
                                         TimePoint Now);
 
-  /// Returns since when this daemon has been behind, if it is.
+  /// Returns since when this daemon has been behind, or nullopt if it is not.
   std::optional<TimePoint> getBehindSince(const StorePosition &Known) const;
 
-  /// Forgets a peer that did not answer.
+  /// Removes a peer that did not answer.
   void forget(const std::string &Peer) { this->Peers.erase(Peer); }
 
 private:
   struct Ahead {
     StorePosition AsOf;
-    bool IsNear = false;
+    bool IsSameHall = false;
     TimePoint HeardAt{};
   };
 
--- a/include/canvaswick/Directory/FleetRecords.h
+++ b/include/canvaswick/Directory/FleetRecords.h
@@ -1,4 +1,4 @@
-//===- FleetRecords.h - What a daemon learns of its fleet -------*- C++ -*-===//
+//===- FleetRecords.h - Records that describe a fleet -----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The operators' routing rules, the backend servers and the other daemons, in
-/// the product's own words, and how they make up one FleetConfig.
+/// The operators' routing rules, the backend servers and the other daemons in
+/// this project's own types, and how a FleetConfig is built from them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,19 +23,19 @@
 
 namespace canvaswick {
 
-/// One part of a route's requests.
+/// One target of a route and its part of the route's requests.
 struct RouteTarget {
   std::string Service;
   int64_t Weight = 1;
 };
 
-/// One route as the operators wrote it.
+/// One route as configured by the operators.
 struct RouteRule {
   std::string Name;
   std::string Host;
   std::string Prefix;
   RouteClass Class = RouteClass::Once;
-  /// At least one part.
+  /// Must not be empty.
   std::vector<RouteTarget> Parts;
   int64_t TimeoutMs = 0;
   int64_t ObjectiveMs = 0;
@@ -45,15 +45,16 @@
   bool IsPublic = false;
 };
 
-/// One service as the operators wrote it.
+/// One service as configured by the operators.
 struct ServiceRule {
   std::string Name;
   std::string ProbePath;
-  /// Connections that each of its servers accepts from the whole fleet.
+  /// Number of connections that each of its servers accepts from the whole
+  /// fleet.
   int64_t MaxConnections = 0;
 };
 
-/// One version of what the operators decided.
+/// One version of the operators' settings.
 struct RoutingRules {
   uint64_t Version = 0;
   std::vector<RouteRule> Routes;
@@ -62,13 +63,13 @@
   OrganisationDirectoryRef Organisations = makeOrganisationDirectory({}, false);
 };
 
-/// One start of a backend server, as it keeps itself listed.
+/// One instance (start) of a backend server, as registered by the server.
 struct ServerRecord {
   std::string Id;
-  /// Calendar time of its start in milliseconds, which with the id names this
-  /// life of it; 0: it does not tell.
+  /// Calendar time of its start in milliseconds, which identifies the instance
+  /// together with Id. 0 if the server does not report it.
   uint64_t Born = 0;
-  /// Grows with each entry of one life.
+  /// Increases with each record of one instance.
   uint64_t Sequence = 0;
   std::string Service;
   Endpoint Address;
@@ -76,13 +77,14 @@
   std::string SoftwareVersion;
   int Slots = 1;
   bool IsDraining = false;
-  /// How much longer it is slow, counted from when the record was written.
+  /// How much longer the server warms up, counted from when the record was
+  /// written.
   Duration WarmupLeft{};
 
   bool operator==(const ServerRecord &) const = default;
 };
 
-/// One daemon of the fleet, as it keeps itself listed.
+/// One daemon of the fleet, as registered by the daemon.
 struct DaemonRecord {
   std::string Name;
   std::string Hall;
@@ -92,23 +94,24 @@
   bool operator==(const DaemonRecord &) const = default;
 };
 
-/// What a service has that the operators' rules do not say.
+/// Properties of a service that the operators' rules do not contain.
 struct ServiceDefaults {
   int FloorPercent = 0;
 };
 
-/// Returns the name of a life of a server. All that is known of a server goes
-/// by it: evidence, load, requests in flight, connections, what daemons tell
-/// each other. So nothing of one life can count for the next.
+/// Returns the name of an instance of a server. Evidence, load, requests in
+/// flight, connections and messages between daemons are keyed by it, so that
+/// nothing known of one instance counts for the next.
 std::string getInstanceName(const ServerRecord &Record);
 
-/// A record and when this daemon learned of it.
+/// A record and when this daemon first read it.
 struct KnownServer {
   ServerRecord Record;
   TimePoint LearnedAt{};
 };
 
-/// Builds what a daemon runs. Servers of unknown services are left out.
+/// Builds the configuration of a daemon. Servers of unknown services, and
+/// routes to unknown services, are left out.
 FleetConfigRef
 compileFleetConfig(const RoutingRules &Rules,
                    const std::map<std::string, KnownServer> &Servers,
--- a/include/canvaswick/Directory/ItemTable.h
+++ b/include/canvaswick/Directory/ItemTable.h
@@ -1,4 +1,4 @@
-//===- ItemTable.h - A copy of the store ------------------------*- C++ -*-===//
+//===- ItemTable.h - Replica of the store -----------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +8,9 @@
 ///
 /// \file
 /// The items that the platform's store holds for this fleet, as far as this
-/// daemon knows. News may come from the store or from another daemon, twice or
-/// in any order; what is older than what is known changes nothing.
+/// daemon knows. Updates may come from the store or from another daemon,
+/// repeatedly and in any order; an update older than the known item changes
+/// nothing.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,30 +29,31 @@
 
 namespace canvaswick {
 
-/// One item of the store, or the news that it is gone.
+/// One item of the store, or the removal of one.
 struct StoreItem {
   std::string Key;
   std::string Value;
-  /// The revision of the item's last change, in the epoch in which it was read.
+  /// The revision of the last change of the item, in the epoch in which it was
+  /// read.
   StorePosition At;
   bool IsRemoved = false;
 
   bool operator==(const StoreItem &) const = default;
 };
 
-/// A value longer than this is large: more than a server's or a daemon's entry,
-/// less than a configuration of twenty routes.
+/// Values longer than this are large: above the record of a server or daemon,
+/// below a configuration of twenty routes.
 inline constexpr size_t LargeValueBytes = 4096;
 
 inline bool isLarge(const StoreItem &Item) {
   return Item.Value.size() > LargeValueBytes;
 }
 
-/// A large item as the difference to the one that it took the place of.
+/// A large item as the difference from the item that it replaced.
 struct ItemDelta {
   std::string Key;
   StorePosition At;
-  /// Position of the earlier item.
+  /// Position of the replaced item.
   StorePosition Base;
   TextDelta Change;
 
@@ -61,75 +63,76 @@
 /// Positions of items by key.
 using ItemPositions = std::map<std::string, StorePosition>;
 
-/// What changed between two positions.
+/// The changes between two positions.
 struct ItemChanges {
-  /// Whether Items are all there are, and not only those that changed.
+  /// Whether Items contains all items and not only those that changed.
   bool IsFull = false;
-  /// Whether items with large values are left out. Those that are here count by
-  /// themselves; AsOf is not reached by taking them.
+  /// Whether items with large values are left out. The items in here are valid,
+  /// but applying them does not bring the replica up to AsOf.
   bool OmitsLarge = false;
   std::vector<StoreItem> Items;
-  /// Those that come as differences.
+  /// Items that are sent as differences.
   std::vector<ItemDelta> Deltas;
   StorePosition AsOf;
 };
 
-/// Items by key. Not thread-safe.
+/// The replica: items by key. Not thread-safe.
 class ItemTable {
 public:
   using ItemMap = std::map<std::string, StoreItem>;
 
-  /// Takes news of one item. Returns whether it changed the table.
-  bool apply(const StoreItem &News);
+  /// Applies an update of one item. Returns whether it changed the table.
+  bool apply(const StoreItem &Update);
 
-  /// Takes all items of the store as they were at AsOf, or later. Items that
-  /// are not among them are gone, unless they are newer than AsOf. Returns
+  /// Applies a complete read of the store as it was at AsOf or later. Items
+  /// that are not listed are removed, unless they are newer than AsOf. Returns
   /// whether the table changed.
   bool replaceAll(const std::vector<StoreItem> &Items,
                   const StorePosition &AsOf);
 
-  /// Lets whatever is taken next replace what is known. For a store that has
-  /// lost something without a new epoch.
+  /// Resets all positions, so that whatever is applied next replaces the known
+  /// items. Used when the store has lost changes without a new epoch.
   void markStale();
 
-  /// Notes that all changes up to AsOf were taken.
+  /// Records that all changes up to AsOf were applied.
   void advanceTo(const StorePosition &AsOf);
 
-  /// Returns the position up to which the table is complete; none: nothing was
-  /// read yet.
+  /// Returns the position up to which the table is complete, or none if nothing
+  /// was read yet.
   const StorePosition &getAsOf() const { return this->AsOf; }
 
-  /// Returns an item, or null.
+  /// Returns an item, or null if there is none with this key.
   const StoreItem *find(const std::string &Key) const;
 
   /// Returns the items whose keys begin with Prefix.
   std::vector<const StoreItem *> list(const std::string &Prefix) const;
 
-  /// Returns what a table that is complete up to After must take to be as far
-  /// as this one. Large items that took the place of one in Held, what that
-  /// table has of them, come as differences.
+  /// Returns the changes that bring a table that is complete up to After to the
+  /// state of this one. A large item is sent as a difference if Held, the large
+  /// items of the other table, contains the item that it replaced.
   ItemChanges getChangesAfter(const StorePosition &After,
                               const ItemPositions &Held = {}) const;
 
-  /// Returns the large items that the table holds.
+  /// Returns the positions of the large items in the table.
   ItemPositions listLarge() const;
 
-  /// Makes an item of a difference. Fails with NotFound if the table does not
-  /// hold the earlier one.
+  /// Rebuilds an item from a difference. Fails with NotFound if the table does
+  /// not hold the base item.
   Result<StoreItem> resolve(const ItemDelta &Delta) const;
 
   const ItemMap &getItems() const { return this->Items; }
 
 private:
-  void noteRemoval(const std::string &Key, const StorePosition &At);
-  bool wasRemovedSince(const StoreItem &News) const;
-  void put(const StoreItem &News);
+  void recordRemoval(const std::string &Key, const StorePosition &At);
+  bool wasRemovedSince(const StoreItem &Update) const;
+  void put(const StoreItem &Update);
 
   ItemMap Items;
-  /// What large items were before they changed last.
+  /// Large items as they were before their last change.
   ItemMap Earlier;
   StorePosition AsOf;
-  /// What was removed of late, oldest first, and the position since when.
+  /// Recent removals, oldest first, and the position from which on the list is
+  /// complete.
   std::deque<StoreItem> Removals;
   StorePosition RemovalsSince;
 };
--- a/include/canvaswick/Directory/StoreBackoff.h
+++ b/include/canvaswick/Directory/StoreBackoff.h
@@ -1,4 +1,4 @@
-//===- StoreBackoff.h - How long the store is left alone after a failure --===//
+//===- StoreBackoff.h - Backoff after failures of the store -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// While nobody of a hall is answered, all its daemons ask the store. Who is
-/// answered tells the others, so what matters is how often the hall asks, not
-/// how often each daemon does.
+/// While the store answers no daemon of a hall, all its daemons retry. A daemon
+/// that is answered notifies the others, so what matters is the request rate of
+/// the whole hall, not that of each daemon.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,10 +22,10 @@
 
 namespace canvaswick {
 
-/// Returns how long a daemon waits before it asks the store again, after
-/// Failures in a row, 1 at least. HallSize counts the daemons of its hall as
-/// far as it knows them, itself included. Draw is in [0, 1) and spreads
-/// daemons, so that they do not come back together.
+/// Returns how long a daemon waits before it sends a request to the store
+/// again. Failures is the number of failures in a row, at least 1. HallSize is
+/// the number of known daemons in its hall, including itself. Draw is in [0, 1)
+/// and spreads the daemons, so that they don't retry together.
 Duration computeStoreBackoff(int Failures, size_t HallSize, double Draw);
 
 } // namespace canvaswick
--- a/include/canvaswick/Directory/StorePosition.h
+++ b/include/canvaswick/Directory/StorePosition.h
@@ -1,4 +1,4 @@
-//===- StorePosition.h - A place in the order of the store ------*- C++ -*-===//
+//===- StorePosition.h - Position in the history of the store ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The store may lose what it has acknowledged and give the same revisions out
-/// again. It then counts a new epoch. So a revision alone orders nothing: what
-/// is compared or kept is a position, and no place compares anything else.
+/// The store may lose changes that it has acknowledged and reuse their
+/// revisions. It then begins a new epoch. A revision alone therefore has no
+/// order: always compare and keep a StorePosition.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,40 +23,42 @@
 
 namespace canvaswick {
 
-/// A revision of the store in one of its epochs. What was read in a later epoch
-/// comes after all that was read in an earlier one.
+/// A revision of the store in one of its epochs. A position in a later epoch is
+/// greater than all positions in earlier ones.
 struct StorePosition {
-  /// 0: the store does not tell its epoch.
+  /// 0 if the store does not report its epoch.
   uint64_t Epoch = 0;
-  /// 0: nothing was read, or the item does not exist.
+  /// 0 if nothing was read, or if the item does not exist.
   uint64_t Revision = 0;
 
   constexpr StorePosition() = default;
-  /// Both are told, so that no number is taken for a position.
+  /// Requires both, so that no plain number converts to a position.
   constexpr StorePosition(uint64_t Epoch, uint64_t Revision)
       : Epoch(Epoch), Revision(Revision) {}
 
   bool isNone() const { return this->Revision == 0; }
 
-  // The linter names a variable of the compiler's own.
+  // The check names a variable that the compiler generates.
   // NOLINTBEGIN(readability-identifier-naming)
   friend auto operator<=>(const StorePosition &,
                           const StorePosition &) = default;
   // NOLINTEND(readability-identifier-naming)
 };
 
-/// How an answer of the store goes with the copy for which it was asked.
+/// How an answer of the store relates to the replica for which it was
+/// requested.
 enum class AnswerConsistency : uint8_t {
-  /// It is as far as the copy, or further.
+  /// It is as recent as the replica, or more recent.
   Follows,
-  /// It was made in an epoch that is over: what it says may be lost.
+  /// It was made in an epoch that has ended: its contents may have been lost.
   Outdated,
-  /// The store has lost something that the copy holds.
+  /// The store has lost changes that the replica holds.
   HasLost,
 };
 
-/// Compares how far a copy was when the store was asked with how far the store
-/// was as it answered. Holds for linearizable answers only.
+/// Compares the position of a replica when the request was sent (Asked) with
+/// the position of the store when it answered (Answered). Valid for
+/// linearizable answers only.
 inline AnswerConsistency compareAnswer(const StorePosition &Asked,
                                        const StorePosition &Answered) {
   if (Answered.Epoch < Asked.Epoch)
@@ -70,7 +72,7 @@
 
 } // namespace canvaswick
 
-/// Prints epoch and revision as logs show them.
+/// Formats a position as "epoch:revision" for logs.
 template <>
 struct fmt::formatter<canvaswick::StorePosition> : formatter<std::string_view> {
   template <typename Context>
--- a/include/canvaswick/Directory/WatchElection.h
+++ b/include/canvaswick/Directory/WatchElection.h
@@ -1,4 +1,4 @@
-//===- WatchElection.h - Who watches the store for whom ---------*- C++ -*-===//
+//===- WatchElection.h - Election of the watchers of the store --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,12 +7,13 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Calls to the store have a price, so two daemons of each hall watch it and
-/// the others learn from them. One of the two asks often, so that the hall
-/// knows whether the store is reached; the other stands by. A daemon leads
-/// unless one that comes before it in its hall's order was answered by the
-/// store of late; it follows if, besides, enough of those before it watch.
-/// Nothing is agreed: too many watching costs calls, never correctness.
+/// Calls to the store cost money, so two daemons of each hall watch it and the
+/// others learn changes from them. The leader polls often, so that the hall
+/// knows whether the store is reachable; the stand-by waits longer. A daemon
+/// leads unless the store recently answered a daemon that comes before it in
+/// the hall's order; it follows if, besides, enough of those before it watch.
+/// There is no agreement protocol: too many watchers cost calls, never
+/// correctness.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,60 +31,61 @@
 
 namespace canvaswick {
 
-/// Where a daemon stands with the store.
+/// A daemon's view of the store.
 struct StoreState {
-  /// The position up to which its copy is complete.
+  /// The position up to which its replica is complete.
   StorePosition AsOf;
   /// Whether it watches the store itself and, as far as it knows, reaches it.
   bool IsWatching = false;
-  /// When the store last answered a read or a watch of its own; none yet:
-  /// TimePoint{}.
+  /// When the store last answered a read or watch of this daemon; TimePoint{}
+  /// if never.
   TimePoint HeardAt{};
 };
 
-/// What a daemon does about the store.
+/// The role of a daemon in watching the store.
 enum class WatchRole : uint8_t {
-  /// Learns from the others of its hall.
+  /// Learns changes from the other daemons of its hall.
   Follow,
-  /// Watches, with long waits.
+  /// Watches with long waits.
   StandBy,
-  /// Watches, and asks again often: the hall relies on its answers.
+  /// Watches with short waits: the hall relies on its answers.
   Lead,
 };
 
-/// Returns the name of a role as logs print it.
+/// Returns the name of a role as printed in logs.
 const char *getName(WatchRole Role);
 
-/// Decides for one daemon. Not thread-safe.
+/// Chooses the role of one daemon. Not thread-safe.
 class WatchElection {
 public:
-  /// AloneWait: how long a daemon that knows no other of its hall waits before
-  /// it leads, counted from the first setHallDaemons. Where a whole fleet
-  /// starts, the others register meanwhile, and one call brings them all.
+  /// AloneWait is how long a daemon that knows no other of its hall waits
+  /// before it leads, counted from the first setHallDaemons. When a whole fleet
+  /// starts, the others register in this time, and a single call returns them
+  /// all.
   explicit WatchElection(std::string Self,
                          Duration AloneWait = Duration::zero());
 
-  /// Sets the daemons of this hall. Who has just learned of others takes it
-  /// that those who come first watch, until they should have been heard.
+  /// Sets the daemons of this hall. A daemon that knew no others before assumes
+  /// that the first in the order watch, until their first reports are overdue.
   void setHallDaemons(const std::vector<std::string> &Names, TimePoint Now);
 
-  /// Notes that a daemon of this hall watches, and when the store last answered
-  /// it.
+  /// Records that a daemon of this hall watches, and when the store last
+  /// answered it.
   void recordWatcher(const std::string &Name, TimePoint HeardAt);
 
-  /// Returns what this daemon should do.
+  /// Returns the current role of this daemon.
   WatchRole getRole(TimePoint Now) const;
 
 private:
   size_t getRank(const std::string &Name) const;
-  void expectFirst(TimePoint Now);
+  void presumeWatchers(TimePoint Now);
 
   const std::string Self;
   const Duration AloneWait;
   std::optional<TimePoint> FirstSetAt;
-  /// The hall's order, the first to watch first.
+  /// The daemons of the hall, the first to watch first.
   std::vector<std::string> Order;
-  /// When the store last answered those that watch.
+  /// When the store last answered each watcher.
   std::map<std::string, TimePoint> HeardAt;
 };
 
--- a/lib/Admission/Limits.cpp
+++ b/lib/Admission/Limits.cpp
@@ -110,7 +110,7 @@
 }
 
 void InFlightLimit::end() {
-  assert(this->Current > 0 && "a request ended that never began");
+  assert(this->Current > 0 && "end() without a matching tryBegin()");
   --this->Current;
 }
 
--- a/lib/Directory/AheadPeers.cpp
+++ b/lib/Directory/AheadPeers.cpp
@@ -1,4 +1,4 @@
-//===- AheadPeers.cpp - Peers that know more ------------------------------===//
+//===- AheadPeers.cpp - Peers with a newer replica ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A table of words heard of late.
+/// Keeps the last report of each peer that is ahead; old reports expire.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,9 +18,9 @@
 
 namespace canvaswick {
 
-/// A peer that was not heard for this long may be gone. Those that watch speak
-/// several times a second, others with each request.
-static constexpr Duration WordLife = fromSeconds(3);
+/// A peer that has not reported for this long may have left. Watchers report
+/// several times a second, other daemons with each request.
+static constexpr Duration ReportTimeout = fromSeconds(3);
 
 bool AheadPeers::isAhead(const StorePosition &Known) const {
   return std::any_of(
@@ -28,33 +28,35 @@
       [&Known](const auto &Entry) { return Entry.second.AsOf > Known; });
 }
 
-bool AheadPeers::recordPeer(const std::string &Peer, bool IsNear,
+bool AheadPeers::recordPeer(const std::string &Peer, bool IsSameHall,
                             const StorePosition &AsOf,
                             const StorePosition &Known, TimePoint Now) {
   if (AsOf <= Known)
     return false;
   if (!this->isAhead(Known))
     this->BehindSince = Now;
-  this->Peers[Peer] = {AsOf, IsNear, Now};
+  this->Peers[Peer] = {AsOf, IsSameHall, Now};
   return true;
 }
 
 std::optional<std::string> AheadPeers::choosePeer(const StorePosition &Known,
                                                   TimePoint Now) {
   std::erase_if(this->Peers, [&](const auto &Entry) {
-    return Entry.second.AsOf <= Known || Now - Entry.second.HeardAt > WordLife;
+    return Entry.second.AsOf <= Known ||
+           Now - Entry.second.HeardAt > ReportTimeout;
   });
-  std::vector<std::string> Near;
+  std::vector<std::string> SameHall;
   std::vector<std::string> All;
   for (const auto &[Name, Each] : this->Peers) {
     All.push_back(Name);
-    if (Each.IsNear)
-      Near.push_back(Name);
+    if (Each.IsSameHall)
+      SameHall.push_back(Name);
   }
-  const std::vector<std::string> &Drawn = Near.empty() ? All : Near;
-  if (Drawn.empty())
+  const std::vector<std::string> &Candidates =
+      SameHall.empty() ? All : SameHall;
+  if (Candidates.empty())
     return std::nullopt;
-  return Drawn[this->Random() % Drawn.size()];
+  return Candidates[this->Random() % Candidates.size()];
 }
 
 std::optional<TimePoint>
--- a/lib/Directory/FleetRecords.cpp
+++ b/lib/Directory/FleetRecords.cpp
@@ -1,4 +1,4 @@
-//===- FleetRecords.cpp - What a daemon learns of its fleet from outside --===//
+//===- FleetRecords.cpp - Building the configuration of a fleet -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The result depends on nothing but its arguments, so that services that did
-/// not change compare equal and keep their state.
+/// The result depends only on the arguments, so that services that did not
+/// change compare equal and keep their state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,18 +20,20 @@
 
 namespace canvaswick {
 
-/// Used where neither the operators nor the request say how long to wait.
+/// Defaults where neither the operators nor the request specify a deadline or
+/// objective.
 static constexpr int64_t DefaultDeadlineMs = 10000;
 static constexpr int64_t DefaultObjectiveMs = 1000;
 
-/// Time without a byte after which an answer's body counts as stalled.
+/// Time without a byte after which the body of an answer counts as stalled.
 static constexpr int64_t DefaultStallMs = 5000;
 
-/// A server that has just started is given its full share over this time,
-/// which is the longest warm-up of today's services.
+/// A server that has just started reaches its full share over this time, the
+/// longest warm-up of today's services.
 static constexpr int64_t DefaultColdStartMs = 3000;
 
-/// Requests of one service that a daemon holds at once; its workers are fewer.
+/// Number of requests of one service that a daemon holds at once; its workers
+/// are fewer.
 static constexpr int64_t DefaultMaxInFlight = 512;
 
 static ServiceConfig compileService(const ServiceRule &Rule,
--- a/lib/Directory/ItemTable.cpp
+++ b/lib/Directory/ItemTable.cpp
@@ -1,4 +1,4 @@
-//===- ItemTable.cpp - A copy of the store that only moves forward --------===//
+//===- ItemTable.cpp - Replica of the store -------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// An item that is gone needs no mark: whatever is not newer than the revision
-/// up to which the table is complete is already in it.
+/// Removed items need no tombstones: an update that is not newer than AsOf is
+/// already contained in the table.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,34 +19,34 @@
 
 namespace canvaswick {
 
-bool ItemTable::apply(const StoreItem &News) {
-  if (News.At <= this->AsOf)
+bool ItemTable::apply(const StoreItem &Update) {
+  if (Update.At <= this->AsOf)
     return false;
-  const auto Found = this->Items.find(News.Key);
+  const auto Found = this->Items.find(Update.Key);
   const bool IsKnown = Found != this->Items.end();
-  if (IsKnown && Found->second.At >= News.At)
+  if (IsKnown && Found->second.At >= Update.At)
     return false;
-  if (!News.IsRemoved) {
-    if (!IsKnown && this->wasRemovedSince(News))
+  if (!Update.IsRemoved) {
+    if (!IsKnown && this->wasRemovedSince(Update))
       return false;
-    this->put(News);
+    this->put(Update);
     return true;
   }
   if (!IsKnown)
     return false;
   this->Items.erase(Found);
-  this->Earlier.erase(News.Key);
-  this->noteRemoval(News.Key, News.At);
+  this->Earlier.erase(Update.Key);
+  this->recordRemoval(Update.Key, Update.At);
   return true;
 }
 
-/// Puts an item in place, and remembers what it was if it is large: its change
-/// can be told to who has that.
-void ItemTable::put(const StoreItem &News) {
-  StoreItem &Known = this->Items[News.Key];
-  if (isLarge(Known) && isLarge(News))
-    this->Earlier[News.Key] = std::move(Known);
-  Known = News;
+/// Stores an item, and keeps its previous value if both are large, so that the
+/// change can be sent as a difference to peers that hold the previous value.
+void ItemTable::put(const StoreItem &Update) {
+  StoreItem &Known = this->Items[Update.Key];
+  if (isLarge(Known) && isLarge(Update))
+    this->Earlier[Update.Key] = std::move(Known);
+  Known = Update;
 }
 
 bool ItemTable::replaceAll(const std::vector<StoreItem> &Given,
@@ -68,30 +68,31 @@
         return Listed.count(Entry.first) == 0 && Entry.second.At <= ReadAt;
       }) > 0;
   this->AsOf = ReadAt;
-  // When what is missing now was removed is not known.
+  // It is not known when the items that are missing now were removed.
   this->Removals.clear();
   this->RemovalsSince = ReadAt;
   return IsChanged;
 }
 
-/// Returns whether an item that is not known has been removed since it was as
-/// News says. Single items may be taken ahead of AsOf; a peer that is not as
-/// far must not bring back what these removed.
-bool ItemTable::wasRemovedSince(const StoreItem &News) const {
+/// Returns whether an unknown item was removed after the change in Update.
+/// Single updates may be applied ahead of AsOf, and a peer that lags must not
+/// restore what these removed.
+bool ItemTable::wasRemovedSince(const StoreItem &Update) const {
   return std::any_of(this->Removals.begin(), this->Removals.end(),
-                     [&News](const StoreItem &Removal) {
-                       return Removal.Key == News.Key && Removal.At > News.At;
+                     [&Update](const StoreItem &Removal) {
+                       return Removal.Key == Update.Key &&
+                              Removal.At > Update.At;
                      });
 }
 
-/// Removals that are remembered, for peers that lag behind.
-static constexpr size_t RemovalsKept = 1000;
+/// Number of removals that are remembered for peers that lag.
+static constexpr size_t MaxRemovals = 1000;
 
-void ItemTable::noteRemoval(const std::string &Key, const StorePosition &At) {
+void ItemTable::recordRemoval(const std::string &Key, const StorePosition &At) {
   this->Removals.push_back({Key, "", At, true});
-  if (this->Removals.size() <= RemovalsKept)
+  if (this->Removals.size() <= MaxRemovals)
     return;
-  // Single items may be taken out of order.
+  // Single updates may be applied out of order.
   this->RemovalsSince =
       std::max(this->RemovalsSince, this->Removals.front().At);
   this->Removals.pop_front();
@@ -108,33 +109,34 @@
 Result<StoreItem> ItemTable::resolve(const ItemDelta &Delta) const {
   const StoreItem *Known = this->find(Delta.Key);
   if (!Known || Known->At != Delta.Base)
-    return makeError(ErrorKind::NotFound, "a difference to what is not held");
+    return makeError(ErrorKind::NotFound,
+                     "base item of the difference not found");
   BOOST_OUTCOME_TRY(std::string Value, applyDelta(Known->Value, Delta.Change));
   return StoreItem{Delta.Key, std::move(Value), Delta.At, false};
 }
 
-/// A difference of more than this part of the value is not worth it.
-static constexpr double MostDeltaPart = 0.5;
+/// A difference larger than this fraction of the value is not worth sending.
+static constexpr double MaxDeltaFraction = 0.5;
 
-/// Replaces items of Changes by differences to what Held says of them.
+/// Replaces items of Changes by differences from the items in Held.
 static void useDeltas(ItemChanges &Changes, const ItemTable::ItemMap &Earlier,
                       const ItemPositions &Held) {
   std::erase_if(Changes.Items, [&](const StoreItem &Item) {
     const auto Base = Earlier.find(Item.Key);
-    const auto Has = Held.find(Item.Key);
-    if (!isLarge(Item) || Base == Earlier.end() || Has == Held.end() ||
-        Has->second != Base->second.At)
+    const auto HeldPosition = Held.find(Item.Key);
+    if (!isLarge(Item) || Base == Earlier.end() || HeldPosition == Held.end() ||
+        HeldPosition->second != Base->second.At)
       return false;
-    // What tells a difference names one epoch only.
+    // The encoding of a difference carries only one epoch.
     if (Item.At.Epoch != Changes.AsOf.Epoch ||
-        Has->second.Epoch != Item.At.Epoch)
+        HeldPosition->second.Epoch != Item.At.Epoch)
       return false;
     TextDelta Change = diffTexts(Base->second.Value, Item.Value);
     if (static_cast<double>(measureDelta(Change)) >
-        MostDeltaPart * static_cast<double>(Item.Value.size()))
+        MaxDeltaFraction * static_cast<double>(Item.Value.size()))
       return false;
     Changes.Deltas.push_back(
-        {Item.Key, Item.At, Has->second, std::move(Change)});
+        {Item.Key, Item.At, HeldPosition->second, std::move(Change)});
     return true;
   });
 }
--- a/lib/Directory/WatchElection.cpp
+++ b/lib/Directory/WatchElection.cpp
@@ -1,4 +1,4 @@
-//===- WatchElection.cpp - Who watches the store for whom -----------------===//
+//===- WatchElection.cpp - Election of the watchers of the store ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The order is by hash, so that it does not favour the names that sort first.
+/// The order is by hash, so that it does not favour names that sort first.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,26 +19,27 @@
 
 namespace canvaswick {
 
-/// Daemons of a hall that watch. One of them may be restarted or cut off.
+/// Number of daemons of a hall that watch. One of them may be restarted or cut
+/// off.
 static constexpr size_t WatchersPerHall = 2;
 
-/// A hall is led by a daemon that the store has answered within this time,
-/// whatever it says of itself: a store that leaves a watch waiting looks like
-/// one that has no news. A leading watch that is well is answered every 0.75 s
-/// at most, 1 s if the store takes a quarter of a second. Together with the
-/// steps below and a look each tenth of a second, the last daemon of a hall
-/// asks the store itself 1.6 s after its leader was last answered; changes must
-/// be in force within two seconds.
-static constexpr Duration LeaderLife = fromMillis(1150);
-
-/// Who stands by counts for this long: its watch waits 1.5 s, its client 0.6 s
-/// more, and its word comes each 0.3 s.
-static constexpr Duration StandByLife = fromMillis(2400);
-
-/// Later daemons wait a little longer before they step in, so that one does
-/// and not all.
+/// A daemon leads its hall while the store has answered it within this time,
+/// whatever it reports of itself: a store that leaves a watch waiting looks
+/// like one without changes. The watch of a healthy leader is answered at least
+/// every 0.75 s, or 1 s if the store takes a quarter of a second. Together with
+/// the steps below and a check each tenth of a second, the last daemon of a
+/// hall sends its own requests to the store 1.6 s after the leader was last
+/// answered; changes must be in force within two seconds.
+static constexpr Duration LeaderTimeout = fromMillis(1150);
+
+/// A stand-by counts for this long after its last answer: its watch waits 1.5
+/// s, its client 0.6 s more, and it reports every 0.3 s.
+static constexpr Duration StandByTimeout = fromMillis(2400);
+
+/// Daemons later in the order wait a little longer before they take over, so
+/// that one does and not all.
 static constexpr Duration StepPerRank = fromMillis(60);
-static constexpr size_t MostSteps = 5;
+static constexpr size_t MaxSteps = 5;
 
 static constexpr EnumNames<WatchRole, 3> WatchRoleNames = {{
     {WatchRole::Follow, "follow"},
@@ -68,20 +69,20 @@
     return std::find(All.begin(), All.end(), Entry.first) == All.end();
   });
   if (!KnewOthers)
-    this->expectFirst(Now);
+    this->presumeWatchers(Now);
 }
 
-/// Takes it that the first of the order watch. Without it, all daemons of a
-/// hall that start at once would begin to ask the store (unit test "of a hall
-/// that starts at once two ask the store").
-void WatchElection::expectFirst(TimePoint Now) {
+/// Assumes that the first daemons of the order watch. Otherwise, all daemons of
+/// a hall that start at once would send requests to the store (unit test "two
+/// daemons of a hall that starts at once watch the store").
+void WatchElection::presumeWatchers(TimePoint Now) {
   for (size_t I = 0; I < this->Order.size() && I < WatchersPerHall; ++I)
     if (this->Order[I] != this->Self)
       this->recordWatcher(this->Order[I], Now);
 }
 
 void WatchElection::recordWatcher(const std::string &Name, TimePoint At) {
-  // Messages overtake each other.
+  // Messages may arrive out of order.
   TimePoint &Last = this->HeardAt[Name];
   Last = std::max(Last, At);
 }
@@ -98,14 +99,14 @@
     return WatchRole::Follow;
   const size_t Rank = this->getRank(this->Self);
   const Duration Step =
-      StepPerRank * static_cast<int>(std::min(Rank, MostSteps));
+      StepPerRank * static_cast<int>(std::min(Rank, MaxSteps));
   bool IsLed = false;
   size_t Watchers = 0;
   for (const auto &[Name, At] : this->HeardAt) {
     if (this->getRank(Name) >= Rank)
       continue;
-    IsLed |= Now - At <= LeaderLife + Step;
-    Watchers += Now - At <= StandByLife + Step ? 1 : 0;
+    IsLed |= Now - At <= LeaderTimeout + Step;
+    Watchers += Now - At <= StandByTimeout + Step ? 1 : 0;
   }
   if (!IsLed)
     return WatchRole::Lead;
--- a/unittests/Directory/AheadPeersTest.cpp
+++ b/unittests/Directory/AheadPeersTest.cpp
@@ -1,4 +1,4 @@
-//===- AheadPeersTest.cpp - Tests of whom to ask --------------------------===//
+//===- AheadPeersTest.cpp - Tests of choosing a peer that is ahead --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Who counts as ahead, and that daemons which are behind together do not all
-/// ask the same peer.
+/// Which peers count as ahead, and that daemons that are behind together do not
+/// all choose the same peer.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +29,7 @@
     for (int I = 0; I < Sources; ++I)
       CHECK(Peers.recordPeer("p" + std::to_string(I), true, {0, 427}, {0, 421},
                              Start));
-    // One is a little further ahead than all others.
+    // One peer is a little further ahead than all others.
     Peers.recordPeer("p0", true, {0, 428}, {0, 421}, Start);
     ++Asked[*Peers.choosePeer({0, 421}, Start)];
   }
@@ -38,7 +38,7 @@
     CHECK(Count <= Daemons / 3);
 }
 
-TEST_CASE("peers of the own hall go first, and only those ahead count") {
+TEST_CASE("peers of the same hall come first, and only peers ahead count") {
   AheadPeers Peers(1);
   CHECK_FALSE(Peers.recordPeer("near", true, {0, 5}, {0, 5}, Start));
   CHECK_FALSE(Peers.choosePeer({0, 5}, Start));
@@ -50,7 +50,7 @@
   CHECK_FALSE(Peers.choosePeer({0, 6}, Start));
 }
 
-TEST_CASE("a peer that did not answer or fell silent is left alone") {
+TEST_CASE("a peer that did not answer or fell silent is not chosen") {
   AheadPeers Peers(1);
   Peers.recordPeer("a", true, {0, 6}, {0, 5}, Start);
   Peers.recordPeer("b", true, {0, 6}, {0, 5}, Start + fromSeconds(2));
@@ -59,7 +59,7 @@
   CHECK_FALSE(Peers.choosePeer({0, 5}, Start + fromSeconds(4)));
 }
 
-TEST_CASE("it is known since when a daemon has been behind") {
+TEST_CASE("getBehindSince returns when the daemon fell behind") {
   AheadPeers Peers(1);
   CHECK_FALSE(Peers.getBehindSince({0, 5}));
   Peers.recordPeer("a", true, {0, 6}, {0, 5}, Start);
--- a/unittests/Directory/FleetRecordsTest.cpp
+++ b/unittests/Directory/FleetRecordsTest.cpp
@@ -1,4 +1,4 @@
-//===- FleetRecordsTest.cpp - Tests of building a fleet from records ------===//
+//===- FleetRecordsTest.cpp - Tests of building a configuration -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Routes, splits and servers come together by the names of services.
+/// Routes, splits and servers are combined by the names of services.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -73,7 +73,7 @@
   CHECK(Config->Routes[1].Split[1].Weight == 10);
 }
 
-TEST_CASE("what did not change compares equal") {
+TEST_CASE("services that did not change compare equal") {
   std::map<std::string, KnownServer> Servers;
   Servers["i-1"] = makeServer("i-1", "a");
   const FleetConfigRef One = compileFleetConfig(makeRules(), Servers, {70});
--- a/unittests/Directory/ItemTableTest.cpp
+++ b/unittests/Directory/ItemTableTest.cpp
@@ -1,4 +1,4 @@
-//===- ItemTableTest.cpp - Tests of the copy of the store -----------------===//
+//===- ItemTableTest.cpp - Tests of the replica of the store --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The table only moves forward, whatever order news comes in.
+/// The table only moves forward, in whatever order updates arrive.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("news that is older than what is known changes nothing") {
+TEST_CASE("an update older than the known item changes nothing") {
   ItemTable Table;
   CHECK(Table.apply({"a", "new", {0, 5}, false}));
   CHECK_FALSE(Table.apply({"a", "old", {0, 4}, false}));
@@ -27,7 +27,7 @@
   CHECK(Table.find("a")->Value == "new");
 }
 
-TEST_CASE("an item that is gone does not come back by old news") {
+TEST_CASE("an old update does not restore a removed item") {
   ItemTable Table;
   Table.apply({"a", "x", {0, 3}, false});
   Table.apply({"a", "", {0, 6}, true});
@@ -37,22 +37,22 @@
   CHECK(Table.find("a") == nullptr);
 }
 
-TEST_CASE("what was removed ahead of the rest is not brought back by a peer") {
+TEST_CASE("a peer that lags does not restore an item removed ahead of AsOf") {
   ItemTable Table;
   Table.apply({"a", "x", {0, 3}, false});
   Table.advanceTo({0, 8});
-  // News taken one by one, ahead of what the table is complete up to.
+  // A single update, applied ahead of AsOf.
   CHECK(Table.apply({"a", "", {0, 15}, true}));
-  // A peer that is not as far still lists it.
+  // A peer that lags still lists the item.
   CHECK_FALSE(Table.apply({"a", "y", {0, 10}, false}));
   Table.advanceTo({0, 12});
   CHECK(Table.find("a") == nullptr);
-  // It may be there again later.
+  // The item may be created again later.
   CHECK(Table.apply({"a", "z", {0, 20}, false}));
   CHECK(Table.find("a"));
 }
 
-TEST_CASE("a full read removes what it does not list, but nothing newer") {
+TEST_CASE("a full read removes items that it does not list, unless newer") {
   ItemTable Table;
   Table.apply({"old", "x", {0, 3}, false});
   Table.apply({"newer", "y", {0, 12}, false});
@@ -76,11 +76,11 @@
   CHECK(Table.list("none/").empty());
 }
 
-TEST_CASE("any order and repetition of news ends in the newest of each key") {
+TEST_CASE("updates in any order, repeated, leave the newest item of each key") {
   CHECK(rc::check([] {
     const auto Changes =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
-    std::vector<StoreItem> News;
+    std::vector<StoreItem> Updates;
     std::map<std::string, StoreItem> Newest;
     uint64_t Revision = 0;
     for (const int Choice : Changes) {
@@ -88,17 +88,18 @@
                      std::to_string(Revision),
                      {0, ++Revision},
                      Choice >= 6};
-      News.push_back(Item);
+      Updates.push_back(Item);
       Newest[Item.Key] = Item;
     }
-    // Removals are only safe in the store's order; other news in any.
-    std::erase_if(News, [](const StoreItem &Item) { return Item.IsRemoved; });
+    // Removals are only safe in the store's order; other updates in any order.
+    std::erase_if(Updates,
+                  [](const StoreItem &Item) { return Item.IsRemoved; });
     std::erase_if(Newest,
                   [](const auto &Entry) { return Entry.second.IsRemoved; });
     ItemTable Table;
-    for (auto Each = News.rbegin(); Each != News.rend(); ++Each)
+    for (auto Each = Updates.rbegin(); Each != Updates.rend(); ++Each)
       Table.apply(*Each);
-    for (const StoreItem &Item : News)
+    for (const StoreItem &Item : Updates)
       Table.apply(Item);
     for (const auto &[Key, Item] : Newest) {
       RC_ASSERT(Table.find(Key));
--- a/unittests/Directory/StoreBackoffTest.cpp
+++ b/unittests/Directory/StoreBackoffTest.cpp
@@ -1,4 +1,4 @@
-//===- StoreBackoffTest.cpp - Tests of waits after the store has failed ---===//
+//===- StoreBackoffTest.cpp - Tests of the backoff after failures ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// How often a hall asks a store that does not answer, and for how long one
-/// daemon of it does not.
+/// How often a hall sends requests to a store that does not answer, and how
+/// long each of its daemons waits.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("in a small hall waits double from 100 to 800 ms") {
+TEST_CASE("in a small hall, waits double from 100 to 800 ms") {
   for (const size_t HallSize : {1, 12, 18}) {
     CHECK(computeStoreBackoff(1, HallSize, 0) == fromMillis(50));
     CHECK(computeStoreBackoff(1, HallSize, 0.999) <= fromMillis(100));
@@ -28,8 +28,7 @@
   }
 }
 
-TEST_CASE(
-    "halls up to 90 ask equally often, large ones from the first failure") {
+TEST_CASE("larger halls send 30 requests a second from the first failure") {
   const auto GetRate = [](int Failures, size_t HallSize) {
     return static_cast<double>(HallSize) /
            toSeconds(computeStoreBackoff(Failures, HallSize, 0.5));
@@ -41,7 +40,7 @@
   }
 }
 
-TEST_CASE("no daemon waits longer than 4 s, or not at all") {
+TEST_CASE("every wait is between 50 ms and 4 s") {
   CHECK(rc::check([](int Failures, size_t HallSize) {
     const double Draw = *rc::gen::map(rc::gen::inRange(0, 1000),
                                       [](int Part) { return Part / 1000.0; });
--- a/unittests/Directory/StorePositionTest.cpp
+++ b/unittests/Directory/StorePositionTest.cpp
@@ -1,4 +1,4 @@
-//===- StorePositionTest.cpp - A place in the order of the store ----------===//
+//===- StorePositionTest.cpp - Tests of store positions -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -20,7 +20,7 @@
   CHECK(fmt::format("{}", StorePosition(3, 17)) == "3:17");
 }
 
-TEST_CASE("an answer follows a copy, is outdated or shows a loss") {
+TEST_CASE("an answer follows the replica, is outdated or shows a loss") {
   const StorePosition Copy(2, 50);
   CHECK(compareAnswer(Copy, {2, 50}) == AnswerConsistency::Follows);
   CHECK(compareAnswer(Copy, {2, 51}) == AnswerConsistency::Follows);
--- a/unittests/Directory/WatchElectionTest.cpp
+++ b/unittests/Directory/WatchElectionTest.cpp
@@ -1,4 +1,4 @@
-//===- WatchElectionTest.cpp - Tests of who watches the store -------------===//
+//===- WatchElectionTest.cpp - Tests of electing watchers -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Two daemons of a hall watch; when they fall silent others step in.
+/// Two daemons of a hall watch; when they fall silent, others take over.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,19 +30,20 @@
   return Names;
 }
 
-/// Returns the duty of each daemon of a hall.
+/// Returns the election as run by each daemon of a hall.
 static std::vector<WatchElection>
 makeHall(const std::vector<std::string> &Names) {
-  std::vector<WatchElection> Duties;
+  std::vector<WatchElection> Elections;
   for (const std::string &Name : Names) {
-    Duties.emplace_back(Name);
-    Duties.back().setHallDaemons(Names, Start - fromSeconds(60));
+    Elections.emplace_back(Name);
+    Elections.back().setHallDaemons(Names, Start - fromSeconds(60));
   }
-  return Duties;
+  return Elections;
 }
 
-/// Lets a hall run for a second, all hearing each other but for Silent.
-static std::vector<std::string> runHall(std::vector<WatchElection> &Duties,
+/// Runs a hall for 3 s; all daemons but Silent receive each other's reports.
+/// Returns the names of those that watch at the end.
+static std::vector<std::string> runHall(std::vector<WatchElection> &Elections,
                                         const std::vector<std::string> &Names,
                                         const std::vector<std::string> &Silent,
                                         TimePoint &Now) {
@@ -52,10 +53,10 @@
     for (size_t I = 0; I < Names.size(); ++I) {
       const bool IsSilent =
           std::find(Silent.begin(), Silent.end(), Names[I]) != Silent.end();
-      if (IsSilent || Duties[I].getRole(Now) == WatchRole::Follow)
+      if (IsSilent || Elections[I].getRole(Now) == WatchRole::Follow)
         continue;
       Watching.push_back(Names[I]);
-      for (WatchElection &Other : Duties)
+      for (WatchElection &Other : Elections)
         Other.recordWatcher(Names[I], Now);
     }
   }
@@ -64,85 +65,87 @@
 
 TEST_CASE("two daemons of a hall watch, and two others if they fall silent") {
   const std::vector<std::string> Names = makeNames(12);
-  std::vector<WatchElection> Duties = makeHall(Names);
+  std::vector<WatchElection> Elections = makeHall(Names);
   TimePoint Now = Start;
-  const std::vector<std::string> First = runHall(Duties, Names, {}, Now);
+  const std::vector<std::string> First = runHall(Elections, Names, {}, Now);
   CHECK(First.size() == 2);
-  const std::vector<std::string> Second = runHall(Duties, Names, First, Now);
+  const std::vector<std::string> Second = runHall(Elections, Names, First, Now);
   CHECK(Second.size() == 2);
   CHECK(Second != First);
-  CHECK(runHall(Duties, Names, {}, Now) == First);
+  CHECK(runHall(Elections, Names, {}, Now) == First);
 }
 
-TEST_CASE("a daemon alone watches") {
-  WatchElection Duty("d1");
-  CHECK(Duty.getRole(Start) == WatchRole::Lead);
-  Duty.setHallDaemons({}, Start);
-  CHECK(Duty.getRole(Start) == WatchRole::Lead);
+TEST_CASE("a lone daemon watches") {
+  WatchElection Election("d1");
+  CHECK(Election.getRole(Start) == WatchRole::Lead);
+  Election.setHallDaemons({}, Start);
+  CHECK(Election.getRole(Start) == WatchRole::Lead);
 }
 
-TEST_CASE("a daemon alone waits for others of its hall to register") {
-  WatchElection Duty("d1", fromSeconds(2));
-  CHECK(Duty.getRole(Start) == WatchRole::Lead);
-  Duty.setHallDaemons({"d1"}, Start);
-  CHECK(Duty.getRole(Start + fromSeconds(1.9)) == WatchRole::Follow);
-  CHECK(Duty.getRole(Start + fromSeconds(2)) == WatchRole::Lead);
-  // The wait is not begun again.
-  Duty.setHallDaemons({}, Start + fromSeconds(2));
-  CHECK(Duty.getRole(Start + fromSeconds(2)) == WatchRole::Lead);
+TEST_CASE("a lone daemon waits for others of its hall to register") {
+  WatchElection Election("d1", fromSeconds(2));
+  CHECK(Election.getRole(Start) == WatchRole::Lead);
+  Election.setHallDaemons({"d1"}, Start);
+  CHECK(Election.getRole(Start + fromSeconds(1.9)) == WatchRole::Follow);
+  CHECK(Election.getRole(Start + fromSeconds(2)) == WatchRole::Lead);
+  // The wait does not start again.
+  Election.setHallDaemons({}, Start + fromSeconds(2));
+  CHECK(Election.getRole(Start + fromSeconds(2)) == WatchRole::Lead);
 }
 
-TEST_CASE("of a hall that starts at once two ask the store") {
+TEST_CASE("two daemons of a hall that starts at once watch the store") {
   std::vector<std::string> Names = makeNames(88);
-  std::vector<WatchElection> Duties;
+  std::vector<WatchElection> Elections;
   for (const std::string &Name : Names) {
-    Duties.emplace_back(Name, fromSeconds(2));
-    Duties.back().setHallDaemons(Names, Start);
+    Elections.emplace_back(Name, fromSeconds(2));
+    Elections.back().setHallDaemons(Names, Start);
   }
   const auto CountFollowers = [&](Duration After) {
-    return std::count_if(Duties.begin(), Duties.end(), [&](const auto &Each) {
-      return Each.getRole(Start + After) == WatchRole::Follow;
-    });
+    return std::count_if(
+        Elections.begin(), Elections.end(), [&](const auto &Each) {
+          return Each.getRole(Start + After) == WatchRole::Follow;
+        });
   };
   CHECK(CountFollowers(Duration::zero()) == 86);
   CHECK(CountFollowers(fromMillis(1000)) == 86);
-  // The two do not come: all others step in, as after any silence.
+  // The first two do not report: all others take over, as after any silence.
   CHECK(CountFollowers(fromMillis(1500)) == 0);
 }
 
-/// Lets every daemon hear that the store last answered all at HeardAt.
-static void tellAll(std::vector<WatchElection> &Duties, TimePoint HeardAt) {
-  for (WatchElection &Each : Duties)
-    for (size_t I = 0; I < Duties.size(); ++I)
+/// Reports to each daemon that the store last answered all of them at HeardAt.
+static void reportToAll(std::vector<WatchElection> &Elections,
+                        TimePoint HeardAt) {
+  for (WatchElection &Each : Elections)
+    for (size_t I = 0; I < Elections.size(); ++I)
       Each.recordWatcher(fmt::format("d{}", I), HeardAt);
 }
 
-static long countRole(const std::vector<WatchElection> &Duties, WatchRole Role,
-                      TimePoint Now) {
-  return std::count_if(Duties.begin(), Duties.end(),
+static long countRole(const std::vector<WatchElection> &Elections,
+                      WatchRole Role, TimePoint Now) {
+  return std::count_if(Elections.begin(), Elections.end(),
                        [Role, Now](const WatchElection &Each) {
                          return Each.getRole(Now) == Role;
                        });
 }
 
 TEST_CASE(
-    "all of a hall ask 1.5 s after the store last answered its watchers") {
-  std::vector<WatchElection> Duties = makeHall(makeNames(36));
-  // They say on and on that they watch; the store has left them waiting.
+    "all daemons of a hall lead 1.5 s after the last answer to a watcher") {
+  std::vector<WatchElection> Elections = makeHall(makeNames(36));
+  // They continue to report that they watch, but the store leaves them waiting.
   for (int I = 0; I < 15; ++I)
-    tellAll(Duties, Start);
+    reportToAll(Elections, Start);
   const TimePoint Early = Start + fromMillis(1050);
-  CHECK(countRole(Duties, WatchRole::Lead, Early) == 1);
-  CHECK(countRole(Duties, WatchRole::StandBy, Early) == 1);
-  CHECK(countRole(Duties, WatchRole::Lead, Start + fromMillis(1500)) == 36);
+  CHECK(countRole(Elections, WatchRole::Lead, Early) == 1);
+  CHECK(countRole(Elections, WatchRole::StandBy, Early) == 1);
+  CHECK(countRole(Elections, WatchRole::Lead, Start + fromMillis(1500)) == 36);
 }
 
-TEST_CASE("the last answer of a watcher counts, whichever word comes last") {
-  std::vector<WatchElection> Duties = makeHall(makeNames(3));
-  tellAll(Duties, Start + fromMillis(600));
-  tellAll(Duties, Start);
+TEST_CASE("the latest answer of a watcher counts, whichever report is last") {
+  std::vector<WatchElection> Elections = makeHall(makeNames(3));
+  reportToAll(Elections, Start + fromMillis(600));
+  reportToAll(Elections, Start);
   const TimePoint Now = Start + fromMillis(1500);
-  CHECK(countRole(Duties, WatchRole::Lead, Now) == 1);
-  CHECK(countRole(Duties, WatchRole::StandBy, Now) == 1);
-  CHECK(countRole(Duties, WatchRole::Follow, Now) == 1);
+  CHECK(countRole(Elections, WatchRole::Lead, Now) == 1);
+  CHECK(countRole(Elections, WatchRole::StandBy, Now) == 1);
+  CHECK(countRole(Elections, WatchRole::Follow, Now) == 1);
 }
