--- a/unittests/Admission/FleetQuotaTest.cpp
+++ b/unittests/Admission/FleetQuotaTest.cpp
@@ -287,10 +287,11 @@
     }
   }
   REQUIRE(Waits.size() > 100);
-  const auto [Least, Most] = std::minmax_element(Waits.begin(), Waits.end());
-  CHECK(*Least >= fromMillis(100));
-  CHECK(*Most <= UsersBounds.Window);
-  CHECK(*Most - *Least > fromSeconds(1));
+  const auto [Shortest, Longest] =
+      std::minmax_element(Waits.begin(), Waits.end());
+  CHECK(*Shortest >= fromMillis(100));
+  CHECK(*Longest <= UsersBounds.Window);
+  CHECK(*Longest - *Shortest > fromSeconds(1));
 }
 
 TEST_CASE("a daemon reports its demand until it has decayed") {
--- a/unittests/Admission/FleetRetryBudgetTest.cpp
+++ b/unittests/Admission/FleetRetryBudgetTest.cpp
@@ -101,14 +101,15 @@
   bool isWithinLimit(TimePoint Until) const {
     const TimePoint From = Until - Limit.Window;
     const size_t Sent = countWithin(this->Retries, From, Until);
-    size_t Most = 0;
+    size_t MaxRequests = 0;
     for (int Half = 0; Half <= 2; ++Half) {
       const Duration Shift = Limit.Window * Half / 2;
-      Most = std::max(Most,
-                      countWithin(this->Requests, From - Shift, Until - Shift));
+      MaxRequests =
+          std::max(MaxRequests,
+                   countWithin(this->Requests, From - Shift, Until - Shift));
     }
     return static_cast<double>(Sent) <=
-           Limit.Share * static_cast<double>(Most) +
+           Limit.Share * static_cast<double>(MaxRequests) +
                static_cast<double>(Limit.Reserve);
   }
 };
--- a/unittests/Admission/LimitsTest.cpp
+++ b/unittests/Admission/LimitsTest.cpp
@@ -50,13 +50,13 @@
 }
 
 TEST_CASE("the wait grows with the time that a daemon is without settings") {
-  const auto IsWithin = [](Duration Without, double Least, double Most) {
+  const auto IsWithin = [](Duration Without, double Min, double Max) {
     const Duration First = computeSettingsRetryAfter(Without, 0);
     const Duration Last = computeSettingsRetryAfter(Without, 0.999);
-    CHECK(First >= fromSeconds(Least));
-    CHECK(Last <= fromSeconds(Most));
+    CHECK(First >= fromSeconds(Min));
+    CHECK(Last <= fromSeconds(Max));
     // The callers are spread.
-    CHECK(Last - First >= fromSeconds(0.4 * Least));
+    CHECK(Last - First >= fromSeconds(0.4 * Min));
   };
   IsWithin(Duration::zero(), 0.5, 0.75);
   IsWithin(fromSeconds(1), 1, 1.5);
--- a/unittests/Directory/StorePositionTest.cpp
+++ b/unittests/Directory/StorePositionTest.cpp
@@ -21,12 +21,12 @@
 }
 
 TEST_CASE("an answer follows the replica, is outdated or shows a loss") {
-  const StorePosition Copy(2, 50);
-  CHECK(compareAnswer(Copy, {2, 50}) == AnswerConsistency::Follows);
-  CHECK(compareAnswer(Copy, {2, 51}) == AnswerConsistency::Follows);
-  CHECK(compareAnswer(Copy, {2, 49}) == AnswerConsistency::HasLost);
-  CHECK(compareAnswer(Copy, {3, 51}) == AnswerConsistency::HasLost);
-  CHECK(compareAnswer(Copy, {9, 1}) == AnswerConsistency::HasLost);
-  CHECK(compareAnswer(Copy, {1, 900}) == AnswerConsistency::Outdated);
+  const StorePosition Replica(2, 50);
+  CHECK(compareAnswer(Replica, {2, 50}) == AnswerConsistency::Follows);
+  CHECK(compareAnswer(Replica, {2, 51}) == AnswerConsistency::Follows);
+  CHECK(compareAnswer(Replica, {2, 49}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Replica, {3, 51}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Replica, {9, 1}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Replica, {1, 900}) == AnswerConsistency::Outdated);
   CHECK(compareAnswer({}, {4, 10}) == AnswerConsistency::Follows);
 }
