--- a/include/canvaswick/Daemon/ConfigAgent.h
+++ b/include/canvaswick/Daemon/ConfigAgent.h
@@ -70,7 +70,7 @@
   std::mutex FetchMutex;
   mutable std::mutex Mutex;
   ConfigFollower Follower;
-  ConfigWatchDuty WatchSchedule;
+  ConfigWatchSchedule WatchSchedule;
   uint64_t PlatformRevision = 0;
   std::mt19937_64 Random;
 };
--- a/include/canvaswick/Daemon/Gateway.h
+++ b/include/canvaswick/Daemon/Gateway.h
@@ -64,7 +64,7 @@
   void stopWaitingForSettings();
 
   /// Changes the limit on retries for the whole fleet.
-  void setRetryLimit(const RepeatAllowance &Limit);
+  void setRetryLimit(const FleetRetryLimit &Limit);
 
   /// Fails readiness checks. Responses from now on close their connections.
   void beginStop();
--- a/lib/Daemon/ConfigAgent.cpp
+++ b/lib/Daemon/ConfigAgent.cpp
@@ -68,7 +68,7 @@
 
 void ConfigAgent::runRound() {
   const std::vector<std::string> Working = this->Members.getWorking();
-  if (ConfigWatchDuty::isWatcher(this->Context.Config.Name, Working)) {
+  if (ConfigWatchSchedule::isWatcher(this->Context.Config.Name, Working)) {
     this->watchPlatform();
     return;
   }
@@ -76,7 +76,7 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     std::uniform_real_distribution<double> Draw(0, 1);
-    ShouldRead = this->WatchSchedule.shouldLook(
+    ShouldRead = this->WatchSchedule.shouldReadPlatform(
         Working.size(), Draw(this->Random), readSteadyClock());
   }
   if (ShouldRead)
@@ -98,7 +98,7 @@
   }
   if (Value.error().Kind == ErrorKind::Timeout) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->WatchSchedule.noteConfirmed(Duration::zero(), readSteadyClock());
+    this->WatchSchedule.recordConfirmation(Duration::zero(), readSteadyClock());
     return;
   }
   std::this_thread::sleep_for(FailureDelay);
@@ -122,7 +122,7 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->PlatformRevision = Value.Revision;
-    this->WatchSchedule.noteConfirmed(Duration::zero(), readSteadyClock());
+    this->WatchSchedule.recordConfirmation(Duration::zero(), readSteadyClock());
     if (Manifest.value().Version <= this->Follower.getVersion())
       return;
     Missing = this->Follower.findMissing(Manifest.value());
@@ -240,7 +240,8 @@
 void ConfigAgent::writeVersions(Json::Value &Message) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Message["config"] = static_cast<Json::UInt64>(this->Follower.getVersion());
-  const Duration Age = this->WatchSchedule.getConfirmedAge(readSteadyClock());
+  const Duration Age =
+      this->WatchSchedule.getConfirmationAge(readSteadyClock());
   if (Age != Duration::max())
     Message["confirmed"] = static_cast<Json::Int64>(toMillis(Age));
 }
@@ -255,7 +256,7 @@
     // A peer that holds an older version confirms nothing.
     if (Message.isMember("confirmed") &&
         PeerVersion >= this->Follower.getVersion())
-      this->WatchSchedule.noteConfirmed(
+      this->WatchSchedule.recordConfirmation(
           fromMillis(Message["confirmed"].asInt64()), readSteadyClock());
   }
   if (IsBehind)
@@ -269,7 +270,8 @@
 
 int64_t ConfigAgent::getConfirmedAgeMillis() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const Duration Age = this->WatchSchedule.getConfirmedAge(readSteadyClock());
+  const Duration Age =
+      this->WatchSchedule.getConfirmationAge(readSteadyClock());
   return Age == Duration::max() ? -1 : toMillis(Age);
 }
 
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -24,8 +24,8 @@
 #include "canvaswick/Daemon/QuotaAgent.h"
 #include "canvaswick/Proxy/RequestProxy.h"
 #include "canvaswick/Support/Log.h"
-#include "canvaswick/Support/RoundThread.h"
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
+#include "canvaswick/Support/PeriodicThread.h"
 
 namespace canvaswick {
 
@@ -88,8 +88,8 @@
   uint64_t BuiltForMembers = 0;
   std::atomic<bool> IsStopping{false};
   /// Used by housekeeping only.
-  StandstillWatch Pauses{HousekeepingInterval};
-  RoundThread Threads[8];
+  PauseDetector Pauses{HousekeepingInterval};
+  PeriodicThread Threads[8];
 };
 
 Daemon::Impl::Impl(DaemonConfig Given)
@@ -194,7 +194,7 @@
 }
 
 void Daemon::Impl::stopAgents() {
-  for (RoundThread &Thread : this->Threads)
+  for (PeriodicThread &Thread : this->Threads)
     Thread.stop();
 }
 
@@ -242,7 +242,7 @@
 void Daemon::Impl::housekeep() {
   const TimePoint Now = readSteadyClock();
   this->rebuildIfMembersChanged();
-  const Duration Paused = this->Pauses.noteRound(Now);
+  const Duration Paused = this->Pauses.recordRound(Now);
   if (Paused > Duration::zero()) {
     this->Counters.add(Counter::Standstills);
     logWarning("stood-still", "ms={}", toMillis(Paused));
--- a/lib/Daemon/DirectoryCalls.cpp
+++ b/lib/Daemon/DirectoryCalls.cpp
@@ -16,7 +16,7 @@
 #include "canvaswick/Daemon/DirectoryCalls.h"
 #include "canvaswick/Json/JsonText.h"
 #include "canvaswick/Support/Base64.h"
-#include "canvaswick/Support/Packing.h"
+#include "canvaswick/Support/TextCompression.h"
 
 #include <algorithm>
 
@@ -42,14 +42,14 @@
   Row.append(Delta.Key);
   Row.append(static_cast<Json::UInt64>(Delta.At.Revision));
   Row.append(static_cast<Json::UInt64>(Delta.Base.Revision));
-  Row.append(static_cast<Json::UInt64>(Delta.Change.Check));
+  Row.append(static_cast<Json::UInt64>(Delta.Change.Checksum));
   for (const TextPiece &Piece : Delta.Change.Pieces) {
     Json::Value Place(Json::arrayValue);
     Place.append(static_cast<Json::UInt64>(Piece.From));
     Place.append(static_cast<Json::UInt64>(Piece.Count));
     Row.append(Place);
-    if (!Piece.Own.empty())
-      Row.append(Piece.Own);
+    if (!Piece.InsertedText.empty())
+      Row.append(Piece.InsertedText);
   }
   return Row;
 }
@@ -85,7 +85,7 @@
   if (Value.isString()) {
     if (Change.Pieces.empty())
       return false;
-    Change.Pieces.back().Own += Value.asString();
+    Change.Pieces.back().InsertedText += Value.asString();
     return true;
   }
   if (!Value.isArray() || Value.size() != 2 || !Value[0].isUInt64() ||
@@ -104,7 +104,7 @@
   Delta.Key = Row[0].asString();
   Delta.At = {DefaultEpoch, Row[1].asUInt64()};
   Delta.Base = {DefaultEpoch, Row[2].asUInt64()};
-  Delta.Change.Check = Row[3].asUInt64();
+  Delta.Change.Checksum = Row[3].asUInt64();
   for (Json::ArrayIndex I = FirstPiece; I < Row.size(); ++I)
     if (!decodePiece(Row[I], Delta.Change))
       return false;
@@ -135,7 +135,7 @@
   if (Text.size() <= MinPackedBytes)
     return Encoded;
   Encoded.removeMember("items");
-  Encoded["packed"] = encodeBase64(packText(Text));
+  Encoded["packed"] = encodeBase64(compressText(Text));
   return Encoded;
 }
 
@@ -148,7 +148,7 @@
                      "changes contain neither items nor packed items");
   BOOST_OUTCOME_TRY(std::string Packed,
                     decodeBase64(Value["packed"].asString()));
-  BOOST_OUTCOME_TRY(std::string Text, unpackText(Packed, MaxUnpackedBytes));
+  BOOST_OUTCOME_TRY(std::string Text, decompressText(Packed, MaxUnpackedBytes));
   Json::Value Rows;
   if (!parseJson(Text, Rows) || !Rows.isArray())
     return makeError(ErrorKind::InvalidArgument, "packed items are not a list");
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -197,7 +197,7 @@
 /// meanwhile, and the daemon's knowledge of the store is outdated by the length
 /// of the pause.
 void Gateway::Impl::handlePause(TimePoint Now) {
-  const Duration Paused = this->Pauses.noteRound(Now);
+  const Duration Paused = this->Pauses.recordRound(Now);
   if (Paused == Duration::zero())
     return;
   this->Counters.add(Counter::Standstills);
@@ -278,7 +278,7 @@
   this->Implementation->setDaemons(Daemons);
 }
 
-void Gateway::setRetryLimit(const RepeatAllowance &Limit) {
+void Gateway::setRetryLimit(const FleetRetryLimit &Limit) {
   this->Implementation->setRetryLimit(Limit);
 }
 
--- a/lib/Daemon/GatewayFleet.cpp
+++ b/lib/Daemon/GatewayFleet.cpp
@@ -107,7 +107,7 @@
     this->build(FleetConfigRef(&Current->getConfig()));
 }
 
-void Gateway::Impl::setRetryLimit(const RepeatAllowance &Limit) {
+void Gateway::Impl::setRetryLimit(const FleetRetryLimit &Limit) {
   std::lock_guard<std::mutex> Lock(this->BuildMutex);
   this->RetryLimit = Limit;
   if (const FleetRuntimeRef Current = this->Fleet.get())
--- a/lib/Daemon/GatewayImpl.h
+++ b/lib/Daemon/GatewayImpl.h
@@ -22,8 +22,8 @@
 #include "canvaswick/Daemon/Gateway.h"
 #include "canvaswick/Http/HttpServer.h"
 #include "canvaswick/Proxy/RequestProxy.h"
-#include "canvaswick/Support/RoundThread.h"
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
+#include "canvaswick/Support/PeriodicThread.h"
 
 #include <atomic>
 #include <memory>
@@ -42,7 +42,7 @@
   Result<void> start();
   void setFleet(const FleetConfigRef &Config);
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
-  void setRetryLimit(const RepeatAllowance &Limit);
+  void setRetryLimit(const FleetRetryLimit &Limit);
   void setStoreState(const StoreState &State, bool ShouldNotify);
   void stopWaitingForSettings();
   void beginStop();
@@ -89,13 +89,13 @@
   /// Guards Store. Not held during calls.
   std::mutex StoreMutex;
   StoreState Store;
-  RepeatAllowance RetryLimit;
+  FleetRetryLimit RetryLimit;
   std::atomic<bool> IsStopping{false};
   std::atomic<bool> IsStopped{false};
   /// Used by the health rounds only.
-  StandstillWatch Pauses{HealthInterval};
-  RoundThread HealthRounds;
-  RoundThread HousekeepingRounds;
+  PauseDetector Pauses{HealthInterval};
+  PeriodicThread HealthRounds;
+  PeriodicThread HousekeepingRounds;
 };
 
 } // namespace canvaswick
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -232,7 +232,7 @@
   if (this->Switches.isOn(Mechanism::HallEstimates) &&
       this->drawTurn(EstimateInterval, Interval))
     this->sendEstimates(Current, Now);
-  if (this->Switches.isOn(Mechanism::NewcomerEstimates) &&
+  if (this->Switches.isOn(Mechanism::StartupEstimates) &&
       this->drawTurn(NewcomerInterval, Interval))
     this->sendUsedEstimates(Current, Now);
 }
@@ -293,7 +293,7 @@
 }
 
 bool PeerExchange::borrowRetry(ServiceRuntime &Service, TimePoint Now) {
-  return this->Switches.isOn(Mechanism::RepeatLoans) &&
+  return this->Switches.isOn(Mechanism::RetryLoans) &&
          this->Borrower.borrow(Service, Now);
 }
 
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -13,7 +13,7 @@
 
 #include "canvaswick/Daemon/PeerLink.h"
 #include "canvaswick/Support/Log.h"
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
 
 #include <algorithm>
 #include <iterator>
@@ -330,11 +330,11 @@
 
 void PeerLink::runThread() {
   std::string Buffer;
-  StandstillWatch Watch(fromMillis(ReceiveTimeoutMillis));
+  PauseDetector Watch(fromMillis(ReceiveTimeoutMillis));
   while (!this->IsStopping) {
     pollfd Poll{this->Descriptor, POLLIN, 0};
     const int Ready = ::poll(&Poll, 1, ReceiveTimeoutMillis);
-    const Duration Paused = Watch.noteRound(readSteadyClock());
+    const Duration Paused = Watch.recordRound(readSteadyClock());
     if (Paused > Duration::zero()) {
       logWarning("peer-messages-dropped", "count={} stood-ms={}",
                  this->dropReceived(), toMillis(Paused));
--- a/unittests/Daemon/DirectoryCallsTest.cpp
+++ b/unittests/Daemon/DirectoryCallsTest.cpp
@@ -15,7 +15,7 @@
 #include "canvaswick/Daemon/DirectoryCalls.h"
 #include "canvaswick/Json/JsonText.h"
 #include "canvaswick/Support/Base64.h"
-#include "canvaswick/Support/Packing.h"
+#include "canvaswick/Support/TextCompression.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -155,10 +155,10 @@
   Cut["packed"] = Good["packed"].asString().substr(4);
   CHECK_FALSE(decodeChanges(Cut));
   Json::Value NoList = Good;
-  NoList["packed"] = encodeBase64(packText("{}"));
+  NoList["packed"] = encodeBase64(compressText("{}"));
   CHECK_FALSE(decodeChanges(NoList));
   Json::Value NoRows = Good;
-  NoRows["packed"] = encodeBase64(packText("[1]"));
+  NoRows["packed"] = encodeBase64(compressText("[1]"));
   CHECK_FALSE(decodeChanges(NoRows));
 }
 
@@ -233,7 +233,7 @@
     Value.removeMember("items");
     Value["packed"] = encodeBase64(Bytes);
     (void)decodeChanges(Value);
-    Value["packed"] = encodeBase64(packText(Bytes));
+    Value["packed"] = encodeBase64(compressText(Bytes));
     (void)decodeChanges(Value);
   }));
 }
--- a/unittests/Daemon/QuotaAgentTest.cpp
+++ b/unittests/Daemon/QuotaAgentTest.cpp
@@ -55,7 +55,7 @@
       this->Config, this->Counters, this->Caller,  this->Platform,
       this->Calls,  this->Fleet,    this->Notices, 7000};
   MembershipAgent Members{this->Context};
-  OrganisationQuotas Organisations{AllowanceBounds(), Begin, 0};
+  OrganisationQuotas Organisations{QuotaBounds(), Begin, 0};
   QuotaAgent Agent{this->Context, this->Members, this->Organisations};
 };
 
--- a/unittests/Directory/StorePositionTest.cpp
+++ b/unittests/Directory/StorePositionTest.cpp
@@ -1,4 +1,4 @@
-//===- StorePositionTest.cpp - A place in the order of the store ----------===//
+//===- StorePositionTest.cpp - Tests of store positions -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -20,13 +20,13 @@
   CHECK(fmt::format("{}", StorePosition(3, 17)) == "3:17");
 }
 
-TEST_CASE("an answer follows a copy, is outdated or shows a loss") {
-  const StorePosition Copy(2, 50);
-  CHECK(compareAnswer(Copy, {2, 50}) == AnswerConsistency::Follows);
-  CHECK(compareAnswer(Copy, {2, 51}) == AnswerConsistency::Follows);
-  CHECK(compareAnswer(Copy, {2, 49}) == AnswerConsistency::HasLost);
-  CHECK(compareAnswer(Copy, {3, 51}) == AnswerConsistency::HasLost);
-  CHECK(compareAnswer(Copy, {9, 1}) == AnswerConsistency::HasLost);
-  CHECK(compareAnswer(Copy, {1, 900}) == AnswerConsistency::Outdated);
+TEST_CASE("an answer follows the replica, is outdated or shows a loss") {
+  const StorePosition Replica(2, 50);
+  CHECK(compareAnswer(Replica, {2, 50}) == AnswerConsistency::Follows);
+  CHECK(compareAnswer(Replica, {2, 51}) == AnswerConsistency::Follows);
+  CHECK(compareAnswer(Replica, {2, 49}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Replica, {3, 51}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Replica, {9, 1}) == AnswerConsistency::HasLost);
+  CHECK(compareAnswer(Replica, {1, 900}) == AnswerConsistency::Outdated);
   CHECK(compareAnswer({}, {4, 10}) == AnswerConsistency::Follows);
 }
--- a/unittests/Http/HttpServerTest.cpp
+++ b/unittests/Http/HttpServerTest.cpp
@@ -218,9 +218,9 @@
   REQUIRE(Server.start({"127.0.0.1", 0}));
   const Endpoint Address{"127.0.0.1", Server.getPort()};
   ConnectionPool Pool(0);
-  const auto Ask = [&](const std::string &Life) {
+  const auto Ask = [&](const std::string &ServerInstance) {
     OutgoingRequest Request;
-    Request.Life = Life;
+    Request.ServerInstance = ServerInstance;
     return Pool
         .exchange(Address, Request, readSteadyClock() + fromSeconds(5), -1,
                   nullptr)
