--- a/include/canvaswick/Daemon/PeerMessage.h
+++ b/include/canvaswick/Daemon/PeerMessage.h
@@ -17,7 +17,7 @@
 #include "canvaswick/Admission/FleetAllowance.h"
 #include "canvaswick/Daemon/SuspectReport.h"
 #include "canvaswick/Directory/StorePosition.h"
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 #include "canvaswick/Routing/ServerNotices.h"
 #include "canvaswick/Support/Error.h"
 #include "canvaswick/Support/Time.h"
--- a/include/canvaswick/Health/AnswerTimes.h
+++ b/include/canvaswick/Health/LatencyDistribution.h
@@ -1,4 +1,4 @@
-//===- AnswerTimes.h - How long good answers take ---------------*- C++ -*-===//
+//===- LatencyDistribution.h - How long good answers take -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_HEALTH_ANSWERTIMES_H
-#define CANVASWICK_HEALTH_ANSWERTIMES_H
+#ifndef CANVASWICK_HEALTH_LATENCYDISTRIBUTION_H
+#define CANVASWICK_HEALTH_LATENCYDISTRIBUTION_H
 
 #include <array>
 #include <cstddef>
@@ -50,4 +50,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_HEALTH_ANSWERTIMES_H
+#endif // CANVASWICK_HEALTH_LATENCYDISTRIBUTION_H
--- a/include/canvaswick/Health/SpellPolicy.h
+++ b/include/canvaswick/Health/MarkovPolicy.h
@@ -1,4 +1,4 @@
-//===- SpellPolicy.h - Sick spells of some seconds --------------*- C++ -*-===//
+//===- MarkovPolicy.h - Sick spells of some seconds -------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -15,14 +15,14 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_HEALTH_SPELLPOLICY_H
-#define CANVASWICK_HEALTH_SPELLPOLICY_H
+#ifndef CANVASWICK_HEALTH_MARKOVPOLICY_H
+#define CANVASWICK_HEALTH_MARKOVPOLICY_H
 
-#include "canvaswick/Health/AnswerTimes.h"
 #include "canvaswick/Health/Evidence.h"
 #include "canvaswick/Health/HealthPolicy.h"
 #include "canvaswick/Health/InFlightTable.h"
-#include "canvaswick/Health/SpellRates.h"
+#include "canvaswick/Health/LatencyDistribution.h"
+#include "canvaswick/Health/TransitionRates.h"
 
 #include <map>
 #include <vector>
@@ -234,4 +234,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_HEALTH_SPELLPOLICY_H
+#endif // CANVASWICK_HEALTH_MARKOVPOLICY_H
--- a/include/canvaswick/Health/RepeatTiming.h
+++ b/include/canvaswick/Health/RetryTiming.h
@@ -1,4 +1,4 @@
-//===- RepeatTiming.h - When a silent attempt is left -----------*- C++ -*-===//
+//===- RetryTiming.h - When a silent attempt is left ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -15,10 +15,10 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_HEALTH_REPEATTIMING_H
-#define CANVASWICK_HEALTH_REPEATTIMING_H
+#ifndef CANVASWICK_HEALTH_RETRYTIMING_H
+#define CANVASWICK_HEALTH_RETRYTIMING_H
 
-#include "canvaswick/Health/AnswerTimes.h"
+#include "canvaswick/Health/LatencyDistribution.h"
 #include "canvaswick/Support/Time.h"
 
 namespace canvaswick {
@@ -64,4 +64,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_HEALTH_REPEATTIMING_H
+#endif // CANVASWICK_HEALTH_RETRYTIMING_H
--- a/include/canvaswick/Health/SpellRates.h
+++ b/include/canvaswick/Health/TransitionRates.h
@@ -1,4 +1,4 @@
-//===- SpellRates.h - How often spells begin and end ------------*- C++ -*-===//
+//===- TransitionRates.h - How often spells begin and end -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_HEALTH_SPELLRATES_H
-#define CANVASWICK_HEALTH_SPELLRATES_H
+#ifndef CANVASWICK_HEALTH_TRANSITIONRATES_H
+#define CANVASWICK_HEALTH_TRANSITIONRATES_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -59,4 +59,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_HEALTH_SPELLRATES_H
+#endif // CANVASWICK_HEALTH_TRANSITIONRATES_H
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -20,7 +20,7 @@
 #include "canvaswick/Admission/Limits.h"
 #include "canvaswick/Health/HealthPolicy.h"
 #include "canvaswick/Health/LatencyTable.h"
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 #include "canvaswick/Metrics/ServiceMetrics.h"
 #include "canvaswick/Proxy/ServerNoticeBoard.h"
 #include "canvaswick/Routing/ServerSelector.h"
--- a/lib/Health/AnswerTimes.cpp
+++ b/lib/Health/LatencyDistribution.cpp
@@ -1,4 +1,4 @@
-//===- AnswerTimes.cpp - How long good answers take -----------------------===//
+//===- LatencyDistribution.cpp - How long good answers take ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/AnswerTimes.h"
+#include "canvaswick/Health/LatencyDistribution.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lib/Health/SpellPolicy.cpp
+++ b/lib/Health/MarkovPolicy.cpp
@@ -1,4 +1,4 @@
-//===- SpellPolicy.cpp - Sick spells of some seconds ----------------------===//
+//===- MarkovPolicy.cpp - Sick spells of some seconds ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 #include "AdoptStates.h"
 #include "OutcomeLikelihood.h"
 
--- a/lib/Health/SpellShares.cpp
+++ b/lib/Health/MarkovShares.cpp
@@ -1,4 +1,4 @@
-//===- SpellShares.cpp - Shares of servers by what is known of spells -----===//
+//===- MarkovShares.cpp - Shares of servers by what is known of spells ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,7 +13,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "OutcomeLikelihood.h"
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 
 #include <algorithm>
 #include <cassert>
--- a/lib/Health/OutcomeLikelihood.h
+++ b/lib/Health/OutcomeLikelihood.h
@@ -16,7 +16,7 @@
 #define CANVASWICK_LIB_HEALTH_OUTCOMELIKELIHOOD_H
 
 #include "canvaswick/Health/Outcome.h"
-#include "canvaswick/Health/SpellRates.h"
+#include "canvaswick/Health/TransitionRates.h"
 
 namespace canvaswick {
 
--- a/lib/Health/RepeatTiming.cpp
+++ b/lib/Health/RetryTiming.cpp
@@ -1,4 +1,4 @@
-//===- RepeatTiming.cpp - When a silent attempt is left -------------------===//
+//===- RetryTiming.cpp - When a silent attempt is left --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/RepeatTiming.h"
+#include "canvaswick/Health/RetryTiming.h"
 #include "OutcomeLikelihood.h"
 
 #include <algorithm>
--- a/lib/Health/SpellRates.cpp
+++ b/lib/Health/TransitionRates.cpp
@@ -1,4 +1,4 @@
-//===- SpellRates.cpp - How often spells begin and end --------------------===//
+//===- TransitionRates.cpp - How often spells begin and end ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/SpellRates.h"
+#include "canvaswick/Health/TransitionRates.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lib/Proxy/ServiceRepeats.cpp
+++ b/lib/Proxy/ServiceRepeats.cpp
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/RepeatTiming.h"
+#include "canvaswick/Health/RetryTiming.h"
 #include "canvaswick/Proxy/ServiceRuntime.h"
 
 #include <algorithm>
--- a/unittests/FloorProperty/FloorPropertyTest.cpp
+++ b/unittests/FloorProperty/FloorPropertyTest.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "../Health/CoveragePlay.h"
+#include "../Health/CoverageSimulation.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/unittests/Health/ChoiceSpeedTest.cpp
+++ b/unittests/Health/ChoiceSpeedTest.cpp
@@ -14,7 +14,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Health/CoveragePlay.h
+++ b/unittests/Health/CoverageSimulation.h
@@ -1,4 +1,4 @@
-//===- CoveragePlay.h - Who reaches a service's servers ---------*- C++ -*-===//
+//===- CoverageSimulation.h - Who reaches a service's servers ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -15,10 +15,10 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_HEALTH_COVERAGEPLAY_H
-#define CANVASWICK_UNITTESTS_HEALTH_COVERAGEPLAY_H
+#ifndef CANVASWICK_UNITTESTS_HEALTH_COVERAGESIMULATION_H
+#define CANVASWICK_UNITTESTS_HEALTH_COVERAGESIMULATION_H
 
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 
 #include <algorithm>
 #include <deque>
@@ -192,4 +192,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_UNITTESTS_HEALTH_COVERAGEPLAY_H
+#endif // CANVASWICK_UNITTESTS_HEALTH_COVERAGESIMULATION_H
--- a/unittests/Health/FloorCoverageTest.cpp
+++ b/unittests/Health/FloorCoverageTest.cpp
@@ -15,7 +15,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "CoveragePlay.h"
+#include "CoverageSimulation.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Health/AnswerTimesTest.cpp
+++ b/unittests/Health/LatencyDistributionTest.cpp
@@ -1,4 +1,4 @@
-//===- AnswerTimesTest.cpp - Tests of the spread of answer times ----------===//
+//===- LatencyDistributionTest.cpp - Tests of the spread of answer times --===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/AnswerTimes.h"
+#include "canvaswick/Health/LatencyDistribution.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/unittests/Health/SpellPolicyTest.cpp
+++ b/unittests/Health/MarkovPolicyTest.cpp
@@ -1,4 +1,4 @@
-//===- SpellPolicyTest.cpp - Tests of the policy for short spells ---------===//
+//===- MarkovPolicyTest.cpp - Tests of the policy for short spells --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/SpellPolicy.h"
+#include "canvaswick/Health/MarkovPolicy.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/unittests/Health/RepeatTimingTest.cpp
+++ b/unittests/Health/RetryTimingTest.cpp
@@ -1,4 +1,4 @@
-//===- RepeatTimingTest.cpp - Tests of when a silent attempt is left ------===//
+//===- RetryTimingTest.cpp - Tests of when a silent attempt is left -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Health/RepeatTiming.h"
+#include "canvaswick/Health/RetryTiming.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
