--- a/include/canvaswick/Daemon/EvidenceAgent.h
+++ b/include/canvaswick/Daemon/EvidenceAgent.h
@@ -39,7 +39,7 @@
   void runRound();
 
 private:
-  using Digests = std::vector<EvidenceDigest>;
+  using Digests = std::vector<EvidenceSummary>;
 
   void sendReports(TimePoint Now);
   void sendTo(const std::string &Owner, std::vector<EvidenceReport> Reports);
@@ -64,8 +64,8 @@
 bool decodeReport(const Json::Value &Value, EvidenceReport &Report);
 
 /// Writes a digest into a message, and reads it.
-Json::Value encodeDigest(const EvidenceDigest &Digest);
-bool decodeDigest(const Json::Value &Value, EvidenceDigest &Digest);
+Json::Value encodeDigest(const EvidenceSummary &Digest);
+bool decodeDigest(const Json::Value &Value, EvidenceSummary &Digest);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Daemon/PeerLink.h
+++ b/include/canvaswick/Daemon/PeerLink.h
@@ -71,12 +71,12 @@
   void sendHallLevels(std::vector<AllowanceLevel> Levels);
 
   /// Tells the other halls. Limits: at most MostLimitsBesides.
-  void sendEstimates(std::vector<Estimate> Estimates,
-                     std::vector<HallRate> Rates,
+  void sendEstimates(std::vector<HealthEstimate> Estimates,
+                     std::vector<HallFailureRate> Rates,
                      std::vector<LimitReport> Limits);
 
   /// Tells the peers of this hall, for those that have just started.
-  void sendNearEstimates(std::vector<Estimate> Estimates);
+  void sendNearEstimates(std::vector<HealthEstimate> Estimates);
 
   /// Tells the peers of this hall how far the copy of the store goes and, if
   /// this daemon watches, how long ago the store answered.
--- a/include/canvaswick/Daemon/PeerMessage.h
+++ b/include/canvaswick/Daemon/PeerMessage.h
@@ -55,8 +55,8 @@
   /// Grows with each message of a source; starts at its calendar time.
   uint64_t Sequence = 0;
   std::vector<Observation> Seen;
-  std::vector<Estimate> Estimates;
-  std::vector<HallRate> Rates;
+  std::vector<HealthEstimate> Estimates;
+  std::vector<HallFailureRate> Rates;
   /// All that the source has in flight, if the message speaks of it.
   std::optional<std::vector<InFlightReport>> InFlight;
   /// Rights to repeats that are asked for, and that are given.
--- a/include/canvaswick/Health/Evidence.h
+++ b/include/canvaswick/Health/Evidence.h
@@ -52,7 +52,7 @@
 };
 
 /// What the pool thinks of one server, for the daemons of one hall.
-struct ServerDigest {
+struct ServerSummary {
   ServerId Server = 0;
   /// Part of its fair share that the server should get, from 0 to 1.
   double Share = 1;
@@ -65,14 +65,14 @@
 
 /// What the pool of one owner thinks, for the daemons of one hall. Servers that
 /// are not named are not suspect.
-struct EvidenceDigest {
+struct EvidenceSummary {
   std::string Service;
   std::string Owner;
   /// The owner's place among the owners, as it sees it. Of several digests the
   /// one of the lowest rank holds, so that all daemons follow one of them.
   uint32_t Rank = 0;
   uint64_t Sequence = 0;
-  std::vector<ServerDigest> Servers;
+  std::vector<ServerSummary> Servers;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/EvidencePool.h
+++ b/include/canvaswick/Health/EvidencePool.h
@@ -49,23 +49,23 @@
   void adopt(const EvidencePool &Other);
 
   /// Takes a report once. Unknown servers and old reports are left out.
-  void takeReport(const EvidenceReport &Report, TimePoint Now);
+  void mergeReport(const EvidenceReport &Report, TimePoint Now);
 
   /// Moves the verdicts on. Call at least every second.
   void advance(TimePoint Now);
 
   /// Returns the digest for a hall, with every server that is suspect.
-  EvidenceDigest makeDigest(const std::string &Hall);
+  EvidenceSummary buildSummary(const std::string &Hall);
 
   /// Sets this owner's place among the owners.
   void setRank(uint32_t Rank) { this->Rank = Rank; }
 
   /// Notes that all daemons of a hall were sent what there is to say now.
-  void noteSent(const std::string &Hall);
+  void recordSent(const std::string &Hall);
 
   /// Returns whether a digest differs in substance from the last one for the
   /// hall, so that it should be sent at once.
-  bool hasNews(const std::string &Hall) const;
+  bool hasUpdates(const std::string &Hall) const;
 
   /// Returns whether anything is suspect, so that digests must be repeated.
   bool hasSuspects() const;
@@ -115,7 +115,7 @@
   void heedFleet(RemovalRules &Rules) const;
   std::vector<int> countSources(const std::string *Hall, TimePoint Now) const;
   std::string summarize(const std::string &Hall) const;
-  ServerDigest describe(size_t Server, const std::string &Hall) const;
+  ServerSummary describe(size_t Server, const std::string &Hall) const;
 
   const std::string Service;
   const std::string Owner;
--- a/include/canvaswick/Health/HealthPolicy.h
+++ b/include/canvaswick/Health/HealthPolicy.h
@@ -56,7 +56,7 @@
 /// Why a server has the share it has.
 enum class ShareReason : uint8_t {
   Healthy,
-  OwnEvidence,
+  LocalEvidence,
   HallEvidence,
   FleetEvidence,
   Leaving,
@@ -76,12 +76,12 @@
   ShareReason Reason = ShareReason::Healthy;
   /// What the evidence wanted before the floor.
   double WantedShare = 1;
-  double OwnScore = 0;
+  double LocalScore = 0;
   double PoolScore = 0;
   uint32_t PoolSources = 0;
   /// When the share last changed.
   TimePoint Since{};
-  OutcomeCounts OwnCounts;
+  OutcomeCounts LocalCounts;
 };
 
 /// Removes nothing: what happens without any policy.
@@ -135,7 +135,7 @@
   std::optional<EvidenceReport> makeReport(TimePoint Now);
 
   /// Takes an owner's digest. Older ones than the last are left out.
-  void takeDigest(const EvidenceDigest &Digest, TimePoint Now);
+  void applySummary(const EvidenceSummary &Digest, TimePoint Now);
 
   /// Takes over the evidence of an earlier version of the service.
   void adopt(const PooledPolicy &Other, TimePoint Now);
@@ -161,7 +161,7 @@
     uint32_t Rank = 0;
     TimePoint At{};
     bool IsCurrent = false;
-    std::vector<ServerDigest> Servers;
+    std::vector<ServerSummary> Servers;
   };
 
   void updateShares(TimePoint Now);
@@ -170,7 +170,7 @@
   bool isSpecific(size_t Server) const;
   RemovalRules makeRules() const;
   const OwnerView *findLeadingView() const;
-  const ServerDigest *findDigest(size_t Server) const;
+  const ServerSummary *findDigest(size_t Server) const;
   ShareWish wishFor(size_t Server, ShareReason &Reason) const;
   bool isReportDue(TimePoint Now) const;
 
--- a/include/canvaswick/Health/InFlightTable.h
+++ b/include/canvaswick/Health/InFlightTable.h
@@ -31,14 +31,14 @@
   size_t Server = 0;
   TimePoint Began{};
   /// The usual time of its kind at the server's load; zero: not known.
-  Duration Usual{};
+  Duration TypicalTime{};
 };
 
 /// One request at a server, as daemons tell it to each other.
 struct InFlightReport {
   ServerId Server = 0;
   int AgeMs = 0;
-  int UsualMs = 0;
+  int TypicalMs = 0;
 
   bool operator==(const InFlightReport &) const = default;
 };
@@ -61,10 +61,10 @@
 
   /// Takes what a server's answer told of its load: requests that ran or
   /// waited there, from all halls.
-  void noteReportedLoad(size_t Server, int Load, TimePoint Now);
+  void recordReportedLoad(size_t Server, int Load, TimePoint Now);
 
   /// Takes what another hall tells of the requests at a server of its own.
-  void noteForeignLoad(size_t Server, double Load, TimePoint Now);
+  void recordRemoteLoad(size_t Server, double Load, TimePoint Now);
 
   /// Returns the requests at a server: those of the hall, and what its last
   /// answer showed of others.
@@ -80,7 +80,7 @@
   }
 
   /// Returns what this daemon has out.
-  std::vector<InFlightRequest> getOwn() const;
+  std::vector<InFlightRequest> getLocalRequests() const;
 
   /// Takes over what peers have out, from another table than this one. Matches
   /// holds for each server of Other its index here, or -1. This daemon's own
--- a/include/canvaswick/Health/LatencyDistribution.h
+++ b/include/canvaswick/Health/LatencyDistribution.h
@@ -23,20 +23,20 @@
 
 /// The spread of the answer times of one service. A pace is a time divided by
 /// the usual time of its route at the server's load. Not thread-safe.
-class AnswerTimes {
+class LatencyDistribution {
 public:
   /// Begins with what is usual for services at large.
-  AnswerTimes();
+  LatencyDistribution();
 
   /// Adds the pace of one good answer, above 0.
   void add(double Pace);
 
   /// Returns the part of good answers that take longer than Pace: from 1 for
-  /// none at all down to LeastSurvival.
+  /// none at all down to MinSurvival.
   double getSurvival(double Pace) const;
 
   /// Some good answers take longer than any that were seen.
-  static constexpr double LeastSurvival = 0.004;
+  static constexpr double MinSurvival = 0.004;
 
 private:
   static constexpr size_t BinCount = 32;
--- a/include/canvaswick/Health/LatencyTable.h
+++ b/include/canvaswick/Health/LatencyTable.h
@@ -39,14 +39,14 @@
 
   /// Returns the usual time of a route. Until enough answers were seen it is
   /// taken from the objective that operators set, zero if they set none.
-  Duration getUsual(const std::string &Route, Duration Objective) const;
+  Duration getTypicalTime(const std::string &Route, Duration Objective) const;
 
   /// Returns the time after which an answer on a route counts as slow.
-  Duration getSlowAfter(const std::string &Route) const;
+  Duration getSlowThreshold(const std::string &Route) const;
 
   /// Returns what kind of failure one after Took is. Failed: the route's usual
   /// time is not known, or too short to tell.
-  RequestOutcome judgeFailure(const std::string &Route, Duration Took) const;
+  RequestOutcome classifyFailure(const std::string &Route, Duration Took) const;
 
   /// Takes over what Other learned of routes that were used of late.
   void adopt(const LatencyTable &Other, TimePoint Now);
--- a/include/canvaswick/Health/LatencyTracker.h
+++ b/include/canvaswick/Health/LatencyTracker.h
@@ -32,7 +32,7 @@
   void add(Duration Latency);
 
   /// Returns the time after which an answer counts as slow.
-  Duration getSlowAfter() const;
+  Duration getSlowThreshold() const;
 
   /// Returns whether enough answers were seen to rely on the median.
   bool isSettled() const;
--- a/include/canvaswick/Health/MarkovPolicy.h
+++ b/include/canvaswick/Health/MarkovPolicy.h
@@ -37,40 +37,40 @@
   int Load = -1;
   /// How long the request took, in percent of what is usual for its kind at
   /// the server's load; -1: what is usual is not known.
-  int PacePercent = -1;
+  int LatencyRatioPercent = -1;
 
   bool operator==(const Observation &) const = default;
 };
 
 /// How likely a server is in a spell, as a daemon near it sees it.
-struct Estimate {
+struct HealthEstimate {
   ServerId Server = 0;
   /// Probability in thousandths.
   int PerMille = 0;
   /// Requests at the server, in tenths.
   int LoadTenths = 0;
 
-  bool operator==(const Estimate &) const = default;
+  bool operator==(const HealthEstimate &) const = default;
 };
 
 /// How many requests of a service a hall sent of late to servers that nothing
 /// speaks against, and how many of them failed. In tenths of a request, fading.
-struct HallRate {
+struct HallFailureRate {
   ServerId Service = 0;
   int All = 0;
   int Bad = 0;
 
-  bool operator==(const HallRate &) const = default;
+  bool operator==(const HallFailureRate &) const = default;
 };
 
 /// What a request has to lose at a sick server.
-enum class Caution : uint8_t {
+enum class FailureCost : uint8_t {
   /// It may be sent again, and sending it far away costs more than a failure.
-  Least,
+  Low,
   /// It may be sent again: it goes unserved only if that fails too.
-  Ordinary,
+  Medium,
   /// A failure after it was sent is final.
-  Utmost,
+  High,
 };
 
 /// What a server gets of requests of one kind.
@@ -81,25 +81,25 @@
 };
 
 /// The probabilities that a request is answered in time, and at all.
-struct AnswerChances {
+struct AnswerProbabilities {
   double InTime = 0;
   double AtAll = 0;
 };
 
 /// Decides shares from outcomes and observations of peers. Not thread-safe.
-class SpellPolicy {
+class MarkovPolicy {
 public:
-  explicit SpellPolicy(PolicySetup Setup);
+  explicit MarkovPolicy(PolicySetup Setup);
 
   /// Takes an outcome that this daemon saw. What peers should know of it waits
-  /// in takeNews. Load is what the answer told of the server's, or -1; for
-  /// PacePercent see Observation.
+  /// in drainObservations. Load is what the answer told of the server's, or -1;
+  /// for LatencyRatioPercent see Observation.
   void recordOutcome(size_t Server, RequestOutcome Outcome, TimePoint Now,
-                     int Load = -1, int PacePercent = -1);
+                     int Load = -1, int LatencyRatioPercent = -1);
 
   /// Takes an outcome that a peer of this hall saw.
-  void takeObservation(size_t Server, RequestOutcome Outcome, TimePoint Now,
-                       int PacePercent = -1);
+  void applyObservation(size_t Server, RequestOutcome Outcome, TimePoint Now,
+                        int LatencyRatioPercent = -1);
 
   /// The requests that the hall has in flight: what is still out after the
   /// usual time speaks against its server.
@@ -107,16 +107,19 @@
   const InFlightTable &getInFlight() const { return this->InFlight; }
 
   /// Returns how the times of good answers spread.
-  const AnswerTimes &getAnswerTimes() const { return this->Times; }
+  const LatencyDistribution &getLatencyDistribution() const {
+    return this->Times;
+  }
 
   /// Takes what a daemon near the server thinks of it, in place of what was
   /// known here. Load is the requests it knows of at the server.
-  void takeEstimate(size_t Server, double Sickness, TimePoint Now,
-                    double Load = 0);
+  void applyRemoteEstimate(size_t Server, double UnhealthyProbability,
+                           TimePoint Now, double Load = 0);
 
   /// Takes what a peer of this hall thinks of a server, if this daemon knows
   /// nothing of it: it has just started.
-  void takeNearEstimate(size_t Server, double Sickness, TimePoint Now);
+  void applySameHallEstimate(size_t Server, double UnhealthyProbability,
+                             TimePoint Now);
 
   /// Returns whether anyone of this hall has used a server.
   bool isUsed(size_t Server) const;
@@ -125,13 +128,14 @@
   int findServer(ServerId Id) const;
 
   /// Returns this hall's rate. Its Service is left for the caller to name.
-  HallRate getRate(TimePoint Now) const;
+  HallFailureRate getFailureRate(TimePoint Now) const;
 
   /// Takes another hall's rate.
-  void takeRate(const std::string &Hall, const HallRate &Rate, TimePoint Now);
+  void applyFailureRate(const std::string &Hall, const HallFailureRate &Rate,
+                        TimePoint Now);
 
   /// Notes that a request was sent to a server.
-  void noteUse(size_t Server, TimePoint Now);
+  void recordUse(size_t Server, TimePoint Now);
 
   /// Marks a server as leaving or not.
   void setLeaving(size_t Server, bool IsLeaving, TimePoint Now);
@@ -142,41 +146,42 @@
 
   /// Returns the part of its fair share that a server gets from requests of
   /// this caution.
-  double getShare(size_t Server, Caution Care, TimePoint Now) const;
+  double getShare(size_t Server, FailureCost Care, TimePoint Now) const;
 
   /// Returns the shares of all servers at once. Those that the floor keeps are
   /// tested while it is near.
-  std::vector<double> getShares(Caution Care, TimePoint Now) const;
+  std::vector<double> getShares(FailureCost Care, TimePoint Now) const;
 
   /// Returns the shares of all servers, the best one's being 1, where Worths
   /// holds what a request may expect at each of them, from 0 to 1. The same
   /// tests and bounds apply.
-  std::vector<ServerShare> getSharesByWorth(const std::vector<double> &Worths,
-                                            Caution Care, TimePoint Now) const;
+  std::vector<ServerShare> getSharesByUtility(const std::vector<double> &Worths,
+                                              FailureCost Care,
+                                              TimePoint Now) const;
 
   /// Returns the probability that a server is in a spell, by what has ended
   /// there and by what is still out.
-  double getSickness(size_t Server, TimePoint Now) const;
+  double getUnhealthyProbability(size_t Server, TimePoint Now) const;
 
   /// Returns the probability that a request is answered before Until, if it is
   /// still out at Now.
-  double getAnswerChance(const InFlightRequest &Request, TimePoint Until,
-                         TimePoint Now) const;
+  double getAnswerProbability(const InFlightRequest &Request, TimePoint Until,
+                              TimePoint Now) const;
 
   /// Returns what a request may expect that begins now at a server, where its
   /// usual time is Usual; zero: not known.
-  AnswerChances getNewAnswerChances(size_t Server, Duration Usual,
-                                    TimePoint Aim, TimePoint Deadline,
-                                    TimePoint Now) const;
+  AnswerProbabilities
+  getNewRequestProbabilities(size_t Server, Duration TypicalTime, TimePoint Aim,
+                             TimePoint Deadline, TimePoint Now) const;
 
   /// Returns the chance that a server answers a request at all.
-  double getAnswerPart(size_t Server, TimePoint Now) const;
+  double getSuccessProbability(size_t Server, TimePoint Now) const;
 
   /// Returns what peers should know and forgets it.
-  std::vector<Observation> takeNews();
+  std::vector<Observation> drainObservations();
 
   /// Takes over what was known of the servers that are in both.
-  void adopt(const SpellPolicy &Other, TimePoint Now);
+  void adopt(const MarkovPolicy &Other, TimePoint Now);
 
   /// Returns why a server has its share.
   ShareExplanation explain(size_t Server, TimePoint Now) const;
@@ -185,7 +190,7 @@
   bool isOn(Mechanism Which) const { return this->Setup.Switches.isOn(Which); }
   struct ServerState {
     PolicyServer Config;
-    double Sickness = 0;
+    double UnhealthyProbability = 0;
     TimePoint At{};
     bool IsLeaving = false;
     /// When this daemon or one of its hall last used it.
@@ -203,25 +208,26 @@
   std::vector<double> getWorths(TimePoint Now) const;
   double getEndedSickness(size_t Server, TimePoint Now) const;
   double getSilenceRatio(const InFlightRequest &Request, TimePoint Now) const;
-  void update(size_t Server, RequestOutcome Outcome, int PacePercent,
+  void update(size_t Server, RequestOutcome Outcome, int LatencyRatioPercent,
               TimePoint Now);
-  void setSickness(size_t Server, double Sickness, TimePoint Now);
+  void setSickness(size_t Server, double UnhealthyProbability, TimePoint Now);
   void noteShed(RequestOutcome Outcome, TimePoint Now);
   double getUsualShed(TimePoint Now) const;
   void noteRecent(size_t Server, RequestOutcome Outcome, TimePoint Now);
   void noteReach(ServerState &State, RequestOutcome Outcome, TimePoint Now);
   std::vector<bool> findKeptByFloor(TimePoint Now) const;
   double countOverdue(TimePoint Now) const;
-  double getFailurePart(Caution Care, TimePoint Now) const;
-  bool isTestDue(size_t Server, Caution Care, bool IsKept, TimePoint Now) const;
+  double getFailurePart(FailureCost Care, TimePoint Now) const;
+  bool isTestDue(size_t Server, FailureCost Care, bool IsKept,
+                 TimePoint Now) const;
 
   PolicySetup Setup;
   std::vector<ServerState> Servers;
   std::map<ServerId, size_t> IndexOfServer;
   std::vector<Observation> News;
   InFlightTable InFlight;
-  AnswerTimes Times;
-  SpellRates Rates;
+  LatencyDistribution Times;
+  TransitionRates Rates;
   /// Outcomes of late at servers that look well, own and peers' of this hall.
   DecayingCount RecentAll;
   DecayingCount RecentBad;
@@ -229,7 +235,7 @@
   DecayingCount RecentOutcomes;
   DecayingCount RecentShed;
   /// The rates of other halls, and when they came.
-  std::map<std::string, std::pair<HallRate, TimePoint>> OtherRates;
+  std::map<std::string, std::pair<HallFailureRate, TimePoint>> OtherRates;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/RetryTiming.h
+++ b/include/canvaswick/Health/RetryTiming.h
@@ -25,42 +25,44 @@
 
 /// What a late answer is worth against one in time. By the operators' sheets
 /// between a tenth and a half.
-inline constexpr double LateWorth = 0.3;
+inline constexpr double LateUtility = 0.3;
 
 /// One attempt that is out, and what it could be left for.
-struct SilentAttempt {
+struct UnansweredAttempt {
   /// How long it has been out, and the usual time of its kind at its server's
   /// load.
-  Duration Out{};
-  Duration Usual{};
+  Duration Elapsed{};
+  Duration TypicalTime{};
   /// How likely its server is sick, its silence counted.
-  double Sickness = 0;
+  double UnhealthyProbability = 0;
   /// The chance that the best other server answers at all, and how long that
   /// usually takes there.
-  double AnswersElsewhere = 0;
-  Duration UsualElsewhere{};
+  double AlternativeAnswerProbability = 0;
+  Duration AlternativeTypicalTime{};
   /// How long until an answer is late, and until it is of no use.
-  Duration UntilAim{};
-  Duration UntilDeadline{};
+  Duration TimeToObjective{};
+  Duration TimeToDeadline{};
   /// What a repeat must bring beside, in timely answers: others may need it
   /// more.
-  double Price = 0;
+  double RetryCost = 0;
 };
 
 /// Returns what an attempt elsewhere is worth that begins so much later.
-double getWorthElsewhere(const SilentAttempt &Attempt, const AnswerTimes &Times,
-                         Duration Later);
+double computeAlternativeUtility(const UnansweredAttempt &Attempt,
+                                 const LatencyDistribution &Times,
+                                 Duration Later);
 
 /// Returns what waiting is worth if the attempt is left at the best moment from
 /// now on but not at once, or never.
-double getWorthOfWaiting(const SilentAttempt &Attempt,
-                         const AnswerTimes &Times);
+double computeWaitingUtility(const UnansweredAttempt &Attempt,
+                             const LatencyDistribution &Times);
 
 /// Returns whether the attempt is better left now than at any later time.
-bool shouldLeave(const SilentAttempt &Attempt, const AnswerTimes &Times);
+bool shouldRetryElsewhere(const UnansweredAttempt &Attempt,
+                          const LatencyDistribution &Times);
 
 /// Returns the price of a repeat where this part of the allowance is used.
-double getRepeatPrice(double UsedPart);
+double computeRetryCost(double UsedPart);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Health/TransitionRates.h
+++ b/include/canvaswick/Health/TransitionRates.h
@@ -28,7 +28,7 @@
 
 /// The rates at which a service's servers change between well and sick. Not
 /// thread-safe.
-class SpellRates {
+class TransitionRates {
 public:
   /// Returns the part of the servers that are sick at any time.
   double getUsualSickness() const;
--- a/include/canvaswick/Operator/RequestStory.h
+++ b/include/canvaswick/Operator/RequestStory.h
@@ -28,7 +28,7 @@
   double Share = 0;
   /// How likely it was sick, and the requests there, as the daemon knew them;
   /// -1: the line does not tell.
-  double Sickness = -1;
+  double UnhealthyProbability = -1;
   double Load = -1;
   /// Whether it was chosen to be tested.
   bool IsTest = false;
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -47,7 +47,7 @@
   std::string Route;
   TimePoint Began{};
   /// The usual time of its kind at an idle server; zero: not known.
-  Duration Usual{};
+  Duration TypicalTime{};
   /// When it may take no longer.
   TimePoint Deadline{};
   bool IsNotedLate = false;
@@ -66,7 +66,7 @@
   /// What the server was chosen by: its share, how likely it was sick, the
   /// requests there, and whether it was tested.
   double Share = 1;
-  double Sickness = 0;
+  double UnhealthyProbability = 0;
   double ServerLoad = 0;
   bool IsTest = false;
   /// Whether its answer asked for rest.
@@ -173,13 +173,13 @@
   std::optional<EvidenceReport> makeReport(TimePoint Now);
 
   /// Takes a digest of an owner.
-  void takeDigest(const EvidenceDigest &Digest, TimePoint Now);
+  void applySummary(const EvidenceSummary &Digest, TimePoint Now);
 
   /// Returns the observations that peers should know, and forgets them.
   std::vector<Observation> takeObservations();
 
   /// Takes what a peer of this hall saw.
-  void takeObservation(const Observation &Seen, TimePoint Now);
+  void applyObservation(const Observation &Seen, TimePoint Now);
 
   /// Adds what this daemon has in flight at the service's servers.
   void addInFlight(std::vector<InFlightReport> &Reports, TimePoint Now) const;
@@ -189,22 +189,23 @@
                     const std::vector<InFlightReport> &Reports, TimePoint Now);
 
   /// Returns what this daemon thinks of the servers in its own hall.
-  std::vector<Estimate> getNearEstimates(TimePoint Now) const;
+  std::vector<HealthEstimate> getNearEstimates(TimePoint Now) const;
 
   /// Returns what this daemon thinks of all servers that its hall has used.
-  std::vector<Estimate> getUsedEstimates(TimePoint Now) const;
+  std::vector<HealthEstimate> getUsedEstimates(TimePoint Now) const;
 
   /// Returns how this hall's requests fare of late.
-  HallRate getRate(TimePoint Now) const;
+  HallFailureRate getFailureRate(TimePoint Now) const;
 
   /// Takes how another hall's requests fare, if Rate is about this service.
-  void takeRate(const std::string &Hall, const HallRate &Rate, TimePoint Now);
+  void applyFailureRate(const std::string &Hall, const HallFailureRate &Rate,
+                        TimePoint Now);
 
   /// Takes what a peer of this hall thinks of a server that is new here.
-  void takeNearEstimate(const Estimate &Given, TimePoint Now);
+  void applySameHallEstimate(const HealthEstimate &Given, TimePoint Now);
 
   /// Takes what a daemon of another hall thinks of a server there.
-  void takeEstimate(const Estimate &Given, TimePoint Now);
+  void applyRemoteEstimate(const HealthEstimate &Given, TimePoint Now);
 
   /// Returns after how long without an answer it is first asked whether a
   /// repeatable request is better sent elsewhere.
@@ -251,7 +252,7 @@
   bool isFor(const ServiceConfig &Config, const DaemonIdentity &Identity) const;
 
 private:
-  using Policies = std::variant<PooledPolicy, SpellPolicy>;
+  using Policies = std::variant<PooledPolicy, MarkovPolicy>;
   using AttemptList = boost::intrusive::list<Attempt>;
 
   std::vector<SelectableServer> makeSelectable(const DaemonIdentity &Identity,
@@ -268,13 +269,14 @@
   std::vector<int> matchServers(const ServiceRuntime &Other) const;
   SelectionRules makeSelectionRules(RouteClass Class) const;
   template <typename Predicate>
-  std::vector<Estimate> makeEstimates(const SpellPolicy &Spells, TimePoint Now,
-                                      Predicate Wants) const;
+  std::vector<HealthEstimate> makeEstimates(const MarkovPolicy &Spells,
+                                            TimePoint Now,
+                                            Predicate Wants) const;
   RequestOutcome judgeEnded(const Attempt &Ended, RequestOutcome Outcome,
                             Duration Took) const;
-  std::vector<double> getWorths(const SpellPolicy &Spells,
+  std::vector<double> getWorths(const MarkovPolicy &Spells,
                                 const AttemptNeeds &Needs, TimePoint Now) const;
-  int findBestElsewhere(const SpellPolicy &Spells, const Attempt &Each,
+  int findBestElsewhere(const MarkovPolicy &Spells, const Attempt &Each,
                         const AttemptNeeds &Needs, TimePoint Now) const;
   std::vector<double> getLoads(TimePoint Now) const;
   void beginInFlight(Attempt &Next, const AttemptNeeds &Needs, TimePoint Now);
--- a/include/canvaswick/Routing/ServerSelector.h
+++ b/include/canvaswick/Routing/ServerSelector.h
@@ -76,7 +76,7 @@
 
   /// Takes a load report: requests at the server from everyone, at most some
   /// seconds old. It lags or misleads, so it only breaks ties.
-  void noteReportedLoad(size_t Server, double Load, TimePoint Now);
+  void recordReportedLoad(size_t Server, double Load, TimePoint Now);
 
   /// Restarts the slow start of a server that was away.
   void restartColdStart(size_t Server, TimePoint Now);
--- a/lib/Bench/BenchExchange.cpp
+++ b/lib/Bench/BenchExchange.cpp
@@ -55,12 +55,12 @@
 
 void BenchRun::deliverReport(BenchDaemon &Owner, BenchDaemon &Source,
                              const EvidenceReport &Report) {
-  Owner.Pool->takeReport(Report, this->Now);
+  Owner.Pool->mergeReport(Report, this->Now);
   Owner.Pool->advance(this->Now);
   if (!Owner.Pool->hasSuspects())
     return;
   // The digest rides on the answer of the report.
-  const EvidenceDigest Digest = Owner.Pool->makeDigest(Source.Hall);
+  const EvidenceSummary Digest = Owner.Pool->buildSummary(Source.Hall);
   if (&Owner == &Source) {
     this->deliverDigest(Source, Digest);
     return;
@@ -71,17 +71,17 @@
 }
 
 void BenchRun::deliverDigest(BenchDaemon &Reader,
-                             const EvidenceDigest &Digest) {
-  std::get<PooledPolicy>(Reader.Policy).takeDigest(Digest, this->Now);
+                             const EvidenceSummary &Digest) {
+  std::get<PooledPolicy>(Reader.Policy).applySummary(Digest, this->Now);
 }
 
 void BenchRun::advancePool(BenchDaemon &Owner) {
   Owner.Pool->advance(this->Now);
   for (const std::string &Hall : Owner.Pool->getHalls()) {
-    if (!Owner.Pool->hasNews(Hall))
+    if (!Owner.Pool->hasUpdates(Hall))
       continue;
-    const EvidenceDigest Digest = Owner.Pool->makeDigest(Hall);
-    Owner.Pool->noteSent(Hall);
+    const EvidenceSummary Digest = Owner.Pool->buildSummary(Hall);
+    Owner.Pool->recordSent(Hall);
     for (BenchDaemon &Reader : this->Daemons) {
       if (Reader.Hall != Hall)
         continue;
--- a/lib/Bench/BenchRun.cpp
+++ b/lib/Bench/BenchRun.cpp
@@ -139,7 +139,7 @@
   Daemon.Selector.end(Attempt->Server, Outcome, this->Now);
   const Duration Took = this->Now - Attempt->Began;
   RequestOutcome Evidence = Outcome;
-  const bool IsSlow = Took > Daemon.Latency.getSlowAfter();
+  const bool IsSlow = Took > Daemon.Latency.getSlowThreshold();
   if (Outcome == RequestOutcome::Good && IsSlow)
     Evidence = RequestOutcome::Slow;
   if (Outcome == RequestOutcome::Good)
@@ -165,7 +165,7 @@
 void BenchRun::tickDaemon(BenchDaemon &Daemon) {
   std::erase_if(Daemon.InFlight,
                 [](const auto &Attempt) { return Attempt->IsEnded; });
-  const Duration SlowAfter = Daemon.Latency.getSlowAfter();
+  const Duration SlowAfter = Daemon.Latency.getSlowThreshold();
   for (const std::shared_ptr<BenchAttempt> &Attempt : Daemon.InFlight) {
     if (Attempt->IsNotedLate || this->Now - Attempt->Began <= SlowAfter)
       continue;
--- a/lib/Bench/BenchRun.h
+++ b/lib/Bench/BenchRun.h
@@ -91,7 +91,7 @@
   void send(const Json::Value &Message, std::function<void()> Deliver);
   void deliverReport(BenchDaemon &Owner, BenchDaemon &Source,
                      const EvidenceReport &Report);
-  void deliverDigest(BenchDaemon &Reader, const EvidenceDigest &Digest);
+  void deliverDigest(BenchDaemon &Reader, const EvidenceSummary &Digest);
   void advancePool(BenchDaemon &Owner);
   void observe();
   std::vector<double> getShares(const BenchDaemon &Daemon) const;
--- a/lib/Bench/CapacityWire.cpp
+++ b/lib/Bench/CapacityWire.cpp
@@ -125,7 +125,7 @@
         Report.UsedServers = 6;
         Report.Servers.push_back(
             {Servers[static_cast<size_t>(D) % 57].Id, {2, 0, 1}});
-        Pool.takeReport(Report, Now);
+        Pool.mergeReport(Report, Now);
       }
     }
     const double Report =
--- a/lib/Daemon/EvidenceAgent.cpp
+++ b/lib/Daemon/EvidenceAgent.cpp
@@ -69,14 +69,14 @@
   return true;
 }
 
-Json::Value encodeDigest(const EvidenceDigest &Digest) {
+Json::Value encodeDigest(const EvidenceSummary &Digest) {
   Json::Value Value;
   Value["s"] = Digest.Service;
   Value["o"] = Digest.Owner;
   Value["r"] = Digest.Rank;
   Value["n"] = static_cast<Json::UInt64>(Digest.Sequence);
   Value["e"] = Json::arrayValue;
-  for (const ServerDigest &Server : Digest.Servers) {
+  for (const ServerSummary &Server : Digest.Servers) {
     Json::Value Entry(Json::arrayValue);
     Entry.append(Server.Server);
     Entry.append(static_cast<int>(std::lround(Server.Share * 100)));
@@ -88,7 +88,7 @@
   return Value;
 }
 
-bool decodeDigest(const Json::Value &Value, EvidenceDigest &Digest) {
+bool decodeDigest(const Json::Value &Value, EvidenceSummary &Digest) {
   if (!Value.isObject() || !Value["s"].isString() || !Value["o"].isString() ||
       !Value["r"].isUInt() || !Value["n"].isUInt64() || !Value["e"].isArray())
     return false;
@@ -102,7 +102,7 @@
     for (const Json::Value &Number : Entry)
       if (!Number.isUInt())
         return false;
-    ServerDigest Server;
+    ServerSummary Server;
     Server.Server = Entry[0].asUInt();
     Server.Share = std::min(1.0, Entry[1].asUInt() / 100.0);
     Server.Score = Entry[2].asUInt() / 10.0;
@@ -222,10 +222,10 @@
     if (!Pool)
       continue;
     this->Context.Counters.add(Counter::ReportsTaken);
-    Pool->takeReport(Report, Now);
+    Pool->mergeReport(Report, Now);
     Pool->advance(Now);
     if (Pool->hasSuspects())
-      Made.push_back(Pool->makeDigest(Report.Hall));
+      Made.push_back(Pool->buildSummary(Report.Hall));
   }
   return Made;
 }
@@ -234,10 +234,10 @@
   const FleetRuntimeRef Fleet = this->Context.Fleet.get();
   if (!Fleet)
     return;
-  for (const EvidenceDigest &Digest : Taken)
+  for (const EvidenceSummary &Digest : Taken)
     if (const ServiceRuntimeRef Service = Fleet->findService(Digest.Service)) {
       this->Context.Counters.add(Counter::DigestsTaken);
-      Service->takeDigest(Digest, Now);
+      Service->applySummary(Digest, Now);
     }
 }
 
@@ -249,10 +249,10 @@
       Pool->setRank(this->getRank(Name));
       Pool->advance(Now);
       for (const std::string &Hall : Pool->getHalls()) {
-        if (!Pool->hasNews(Hall))
+        if (!Pool->hasUpdates(Hall))
           continue;
-        const EvidenceDigest Digest = Pool->makeDigest(Hall);
-        Pool->noteSent(Hall);
+        const EvidenceSummary Digest = Pool->buildSummary(Hall);
+        Pool->recordSent(Hall);
         for (const std::string &Reader :
              Pool->getSources(Hall, Now - SubscriptionLife))
           ByReader[Reader].push_back(Digest);
@@ -270,7 +270,7 @@
     this->Context.Counters.add(Counter::DigestsSent, Made.size());
     this->Context.Calls.trySubmit([this, Peer = *Peer, Made = Made] {
       Json::Value Params;
-      for (const EvidenceDigest &Digest : Made)
+      for (const EvidenceSummary &Digest : Made)
         Params["digests"].append(encodeDigest(Digest));
       (void)this->Context.Caller.call(Peer.Control, "evidence.digest", Params,
                                       ReportTimeout);
@@ -286,7 +286,7 @@
       Reports.push_back(std::move(Report));
   }
   Json::Value Answer(Json::objectValue);
-  for (const EvidenceDigest &Digest :
+  for (const EvidenceSummary &Digest :
        this->takeReports(Reports, readSteadyClock()))
     Answer["digests"].append(encodeDigest(Digest));
   return Answer;
@@ -295,7 +295,7 @@
 Json::Value EvidenceAgent::answerDigest(const Json::Value &Params) {
   Digests Taken;
   for (const Json::Value &Value : Params["digests"]) {
-    EvidenceDigest Digest;
+    EvidenceSummary Digest;
     if (decodeDigest(Value, Digest))
       Taken.push_back(std::move(Digest));
   }
--- a/lib/Daemon/OperatorApi.cpp
+++ b/lib/Daemon/OperatorApi.cpp
@@ -52,12 +52,12 @@
   Value["share"] = Why.Share;
   Value["wanted-share"] = Why.WantedShare;
   Value["reason"] = getName(Why.Reason);
-  Value["own-score"] = std::round(Why.OwnScore * 10) / 10;
+  Value["own-score"] = std::round(Why.LocalScore * 10) / 10;
   Value["pool-score"] = std::round(Why.PoolScore * 10) / 10;
   Value["pool-sources"] = Why.PoolSources;
-  Value["good"] = Why.OwnCounts.Good;
-  Value["slow"] = Why.OwnCounts.Slow;
-  Value["failed"] = Why.OwnCounts.Failed;
+  Value["good"] = Why.LocalCounts.Good;
+  Value["slow"] = Why.LocalCounts.Slow;
+  Value["failed"] = Why.LocalCounts.Failed;
   Value["since-s"] = Why.Since == TimePoint{}
                          ? -1.0
                          : std::round(toSeconds(Now - Why.Since) * 10) / 10;
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -246,12 +246,12 @@
 /// Tells other halls what this one thinks of its servers and how its requests
 /// fare.
 void PeerExchange::sendEstimates(const FleetRuntime &Current, TimePoint Now) {
-  std::vector<Estimate> Estimates;
-  std::vector<HallRate> Rates;
+  std::vector<HealthEstimate> Estimates;
+  std::vector<HallFailureRate> Rates;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
-    const std::vector<Estimate> More = Service->getNearEstimates(Now);
+    const std::vector<HealthEstimate> More = Service->getNearEstimates(Now);
     Estimates.insert(Estimates.end(), More.begin(), More.end());
-    Rates.push_back(Service->getRate(Now));
+    Rates.push_back(Service->getFailureRate(Now));
   }
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
@@ -266,9 +266,9 @@
 /// servers that it has used.
 void PeerExchange::sendUsedEstimates(const FleetRuntime &Current,
                                      TimePoint Now) {
-  std::vector<Estimate> Estimates;
+  std::vector<HealthEstimate> Estimates;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
-    const std::vector<Estimate> More = Service->getUsedEstimates(Now);
+    const std::vector<HealthEstimate> More = Service->getUsedEstimates(Now);
     Estimates.insert(Estimates.end(), More.begin(), More.end());
   }
   this->Link.sendNearEstimates(std::move(Estimates));
@@ -296,17 +296,17 @@
 void PeerExchange::takeEvidence(ServiceRuntime &Service,
                                 const PeerMessage &Message, TimePoint Now) {
   for (const Observation &Each : Message.Seen)
-    Service.takeObservation(Each, Now);
+    Service.applyObservation(Each, Now);
   if (Message.InFlight && Message.Hall == this->Hall)
     Service.takeInFlight(Message.Source, Message.Sequence, *Message.InFlight,
                          Now);
-  for (const Estimate &Each : Message.Estimates)
+  for (const HealthEstimate &Each : Message.Estimates)
     if (Message.Hall == this->Hall)
-      Service.takeNearEstimate(Each, Now);
+      Service.applySameHallEstimate(Each, Now);
     else
-      Service.takeEstimate(Each, Now);
-  for (const HallRate &Each : Message.Rates)
-    Service.takeRate(Message.Hall, Each, Now);
+      Service.applyRemoteEstimate(Each, Now);
+  for (const HallFailureRate &Each : Message.Rates)
+    Service.applyFailureRate(Message.Hall, Each, Now);
   for (const LimitReport &Each : Message.Limits)
     for (const NoticeChange &Change : Service.takeLimit(Each, Now))
       logNotice(Change, "");
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -185,8 +185,8 @@
   } while (!Levels.empty());
 }
 
-void PeerLink::sendEstimates(std::vector<Estimate> Estimates,
-                             std::vector<HallRate> Rates,
+void PeerLink::sendEstimates(std::vector<HealthEstimate> Estimates,
+                             std::vector<HallFailureRate> Rates,
                              std::vector<LimitReport> Limits) {
   while (!Estimates.empty() || !Rates.empty()) {
     PeerMessage Message = this->makeMessage();
@@ -197,7 +197,7 @@
   }
 }
 
-void PeerLink::sendNearEstimates(std::vector<Estimate> Estimates) {
+void PeerLink::sendNearEstimates(std::vector<HealthEstimate> Estimates) {
   while (!Estimates.empty()) {
     PeerMessage Message = this->makeMessage();
     Message.Estimates = takeSome(Estimates, MaxListed);
--- a/lib/Daemon/PeerMessage.cpp
+++ b/lib/Daemon/PeerMessage.cpp
@@ -47,7 +47,7 @@
     Json::Value Row(Json::arrayValue);
     Row.append(fmt::format("{:x}", Each.Server));
     Row.append(Each.AgeMs);
-    Row.append(Each.UsualMs);
+    Row.append(Each.TypicalMs);
     Rows.append(Row);
   }
   return Rows;
@@ -84,22 +84,22 @@
     Json::Value Pair(Json::arrayValue);
     Pair.append(fmt::format("{:x}", Each.Server));
     Pair.append(static_cast<int>(Each.Outcome));
-    if (Each.Load >= 0 || Each.PacePercent >= 0)
+    if (Each.Load >= 0 || Each.LatencyRatioPercent >= 0)
       Pair.append(Each.Load);
-    if (Each.PacePercent >= 0)
-      Pair.append(Each.PacePercent);
+    if (Each.LatencyRatioPercent >= 0)
+      Pair.append(Each.LatencyRatioPercent);
     Value["seen"].append(Pair);
   }
   if (Message.InFlight)
     Value["out"] = encodeInFlight(*Message.InFlight);
-  for (const Estimate &Each : Message.Estimates) {
+  for (const HealthEstimate &Each : Message.Estimates) {
     Json::Value Pair(Json::arrayValue);
     Pair.append(fmt::format("{:x}", Each.Server));
     Pair.append(Each.PerMille);
     Pair.append(Each.LoadTenths);
     Value["thinks"].append(Pair);
   }
-  for (const HallRate &Each : Message.Rates) {
+  for (const HallFailureRate &Each : Message.Rates) {
     Json::Value Row(Json::arrayValue);
     Row.append(fmt::format("{:x}", Each.Service));
     Row.append(Each.All);
@@ -120,7 +120,7 @@
   return writeJson(Value);
 }
 
-static bool decodeRate(const Json::Value &Row, HallRate &Rate) {
+static bool decodeRate(const Json::Value &Row, HallFailureRate &Rate) {
   if (!Row.isArray() || Row.size() != 3 || !Row[1].isInt() || !Row[2].isInt())
     return false;
   Rate.All = Row[1].asInt();
@@ -145,7 +145,7 @@
   return decodeHex(Row[0], Loan.Service);
 }
 
-static bool decodeEstimate(const Json::Value &Pair, Estimate &Given) {
+static bool decodeEstimate(const Json::Value &Pair, HealthEstimate &Given) {
   if (!Pair.isArray() || Pair.size() != 3 || !Pair[1].isInt() ||
       !Pair[2].isInt())
     return false;
@@ -159,8 +159,8 @@
   if (!Row.isArray() || Row.size() != 3 || !Row[1].isInt() || !Row[2].isInt())
     return false;
   Request.AgeMs = Row[1].asInt();
-  Request.UsualMs = Row[2].asInt();
-  return Request.AgeMs >= 0 && Request.UsualMs >= 0 &&
+  Request.TypicalMs = Row[2].asInt();
+  return Request.AgeMs >= 0 && Request.TypicalMs >= 0 &&
          decodeHex(Row[0], Request.Server);
 }
 
@@ -181,7 +181,7 @@
   if (!Pair.isArray() || Pair.size() < 2 || Pair.size() > 4 || !Pair[1].isInt())
     return false;
   if (!decodeOptionalCount(Pair, 2, Seen.Load) ||
-      !decodeOptionalCount(Pair, 3, Seen.PacePercent))
+      !decodeOptionalCount(Pair, 3, Seen.LatencyRatioPercent))
     return false;
   const int Outcome = Pair[1].asInt();
   if (!decodeHex(Pair[0], Seen.Server) || Outcome < 0 ||
--- a/lib/Health/EvidencePool.cpp
+++ b/lib/Health/EvidencePool.cpp
@@ -172,7 +172,7 @@
   OfHall.Taken.add(InFleet, Now, ContributionHalfLife);
 }
 
-void EvidencePool::takeReport(const EvidenceReport &Report, TimePoint Now) {
+void EvidencePool::mergeReport(const EvidenceReport &Report, TimePoint Now) {
   SourceState &Source = this->Sources[Report.Source];
   if (Report.Sequence <= Source.LastSequence)
     return;
@@ -251,9 +251,9 @@
   }
 }
 
-ServerDigest EvidencePool::describe(size_t Server,
-                                    const std::string &Hall) const {
-  ServerDigest Digest;
+ServerSummary EvidencePool::describe(size_t Server,
+                                     const std::string &Hall) const {
+  ServerSummary Digest;
   Digest.Server = this->Servers[Server].Id;
   Digest.Share = this->Fleet.getShare(Server);
   Digest.Score = this->Fleet.getScore(Server);
@@ -274,8 +274,8 @@
   return Digest;
 }
 
-EvidenceDigest EvidencePool::makeDigest(const std::string &Hall) {
-  EvidenceDigest Digest;
+EvidenceSummary EvidencePool::buildSummary(const std::string &Hall) {
+  EvidenceSummary Digest;
   Digest.Service = this->Service;
   Digest.Owner = this->Owner;
   Digest.Rank = this->Rank;
@@ -290,7 +290,7 @@
   return Digest;
 }
 
-void EvidencePool::noteSent(const std::string &Hall) {
+void EvidencePool::recordSent(const std::string &Hall) {
   this->LastSummary[Hall] = this->summarize(Hall);
 }
 
@@ -309,7 +309,7 @@
   return Summary;
 }
 
-bool EvidencePool::hasNews(const std::string &Hall) const {
+bool EvidencePool::hasUpdates(const std::string &Hall) const {
   const auto Found = this->LastSummary.find(Hall);
   const std::string Last =
       Found == this->LastSummary.end() ? "" : Found->second;
--- a/lib/Health/HealthPolicy.cpp
+++ b/lib/Health/HealthPolicy.cpp
@@ -27,7 +27,7 @@
 
 static constexpr EnumNames<ShareReason, 8> ShareReasonNames = {{
     {ShareReason::Healthy, "healthy"},
-    {ShareReason::OwnEvidence, "own-evidence"},
+    {ShareReason::LocalEvidence, "own-evidence"},
     {ShareReason::HallEvidence, "hall-evidence"},
     {ShareReason::FleetEvidence, "fleet-evidence"},
     {ShareReason::Leaving, "leaving"},
--- a/lib/Health/InFlightTable.cpp
+++ b/lib/Health/InFlightTable.cpp
@@ -73,13 +73,14 @@
   return Count;
 }
 
-void InFlightTable::noteReportedLoad(size_t Server, int Load, TimePoint Now) {
+void InFlightTable::recordReportedLoad(size_t Server, int Load, TimePoint Now) {
   // The request that was answered still counts in the answer's load.
   const double Others = Load - 1 - static_cast<double>(countKnown(Server, Now));
   this->Foreign[Server] = {std::max(0.0, Others), Now};
 }
 
-void InFlightTable::noteForeignLoad(size_t Server, double Load, TimePoint Now) {
+void InFlightTable::recordRemoteLoad(size_t Server, double Load,
+                                     TimePoint Now) {
   const double Others = Load - static_cast<double>(countKnown(Server, Now));
   this->Foreign[Server] = {std::max(0.0, Others), Now};
 }
@@ -91,7 +92,7 @@
          Shown.Requests * std::exp2(-std::max(0.0, Lives));
 }
 
-std::vector<InFlightRequest> InFlightTable::getOwn() const {
+std::vector<InFlightRequest> InFlightTable::getLocalRequests() const {
   std::vector<InFlightRequest> All;
   for (const auto &[Number, Server] : this->Own)
     for (const Entry &Each : this->ByServer[Server])
--- a/lib/Health/LatencyDistribution.cpp
+++ b/lib/Health/LatencyDistribution.cpp
@@ -49,7 +49,7 @@
   return (1 - PriorTail) * Common + PriorTail * Rare;
 }
 
-AnswerTimes::AnswerTimes() {
+LatencyDistribution::LatencyDistribution() {
   double Before = 1;
   for (size_t I = 0; I < BinCount; ++I) {
     const double End =
@@ -63,12 +63,12 @@
 
 /// Brings Longer up to date. Choices ask a hundred times for each answer that
 /// is added.
-void AnswerTimes::sumUp() {
+void LatencyDistribution::sumUp() {
   for (size_t I = BinCount; I > 0; --I)
     this->Longer[I - 1] = this->Longer[I] + this->Bins[I - 1];
 }
 
-void AnswerTimes::add(double Pace) {
+void LatencyDistribution::add(double Pace) {
   if (!(Pace > 0))
     return;
   const double Position =
@@ -80,7 +80,7 @@
   this->sumUp();
 }
 
-double AnswerTimes::getSurvival(double Pace) const {
+double LatencyDistribution::getSurvival(double Pace) const {
   if (!(Pace > 0))
     return 1;
   const double Position = getPosition(Pace);
@@ -88,10 +88,9 @@
     return 1;
   const auto Bin = static_cast<size_t>(Position);
   if (Bin >= BinCount)
-    return LeastSurvival;
+    return MinSurvival;
   const double Passed = this->Bins[Bin] * (Position - static_cast<double>(Bin));
-  return std::max(LeastSurvival,
-                  (this->Longer[Bin] - Passed) / this->Longer[0]);
+  return std::max(MinSurvival, (this->Longer[Bin] - Passed) / this->Longer[0]);
 }
 
 } // namespace canvaswick
--- a/lib/Health/LatencyTable.cpp
+++ b/lib/Health/LatencyTable.cpp
@@ -51,27 +51,27 @@
   return this->find(Route).getMedian();
 }
 
-Duration LatencyTable::getUsual(const std::string &Route,
-                                Duration Objective) const {
+Duration LatencyTable::getTypicalTime(const std::string &Route,
+                                      Duration Objective) const {
   const LatencyTracker &Known = this->find(Route);
   if (Known.isSettled())
     return Known.getMedian();
   return fromSeconds(toSeconds(Objective) * UsualOfObjective);
 }
 
-Duration LatencyTable::getSlowAfter(const std::string &Route) const {
-  return this->find(Route).getSlowAfter();
+Duration LatencyTable::getSlowThreshold(const std::string &Route) const {
+  return this->find(Route).getSlowThreshold();
 }
 
-RequestOutcome LatencyTable::judgeFailure(const std::string &Route,
-                                          Duration Took) const {
+RequestOutcome LatencyTable::classifyFailure(const std::string &Route,
+                                             Duration Took) const {
   const auto Found = this->OfRoutes.find(Route);
   if (Found == this->OfRoutes.end() || !Found->second.Tracker.isSettled())
     return RequestOutcome::Failed;
-  const Duration Usual = Found->second.Tracker.getMedian();
-  if (Usual <= LeastTelling)
+  const Duration TypicalTime = Found->second.Tracker.getMedian();
+  if (TypicalTime <= LeastTelling)
     return RequestOutcome::Failed;
-  return toSeconds(Took) < EarlyPart * toSeconds(Usual)
+  return toSeconds(Took) < EarlyPart * toSeconds(TypicalTime)
              ? RequestOutcome::FailedEarly
              : RequestOutcome::FailedAfterWork;
 }
--- a/lib/Health/LatencyTracker.cpp
+++ b/lib/Health/LatencyTracker.cpp
@@ -55,7 +55,7 @@
 
 bool LatencyTracker::isSettled() const { return this->Samples >= FirstSamples; }
 
-Duration LatencyTracker::getSlowAfter() const {
+Duration LatencyTracker::getSlowThreshold() const {
   if (this->Fixed > Duration::zero())
     return this->Fixed;
   if (!this->isSettled())
--- a/lib/Health/MarkovPolicy.cpp
+++ b/lib/Health/MarkovPolicy.cpp
@@ -27,7 +27,7 @@
 static constexpr double LeastSickness = 0.005;
 static constexpr double MostSickness = 0.995;
 
-/// Parts of one in Observation::PacePercent.
+/// Parts of one in Observation::LatencyRatioPercent.
 static constexpr int PaceParts = 100;
 
 //===-- Whether the floor is near -----------------------------------------===//
@@ -54,7 +54,7 @@
 /// How long another hall's rate counts.
 static constexpr Duration RateLife = fromSeconds(2);
 
-/// A HallRate counts in tenths of a request.
+/// A HallFailureRate counts in tenths of a request.
 static constexpr int RateParts = 10;
 
 //===-- Word of other halls
@@ -71,39 +71,40 @@
 static constexpr Duration FirstUnreachable = fromMillis(1000);
 static constexpr int MostDoublings = 2;
 
-SpellPolicy::SpellPolicy(PolicySetup Given)
+MarkovPolicy::MarkovPolicy(PolicySetup Given)
     : Setup(std::move(Given)), InFlight(this->Setup.Servers.size()) {
   for (const PolicyServer &Server : this->Setup.Servers) {
     this->IndexOfServer[Server.Id] = this->Servers.size();
     ServerState State;
     State.Config = Server;
-    State.Sickness = this->Rates.getUsualSickness();
+    State.UnhealthyProbability = this->Rates.getUsualSickness();
     this->Servers.push_back(State);
   }
 }
 
 /// Returns the probability by what has ended, faded with time.
-double SpellPolicy::getEndedSickness(size_t Server, TimePoint Now) const {
+double MarkovPolicy::getEndedSickness(size_t Server, TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
-  return this->Rates.drift(State.Sickness, Now - State.At);
+  return this->Rates.drift(State.UnhealthyProbability, Now - State.At);
 }
 
 /// Returns how much likelier a request is still out at a sick server than at a
 /// well one. What it says fades with its age: the server may have got well
 /// after it came.
-double SpellPolicy::getSilenceRatio(const InFlightRequest &Request,
-                                    TimePoint Now) const {
+double MarkovPolicy::getSilenceRatio(const InFlightRequest &Request,
+                                     TimePoint Now) const {
   const Duration Age = Now - Request.Began;
-  if (Request.Usual <= Duration::zero() || Age <= Duration::zero())
+  if (Request.TypicalTime <= Duration::zero() || Age <= Duration::zero())
     return 1;
-  const double Pace = toSeconds(Age) / toSeconds(Request.Usual);
+  const double Pace = toSeconds(Age) / toSeconds(Request.TypicalTime);
   const Likelihood Seen = getSilenceLikelihood(this->Times.getSurvival(Pace));
   const double Kept =
       std::exp(-toSeconds(Age) / toSeconds(this->Rates.getMemory()));
   return 1 + (Seen.Sick / Seen.Well - 1) * Kept;
 }
 
-double SpellPolicy::getSickness(size_t Server, TimePoint Now) const {
+double MarkovPolicy::getUnhealthyProbability(size_t Server,
+                                             TimePoint Now) const {
   const double Ended = this->getEndedSickness(Server, Now);
   double Odds = Ended / (1 - Ended);
   if (this->isOn(Mechanism::ElapsedEvidence))
@@ -114,14 +115,15 @@
 }
 
 /// Sets what is known of a server from now on.
-void SpellPolicy::setSickness(size_t Server, double Sickness, TimePoint Now) {
-  this->Servers[Server].Sickness =
-      std::clamp(Sickness, LeastSickness, MostSickness);
+void MarkovPolicy::setSickness(size_t Server, double UnhealthyProbability,
+                               TimePoint Now) {
+  this->Servers[Server].UnhealthyProbability =
+      std::clamp(UnhealthyProbability, LeastSickness, MostSickness);
   this->Servers[Server].At = Now;
 }
 
 /// Counts how often the service as a whole refuses.
-void SpellPolicy::noteShed(RequestOutcome Outcome, TimePoint Now) {
+void MarkovPolicy::noteShed(RequestOutcome Outcome, TimePoint Now) {
   this->RecentOutcomes.add(1, Now, RecentHalfLife);
   if (Outcome == RequestOutcome::Shed)
     this->RecentShed.add(1, Now, RecentHalfLife);
@@ -130,17 +132,17 @@
 /// Where all servers refuse, a refusal says nothing about one of them: turning
 /// away from it would send everybody to the few that were not asked of late,
 /// and overload them.
-double SpellPolicy::getUsualShed(TimePoint Now) const {
+double MarkovPolicy::getUsualShed(TimePoint Now) const {
   const double All =
       this->RecentOutcomes.get(Now, RecentHalfLife) + ImaginedGood;
   return this->RecentShed.get(Now, RecentHalfLife) / All;
 }
 
-void SpellPolicy::update(size_t Server, RequestOutcome Outcome, int PacePercent,
-                         TimePoint Now) {
+void MarkovPolicy::update(size_t Server, RequestOutcome Outcome,
+                          int LatencyRatioPercent, TimePoint Now) {
   const double Before = this->getEndedSickness(Server, Now);
   Likelihood Seen = getLikelihood(Outcome);
-  const double Pace = PacePercent / static_cast<double>(PaceParts);
+  const double Pace = LatencyRatioPercent / static_cast<double>(PaceParts);
   if (Outcome == RequestOutcome::Overdue && Pace > 0)
     Seen = getSilenceLikelihood(this->Times.getSurvival(Pace));
   if ((Outcome == RequestOutcome::Good || Outcome == RequestOutcome::Slow) &&
@@ -152,15 +154,15 @@
   const ServerState &State = this->Servers[Server];
   // Without an earlier outcome there is no step to learn from.
   if (this->isOn(Mechanism::LearnedRates) && State.At != TimePoint{})
-    this->Rates.learn(State.Sickness, Now - State.At, Seen);
+    this->Rates.learn(State.UnhealthyProbability, Now - State.At, Seen);
   const double Sick = Before * Seen.Sick;
   const double Well = (1 - Before) * Seen.Well;
   this->setSickness(Server, Sick / (Sick + Well), Now);
 }
 
 /// Counts outcomes at servers that are likelier well than sick.
-void SpellPolicy::noteRecent(size_t Server, RequestOutcome Outcome,
-                             TimePoint Now) {
+void MarkovPolicy::noteRecent(size_t Server, RequestOutcome Outcome,
+                              TimePoint Now) {
   // What is still out there would have counted against it before it failed.
   if (this->getEndedSickness(Server, Now) > LikelySick)
     return;
@@ -172,8 +174,8 @@
 
 /// Keeps track of whether this daemon reaches the server at all, which says
 /// little about what others reach.
-void SpellPolicy::noteReach(ServerState &State, RequestOutcome Outcome,
-                            TimePoint Now) {
+void MarkovPolicy::noteReach(ServerState &State, RequestOutcome Outcome,
+                             TimePoint Now) {
   if (Outcome != RequestOutcome::Unreachable) {
     State.UnreachableInRow = 0;
     State.UnreachableUntil = TimePoint{};
@@ -184,77 +186,81 @@
   ++State.UnreachableInRow;
 }
 
-void SpellPolicy::recordOutcome(size_t Server, RequestOutcome Outcome,
-                                TimePoint Now, int Load, int PacePercent) {
+void MarkovPolicy::recordOutcome(size_t Server, RequestOutcome Outcome,
+                                 TimePoint Now, int Load,
+                                 int LatencyRatioPercent) {
   if (Outcome == RequestOutcome::Canceled)
     return;
   ServerState &State = this->Servers[Server];
   State.Counts.add(Outcome);
   this->noteReach(State, Outcome, Now);
   this->noteRecent(Server, Outcome, Now);
-  this->noteUse(Server, Now);
-  this->update(Server, Outcome, PacePercent, Now);
+  this->recordUse(Server, Now);
+  this->update(Server, Outcome, LatencyRatioPercent, Now);
   // What this daemon does not reach, others may.
   if (Outcome != RequestOutcome::Unreachable)
-    this->News.push_back({State.Config.Id, Outcome, Load, PacePercent});
+    this->News.push_back({State.Config.Id, Outcome, Load, LatencyRatioPercent});
 }
 
-void SpellPolicy::takeObservation(size_t Server, RequestOutcome Outcome,
-                                  TimePoint Now, int PacePercent) {
+void MarkovPolicy::applyObservation(size_t Server, RequestOutcome Outcome,
+                                    TimePoint Now, int LatencyRatioPercent) {
   this->noteRecent(Server, Outcome, Now);
-  this->noteUse(Server, Now);
-  this->update(Server, Outcome, PacePercent, Now);
+  this->recordUse(Server, Now);
+  this->update(Server, Outcome, LatencyRatioPercent, Now);
 }
 
-void SpellPolicy::noteUse(size_t Server, TimePoint Now) {
+void MarkovPolicy::recordUse(size_t Server, TimePoint Now) {
   this->Servers[Server].UsedAt = Now;
 }
 
-void SpellPolicy::takeEstimate(size_t Server, double Sickness, TimePoint Now,
-                               double Load) {
-  this->InFlight.noteForeignLoad(Server, Load, Now);
-  this->setSickness(Server, Sickness, Now);
+void MarkovPolicy::applyRemoteEstimate(size_t Server,
+                                       double UnhealthyProbability,
+                                       TimePoint Now, double Load) {
+  this->InFlight.recordRemoteLoad(Server, Load, Now);
+  this->setSickness(Server, UnhealthyProbability, Now);
   this->Servers[Server].EstimatedAt = Now;
 }
 
-void SpellPolicy::takeNearEstimate(size_t Server, double Sickness,
-                                   TimePoint Now) {
+void MarkovPolicy::applySameHallEstimate(size_t Server,
+                                         double UnhealthyProbability,
+                                         TimePoint Now) {
   // The server's own hall knows it better, and so does this daemon.
   if (this->isUsed(Server) || this->isEstimated(Server, Now))
     return;
-  this->setSickness(Server, Sickness, Now);
+  this->setSickness(Server, UnhealthyProbability, Now);
   // Peers have used it: it needs no first test from this daemon.
-  this->noteUse(Server, Now);
+  this->recordUse(Server, Now);
 }
 
-bool SpellPolicy::isEstimated(size_t Server, TimePoint Now) const {
+bool MarkovPolicy::isEstimated(size_t Server, TimePoint Now) const {
   return Now - this->Servers[Server].EstimatedAt <= EstimateLife;
 }
 
-bool SpellPolicy::isUsed(size_t Server) const {
+bool MarkovPolicy::isUsed(size_t Server) const {
   return this->Servers[Server].UsedAt != TimePoint{};
 }
 
-int SpellPolicy::findServer(ServerId Id) const {
+int MarkovPolicy::findServer(ServerId Id) const {
   const auto Found = this->IndexOfServer.find(Id);
   return Found == this->IndexOfServer.end() ? -1
                                             : static_cast<int>(Found->second);
 }
 
-void SpellPolicy::setLeaving(size_t Server, bool IsLeaving, TimePoint) {
+void MarkovPolicy::setLeaving(size_t Server, bool IsLeaving, TimePoint) {
   this->Servers[Server].IsLeaving = IsLeaving;
 }
 
-void SpellPolicy::advance(TimePoint) {}
+void MarkovPolicy::advance(TimePoint) {}
 
 /// Counts the requests that are out for so long that they hardly ever get an
 /// answer: they have not failed yet, and will.
-double SpellPolicy::countOverdue(TimePoint Now) const {
+double MarkovPolicy::countOverdue(TimePoint Now) const {
   double Overdue = 0;
   for (size_t I = 0; I < this->Servers.size(); ++I)
     this->InFlight.visit(I, Now, [&](const InFlightRequest &Each) {
-      if (Each.Usual > Duration::zero() &&
-          toSeconds(Now - Each.Began) > OverduePace * toSeconds(Each.Usual))
+      if (Each.TypicalTime > Duration::zero() &&
+          toSeconds(Now - Each.Began) >
+              OverduePace * toSeconds(Each.TypicalTime))
         Overdue += 1;
     });
   return Overdue;
@@ -262,7 +268,7 @@
 
 /// Returns what part of the requests of this caution goes unserved at servers
 /// that are likelier well than sick, over all halls that told of theirs.
-double SpellPolicy::getFailurePart(Caution Care, TimePoint Now) const {
+double MarkovPolicy::getFailurePart(FailureCost Care, TimePoint Now) const {
   const double Overdue = this->countOverdue(Now);
   double All =
       this->RecentAll.get(Now, RecentHalfLife) + ImaginedGood + Overdue;
@@ -275,55 +281,60 @@
   }
   const double Failures = Bad / All;
   // What may be sent again goes unserved only if it fails twice.
-  return Care == Caution::Utmost ? Failures : Failures * Failures;
+  return Care == FailureCost::High ? Failures : Failures * Failures;
 }
 
 /// Returns the part of good answers that take longer than until an instant.
-static double getSurvivalUntil(const AnswerTimes &Times, TimePoint Began,
-                               Duration Usual, TimePoint Until) {
-  return Times.getSurvival(toSeconds(Until - Began) / toSeconds(Usual));
+static double getSurvivalUntil(const LatencyDistribution &Times,
+                               TimePoint Began, Duration TypicalTime,
+                               TimePoint Until) {
+  return Times.getSurvival(toSeconds(Until - Began) / toSeconds(TypicalTime));
 }
 
-double SpellPolicy::getAnswerChance(const InFlightRequest &Request,
-                                    TimePoint Until, TimePoint Now) const {
-  if (Request.Usual <= Duration::zero())
+double MarkovPolicy::getAnswerProbability(const InFlightRequest &Request,
+                                          TimePoint Until,
+                                          TimePoint Now) const {
+  if (Request.TypicalTime <= Duration::zero())
     return 1;
   if (Until <= Now)
     return 0;
   const double Still =
-      getSurvivalUntil(this->Times, Request.Began, Request.Usual, Now);
+      getSurvivalUntil(this->Times, Request.Began, Request.TypicalTime, Now);
   const double Later =
-      getSurvivalUntil(this->Times, Request.Began, Request.Usual, Until);
+      getSurvivalUntil(this->Times, Request.Began, Request.TypicalTime, Until);
   const Likelihood Silence = getSilenceLikelihood(Still);
-  const double Sick = this->getSickness(Request.Server, Now);
+  const double Sick = this->getUnhealthyProbability(Request.Server, Now);
   // A sick server answers some requests all the same.
   const double Answers = 1 - Sick * getSilentPart() / Silence.Sick;
   return Answers * (1 - Later / Still);
 }
 
-AnswerChances SpellPolicy::getNewAnswerChances(size_t Server, Duration Usual,
-                                               TimePoint Aim,
-                                               TimePoint Deadline,
-                                               TimePoint Now) const {
+AnswerProbabilities
+MarkovPolicy::getNewRequestProbabilities(size_t Server, Duration TypicalTime,
+                                         TimePoint Aim, TimePoint Deadline,
+                                         TimePoint Now) const {
   if (this->Servers[Server].IsLeaving || Deadline <= Now)
     return {};
-  const double Answers = 1 - this->getSickness(Server, Now) * getFailingPart();
-  if (Usual <= Duration::zero())
+  const double Answers =
+      1 - this->getUnhealthyProbability(Server, Now) * getFailingPart();
+  if (TypicalTime <= Duration::zero())
     return {Aim > Now ? Answers : 0, Answers};
   const auto GetPart = [&](TimePoint Until) {
-    return Until <= Now ? 0
-                        : 1 - getSurvivalUntil(this->Times, Now, Usual, Until);
+    return Until <= Now
+               ? 0
+               : 1 - getSurvivalUntil(this->Times, Now, TypicalTime, Until);
   };
   return {Answers * GetPart(Aim), Answers * GetPart(Deadline)};
 }
 
-double SpellPolicy::getAnswerPart(size_t Server, TimePoint Now) const {
+double MarkovPolicy::getSuccessProbability(size_t Server, TimePoint Now) const {
   return this->Servers[Server].IsLeaving
              ? 0
-             : 1 - this->getSickness(Server, Now) * getFailingPart();
+             : 1 - this->getUnhealthyProbability(Server, Now) *
+                       getFailingPart();
 }
 
-HallRate SpellPolicy::getRate(TimePoint Now) const {
+HallFailureRate MarkovPolicy::getFailureRate(TimePoint Now) const {
   const double Overdue = this->countOverdue(Now);
   const auto Tenths = [Now, Overdue](const DecayingCount &Count) {
     return static_cast<int>(
@@ -332,18 +343,19 @@
   return {0, Tenths(this->RecentAll), Tenths(this->RecentBad)};
 }
 
-void SpellPolicy::takeRate(const std::string &Hall, const HallRate &Rate,
-                           TimePoint Now) {
+void MarkovPolicy::applyFailureRate(const std::string &Hall,
+                                    const HallFailureRate &Rate,
+                                    TimePoint Now) {
   this->OtherRates[Hall] = {Rate, Now};
 }
 
-std::vector<Observation> SpellPolicy::takeNews() {
+std::vector<Observation> MarkovPolicy::drainObservations() {
   std::vector<Observation> Taken;
   Taken.swap(this->News);
   return Taken;
 }
 
-void SpellPolicy::adopt(const SpellPolicy &Other, TimePoint) {
+void MarkovPolicy::adopt(const MarkovPolicy &Other, TimePoint) {
   this->News = Other.News;
   this->RecentAll = Other.RecentAll;
   this->RecentBad = Other.RecentBad;
--- a/lib/Health/MarkovShares.cpp
+++ b/lib/Health/MarkovShares.cpp
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of SpellPolicy that turns what is known into shares: by worth, with
-/// the floor and tests. What is known comes from SpellPolicy.cpp.
+/// The part of MarkovPolicy that turns what is known into shares: by worth,
+/// with the floor and tests. What is known comes from MarkovPolicy.cpp.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -62,22 +62,22 @@
 
 /// The servers least likely sick stay in use up to the floor, leaving ones not
 /// counted.
-std::vector<bool> SpellPolicy::findKeptByFloor(TimePoint Now) const {
+std::vector<bool> MarkovPolicy::findKeptByFloor(TimePoint Now) const {
   std::vector<size_t> Order;
-  std::vector<double> Sickness(this->Servers.size());
+  std::vector<double> UnhealthyProbability(this->Servers.size());
   for (size_t I = 0; I < this->Servers.size(); ++I) {
-    Sickness[I] = this->getSickness(I, Now);
+    UnhealthyProbability[I] = this->getUnhealthyProbability(I, Now);
     if (!this->Servers[I].IsLeaving)
       Order.push_back(I);
   }
   std::sort(Order.begin(), Order.end(), [&](size_t Left, size_t Right) {
-    return Sickness[Left] < Sickness[Right];
+    return UnhealthyProbability[Left] < UnhealthyProbability[Right];
   });
-  const double Least =
+  const double Low =
       static_cast<double>(Order.size()) * this->Setup.FloorPercent / 100 +
       ExtraKept;
   std::vector<bool> Kept(this->Servers.size(), false);
-  for (size_t I = 0; I < Order.size() && static_cast<double>(I) < Least; ++I)
+  for (size_t I = 0; I < Order.size() && static_cast<double>(I) < Low; ++I)
     Kept[Order[I]] = true;
   return Kept;
 }
@@ -86,8 +86,8 @@
 /// uses it, and either the floor keeps it in use or it may be well again. Seven
 /// in ten tests of servers that had failed four seconds before failed again, so
 /// a request whose failure is final tests only what nobody has ever used.
-bool SpellPolicy::isTestDue(size_t Server, Caution Care, bool IsKept,
-                            TimePoint Now) const {
+bool MarkovPolicy::isTestDue(size_t Server, FailureCost Care, bool IsKept,
+                             TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
   // The daemons near a server look after it.
   if (this->isEstimated(Server, Now))
@@ -96,22 +96,22 @@
   if (this->InFlight.getLoad(Server, Now) >= 1)
     return false;
   if (!this->isUsed(Server))
-    return this->getSickness(Server, Now) <=
+    return this->getUnhealthyProbability(Server, Now) <=
            this->Rates.getUsualSickness() + UnknownMargin;
   const Duration Unused = Now - State.UsedAt;
   return (IsKept && Unused > UnusedLimit) ||
-         (Care != Caution::Utmost && Unused > TestAfter &&
+         (Care != FailureCost::High && Unused > TestAfter &&
           this->isOn(Mechanism::Tests));
 }
 
 /// Returns how steeply shares fall for requests of a caution.
-static double getPower(Caution Care) {
+static double getPower(FailureCost Care) {
   switch (Care) {
-  case Caution::Least:
+  case FailureCost::Low:
     return LeastPower;
-  case Caution::Ordinary:
+  case FailureCost::Medium:
     return OrdinaryPower;
-  case Caution::Utmost:
+  case FailureCost::High:
     return UtmostPower;
   }
   assert(false && "caution without a power");
@@ -119,8 +119,8 @@
 }
 
 std::vector<ServerShare>
-SpellPolicy::getSharesByWorth(const std::vector<double> &Worths, Caution Care,
-                              TimePoint Now) const {
+MarkovPolicy::getSharesByUtility(const std::vector<double> &Worths,
+                                 FailureCost Care, TimePoint Now) const {
   assert(Worths.size() == this->Servers.size() && "one worth a server");
   const double Power = getPower(Care);
   std::vector<ServerShare> Shares(this->Servers.size());
@@ -148,41 +148,43 @@
   return Shares;
 }
 
-std::vector<double> SpellPolicy::getWorths(TimePoint Now) const {
+std::vector<double> MarkovPolicy::getWorths(TimePoint Now) const {
   std::vector<double> Worths(this->Servers.size());
   for (size_t I = 0; I < Worths.size(); ++I)
-    Worths[I] = 1 - this->getSickness(I, Now) * getFailingPart();
+    Worths[I] = 1 - this->getUnhealthyProbability(I, Now) * getFailingPart();
   return Worths;
 }
 
-std::vector<double> SpellPolicy::getShares(Caution Care, TimePoint Now) const {
+std::vector<double> MarkovPolicy::getShares(FailureCost Care,
+                                            TimePoint Now) const {
   std::vector<double> Shares;
   for (const ServerShare &Each :
-       this->getSharesByWorth(this->getWorths(Now), Care, Now))
+       this->getSharesByUtility(this->getWorths(Now), Care, Now))
     Shares.push_back(Each.Share);
   return Shares;
 }
 
-double SpellPolicy::getShare(size_t Server, Caution Care, TimePoint Now) const {
+double MarkovPolicy::getShare(size_t Server, FailureCost Care,
+                              TimePoint Now) const {
   return this->getShares(Care, Now)[Server];
 }
 
-ShareExplanation SpellPolicy::explain(size_t Server, TimePoint Now) const {
+ShareExplanation MarkovPolicy::explain(size_t Server, TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
   ShareExplanation Explanation;
-  const ServerShare Given = this->getSharesByWorth(
-      this->getWorths(Now), Caution::Utmost, Now)[Server];
+  const ServerShare Given = this->getSharesByUtility(
+      this->getWorths(Now), FailureCost::High, Now)[Server];
   Explanation.Share = Given.Share;
   Explanation.WantedShare = Given.IsTest ? 0 : Given.Share;
-  Explanation.OwnScore = this->getSickness(Server, Now);
-  Explanation.OwnCounts = State.Counts;
+  Explanation.LocalScore = this->getUnhealthyProbability(Server, Now);
+  Explanation.LocalCounts = State.Counts;
   Explanation.Since = State.At;
   if (State.IsLeaving)
     Explanation.Reason = ShareReason::Leaving;
   // Any test raises a share, also one that is not the floor's doing.
   else if (Given.IsTest)
     Explanation.Reason = ShareReason::KeptByFloor;
-  else if (Explanation.OwnScore >= SuspectSickness)
+  else if (Explanation.LocalScore >= SuspectSickness)
     Explanation.Reason = ShareReason::FleetEvidence;
   return Explanation;
 }
--- a/lib/Health/OutcomeLikelihood.h
+++ b/lib/Health/OutcomeLikelihood.h
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The figures by which SpellPolicy takes an outcome as evidence. Private to
+/// The figures by which MarkovPolicy takes an outcome as evidence. Private to
 /// this library.
 ///
 //===----------------------------------------------------------------------===//
--- a/lib/Health/PooledPolicy.cpp
+++ b/lib/Health/PooledPolicy.cpp
@@ -117,7 +117,7 @@
     const ServerState &State = this->Servers[I];
     // A server that has just answered well is not removed for its past.
     Rules.MayRemove.push_back(State.WasLastBad && this->isSpecific(I));
-    const ServerDigest *Digest = this->findDigest(I);
+    const ServerSummary *Digest = this->findDigest(I);
     const bool IsUsable = !State.IsLeaving && (!Digest || Digest->Share >= 1);
     Rules.Slots.push_back(IsUsable ? State.Config.Slots : 0);
     All += State.Config.Slots;
@@ -132,7 +132,7 @@
       continue;
     View.IsCurrent = false;
     // Nobody speaks for these servers any more: let them back by steps.
-    for (const ServerDigest &Digest : View.Servers) {
+    for (const ServerSummary &Digest : View.Servers) {
       const auto Found = this->IndexOfServer.find(Digest.Server);
       if (Found != this->IndexOfServer.end() && Digest.Share < 1 &&
           this->Own.getPhase(Found->second) == HealthPhase::Serving)
@@ -161,11 +161,11 @@
   return Leading;
 }
 
-const ServerDigest *PooledPolicy::findDigest(size_t Server) const {
+const ServerSummary *PooledPolicy::findDigest(size_t Server) const {
   const OwnerView *View = this->findLeadingView();
   if (!View)
     return nullptr;
-  for (const ServerDigest &Digest : View->Servers)
+  for (const ServerSummary &Digest : View->Servers)
     if (Digest.Server == this->Servers[Server].Config.Id)
       return &Digest;
   return nullptr;
@@ -179,8 +179,8 @@
   Wish.WasReduced = State.Explanation.Share < 1;
   Wish.Share = this->Own.getShare(Server);
   Wish.Score = this->Own.getScore(Server);
-  Reason = Wish.Share < 1 ? ShareReason::OwnEvidence : ShareReason::Healthy;
-  if (const ServerDigest *Digest = this->findDigest(Server)) {
+  Reason = Wish.Share < 1 ? ShareReason::LocalEvidence : ShareReason::Healthy;
+  if (const ServerSummary *Digest = this->findDigest(Server)) {
     Wish.Score = std::max(Wish.Score, Digest->Score);
     if (Digest->Share < Wish.Share) {
       Wish.Share = Digest->Share;
@@ -260,7 +260,7 @@
   return Report;
 }
 
-void PooledPolicy::takeDigest(const EvidenceDigest &Digest, TimePoint Now) {
+void PooledPolicy::applySummary(const EvidenceSummary &Digest, TimePoint Now) {
   OwnerView &View = this->Views[Digest.Owner];
   if (View.IsCurrent && Digest.Sequence <= View.Sequence)
     return;
@@ -272,7 +272,7 @@
   for (ServerState &State : this->Servers)
     State.IsPoolSuspect = false;
   for (const auto &[Owner, Other] : this->Views)
-    for (const ServerDigest &Server : Other.Servers) {
+    for (const ServerSummary &Server : Other.Servers) {
       const auto Found = this->IndexOfServer.find(Server.Server);
       if (Found != this->IndexOfServer.end())
         this->Servers[Found->second].IsPoolSuspect = true;
@@ -296,9 +296,9 @@
 ShareExplanation PooledPolicy::explain(size_t Server) const {
   const ServerState &State = this->Servers[Server];
   ShareExplanation Explanation = State.Explanation;
-  Explanation.OwnScore = this->Own.getScore(Server);
-  Explanation.OwnCounts = State.Counts;
-  if (const ServerDigest *Digest = this->findDigest(Server)) {
+  Explanation.LocalScore = this->Own.getScore(Server);
+  Explanation.LocalCounts = State.Counts;
+  if (const ServerSummary *Digest = this->findDigest(Server)) {
     Explanation.PoolScore = Digest->Score;
     Explanation.PoolSources = Digest->Sources;
   }
--- a/lib/Health/RetryTiming.cpp
+++ b/lib/Health/RetryTiming.cpp
@@ -45,30 +45,33 @@
 static constexpr double PricedFrom = 0.5;
 static constexpr double MostPrice = 0.2;
 
-double getRepeatPrice(double UsedPart) {
+double computeRetryCost(double UsedPart) {
   const double Short =
       std::clamp((UsedPart - PricedFrom) / (1 - PricedFrom), 0.0, 1.0);
   return LeastPrice + (MostPrice - LeastPrice) * Short;
 }
 
 /// Returns the part of good answers that are there after a time.
-static double getAnswered(const AnswerTimes &Times, Duration After,
-                          Duration Usual) {
+static double getAnswered(const LatencyDistribution &Times, Duration After,
+                          Duration TypicalTime) {
   if (After <= Duration::zero())
     return 0;
-  if (Usual <= Duration::zero())
+  if (TypicalTime <= Duration::zero())
     return 1;
-  return 1 - Times.getSurvival(toSeconds(After) / toSeconds(Usual));
+  return 1 - Times.getSurvival(toSeconds(After) / toSeconds(TypicalTime));
 }
 
-double getWorthElsewhere(const SilentAttempt &Attempt, const AnswerTimes &Times,
-                         Duration Later) {
-  const Duration Aim = std::min(Attempt.UntilAim, Attempt.UntilDeadline);
-  const double InTime = getAnswered(Times, Aim - Later, Attempt.UsualElsewhere);
-  const double AtAll =
-      getAnswered(Times, Attempt.UntilDeadline - Later, Attempt.UsualElsewhere);
-  return Attempt.AnswersElsewhere *
-         (InTime + LateWorth * std::max(0.0, AtAll - InTime));
+double computeAlternativeUtility(const UnansweredAttempt &Attempt,
+                                 const LatencyDistribution &Times,
+                                 Duration Later) {
+  const Duration Aim =
+      std::min(Attempt.TimeToObjective, Attempt.TimeToDeadline);
+  const double InTime =
+      getAnswered(Times, Aim - Later, Attempt.AlternativeTypicalTime);
+  const double AtAll = getAnswered(Times, Attempt.TimeToDeadline - Later,
+                                   Attempt.AlternativeTypicalTime);
+  return Attempt.AlternativeAnswerProbability *
+         (InTime + LateUtility * std::max(0.0, AtAll - InTime));
 }
 
 namespace {
@@ -77,11 +80,11 @@
 /// some time.
 class Silence {
 public:
-  Silence(const SilentAttempt &Attempt, const AnswerTimes &Times)
+  Silence(const UnansweredAttempt &Attempt, const LatencyDistribution &Times)
       : Attempt(Attempt), Times(Times) {
     const Likelihood Now = getSilenceLikelihood(this->getSurvival({}));
-    this->Well = (1 - Attempt.Sickness) / Now.Well;
-    this->Sick = Attempt.Sickness / Now.Sick;
+    this->Well = (1 - Attempt.UnhealthyProbability) / Now.Well;
+    this->Sick = Attempt.UnhealthyProbability / Now.Sick;
   }
 
   double get(Duration Later) const {
@@ -91,46 +94,51 @@
 
 private:
   double getSurvival(Duration Later) const {
-    return this->Times.getSurvival(toSeconds(this->Attempt.Out + Later) /
-                                   toSeconds(this->Attempt.Usual));
+    return this->Times.getSurvival(toSeconds(this->Attempt.Elapsed + Later) /
+                                   toSeconds(this->Attempt.TypicalTime));
   }
 
-  const SilentAttempt &Attempt;
-  const AnswerTimes &Times;
+  const UnansweredAttempt &Attempt;
+  const LatencyDistribution &Times;
   double Well = 0;
   double Sick = 0;
 };
 
 } // namespace
 
-double getWorthOfWaiting(const SilentAttempt &Attempt,
-                         const AnswerTimes &Times) {
-  if (Attempt.UntilDeadline <= Duration::zero() ||
-      Attempt.Usual <= Duration::zero())
+double computeWaitingUtility(const UnansweredAttempt &Attempt,
+                             const LatencyDistribution &Times) {
+  if (Attempt.TimeToDeadline <= Duration::zero() ||
+      Attempt.TypicalTime <= Duration::zero())
     return 0;
   const Silence Silent(Attempt, Times);
   std::array<Duration, Moments + 1> At{};
   std::array<double, Moments + 1> StillSilent{};
   for (size_t I = 0; I <= Moments; ++I) {
-    At[I] = getMoment(I, Attempt.UntilDeadline);
+    At[I] = getMoment(I, Attempt.TimeToDeadline);
     StillSilent[I] = Silent.get(At[I]);
   }
   double Worth = 0;
   for (size_t I = Moments; I > 0; --I) {
-    const bool IsInTime = (At[I - 1] + At[I]) / 2 <= Attempt.UntilAim;
+    const bool IsInTime = (At[I - 1] + At[I]) / 2 <= Attempt.TimeToObjective;
     const double Answered = StillSilent[I - 1] - StillSilent[I];
-    Worth = (Answered * (IsInTime ? 1.0 : LateWorth) + StillSilent[I] * Worth) /
-            StillSilent[I - 1];
+    Worth =
+        (Answered * (IsInTime ? 1.0 : LateUtility) + StillSilent[I] * Worth) /
+        StillSilent[I - 1];
     if (I > 1)
-      Worth = std::max(Worth, getWorthElsewhere(Attempt, Times, At[I - 1]) -
-                                  Attempt.Price);
+      Worth =
+          std::max(Worth, computeAlternativeUtility(Attempt, Times, At[I - 1]) -
+                              Attempt.RetryCost);
   }
   return Worth;
 }
 
-bool shouldLeave(const SilentAttempt &Attempt, const AnswerTimes &Times) {
-  const double Now = getWorthElsewhere(Attempt, Times, Duration::zero());
-  return Now - Attempt.Price > getWorthOfWaiting(Attempt, Times) - Indifference;
+bool shouldRetryElsewhere(const UnansweredAttempt &Attempt,
+                          const LatencyDistribution &Times) {
+  const double Now =
+      computeAlternativeUtility(Attempt, Times, Duration::zero());
+  return Now - Attempt.RetryCost >
+         computeWaitingUtility(Attempt, Times) - Indifference;
 }
 
 } // namespace canvaswick
--- a/lib/Health/TransitionRates.cpp
+++ b/lib/Health/TransitionRates.cpp
@@ -33,25 +33,25 @@
 /// the rates follow the service.
 static constexpr double MostSeconds = 600;
 
-double SpellRates::getBeginRate() const {
+double TransitionRates::getBeginRate() const {
   return std::clamp(this->Begins / this->WellSeconds, LeastBeginRate,
                     MostBeginRate);
 }
 
-double SpellRates::getEndRate() const {
+double TransitionRates::getEndRate() const {
   return std::clamp(this->Ends / this->SickSeconds, LeastEndRate, MostEndRate);
 }
 
-double SpellRates::getUsualSickness() const {
+double TransitionRates::getUsualSickness() const {
   const double Begin = this->getBeginRate();
   return Begin / (Begin + this->getEndRate());
 }
 
-Duration SpellRates::getMemory() const {
+Duration TransitionRates::getMemory() const {
   return fromSeconds(1 / (this->getBeginRate() + this->getEndRate()));
 }
 
-double SpellRates::drift(double Before, Duration Passed) const {
+double TransitionRates::drift(double Before, Duration Passed) const {
   const double Usual = this->getUsualSickness();
   const double Lives = toSeconds(Passed) / toSeconds(this->getMemory());
   return Usual + (Before - Usual) * std::exp(-std::max(0.0, Lives));
@@ -64,7 +64,8 @@
   Seconds /= 2;
 }
 
-void SpellRates::learn(double Before, Duration Passed, const Likelihood &Seen) {
+void TransitionRates::learn(double Before, Duration Passed,
+                            const Likelihood &Seen) {
   if (Passed <= Duration::zero() || Passed > LongestStep)
     return;
   const double FallsSick = this->drift(0, Passed);
--- a/lib/Operator/LossTable.cpp
+++ b/lib/Operator/LossTable.cpp
@@ -40,11 +40,11 @@
 }
 
 ChoiceMoment getMoment(const LoggedAttempt &Attempt) {
-  if (Attempt.Sickness < 0)
+  if (Attempt.UnhealthyProbability < 0)
     return ChoiceMoment::Unknown;
   if (Attempt.IsTest)
     return ChoiceMoment::Test;
-  if (Attempt.Sickness >= SuspectSickness)
+  if (Attempt.UnhealthyProbability >= SuspectSickness)
     return ChoiceMoment::Suspect;
   return Attempt.Load >= LoadedFrom ? ChoiceMoment::Loaded
                                     : ChoiceMoment::Unsuspected;
--- a/lib/Operator/RequestStory.cpp
+++ b/lib/Operator/RequestStory.cpp
@@ -54,7 +54,8 @@
     return false;
   Attempt.Share = std::strtod(takeUntil(Text, ':').c_str(), nullptr);
   if (takeUntil(Text, '=') == "sick")
-    Attempt.Sickness = std::strtod(takeUntil(Text, ':').c_str(), nullptr);
+    Attempt.UnhealthyProbability =
+        std::strtod(takeUntil(Text, ':').c_str(), nullptr);
   if (takeUntil(Text, '=') == "load")
     Attempt.Load = std::strtod(takeUntil(Text, ':').c_str(), nullptr);
   Attempt.IsTest = Text == "test";
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -39,8 +39,8 @@
                   Request.Trail.empty() ? "" : ",",
                   Request.Service->getServer(Ended.Server).Name,
                   Ended.WasCutOff ? "cut-off" : getName(Outcome),
-                  toMillis(Took), Ended.Share, Ended.Sickness, Ended.ServerLoad,
-                  Ended.IsTest ? ":test" : "");
+                  toMillis(Took), Ended.Share, Ended.UnhealthyProbability,
+                  Ended.ServerLoad, Ended.IsTest ? ":test" : "");
 }
 
 /// Returns whether another attempt may begin, by the route's attempts, by the
--- a/lib/Proxy/ServiceEvidence.cpp
+++ b/lib/Proxy/ServiceEvidence.cpp
@@ -31,7 +31,7 @@
 
 std::vector<double> ServiceRuntime::getLoads(TimePoint Now) const {
   std::vector<double> Loads(this->countServers(), 0);
-  const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (!Spells || !this->isOn(Mechanism::LoadFactor))
     return Loads;
   for (size_t I = 0; I < Loads.size(); ++I)
@@ -42,48 +42,49 @@
 /// Adds an attempt to what this daemon has in flight.
 void ServiceRuntime::beginInFlight(Attempt &Next, const AttemptNeeds &Needs,
                                    TimePoint Now) {
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (!Spells)
     return;
-  Spells->noteUse(Next.Server, Now);
+  Spells->recordUse(Next.Server, Now);
   InFlightTable &InFlight = Spells->getInFlight();
-  Next.Sickness = Spells->getSickness(Next.Server, Now);
+  Next.UnhealthyProbability = Spells->getUnhealthyProbability(Next.Server, Now);
   Next.ServerLoad = InFlight.getLoad(Next.Server, Now);
   Next.QueueFactor =
       getQueueFactor(Next.ServerLoad, this->getServer(Next.Server).Slots);
-  Next.Usual = this->Latency.getUsual(Next.Route, Needs.Objective);
-  const double Usual = toSeconds(Next.Usual) * Next.QueueFactor;
-  Next.InFlightNumber = InFlight.begin({Next.Server, Now, fromSeconds(Usual)});
+  Next.TypicalTime = this->Latency.getTypicalTime(Next.Route, Needs.Objective);
+  const double TypicalTime = toSeconds(Next.TypicalTime) * Next.QueueFactor;
+  Next.InFlightNumber =
+      InFlight.begin({Next.Server, Now, fromSeconds(TypicalTime)});
 }
 
 /// Returns how long an attempt took, in percent of what is usual for its kind
 /// and place in the queue, or -1 if that is not known.
 int ServiceRuntime::computePacePercent(const Attempt &Ended,
                                        TimePoint Now) const {
-  const double Usual = toSeconds(Ended.Usual) * Ended.QueueFactor;
-  if (Usual <= 0)
+  const double TypicalTime = toSeconds(Ended.TypicalTime) * Ended.QueueFactor;
+  if (TypicalTime <= 0)
     return -1;
-  const double Pace = toSeconds(Now - Ended.Began) / Usual;
+  const double Pace = toSeconds(Now - Ended.Began) / TypicalTime;
   return static_cast<int>(std::lround(std::min(Pace, MostPace) * PaceParts));
 }
 
 void ServiceRuntime::addInFlight(std::vector<InFlightReport> &Reports,
                                  TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (!Spells)
     return;
-  for (const InFlightRequest &Each : Spells->getInFlight().getOwn())
+  for (const InFlightRequest &Each : Spells->getInFlight().getLocalRequests())
     Reports.push_back({this->Ids[Each.Server],
                        static_cast<int>(toMillis(Now - Each.Began)),
-                       static_cast<int>(toMillis(Each.Usual))});
+                       static_cast<int>(toMillis(Each.TypicalTime))});
 }
 
 void ServiceRuntime::takeInFlight(const std::string &Daemon, uint64_t Sequence,
                                   const std::vector<InFlightReport> &Reports,
                                   TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (!Spells)
     return;
   std::vector<InFlightRequest> Known;
@@ -91,7 +92,8 @@
     const int Server = Spells->findServer(Each.Server);
     if (Server >= 0)
       Known.push_back({static_cast<size_t>(Server),
-                       Now - fromMillis(Each.AgeMs), fromMillis(Each.UsualMs)});
+                       Now - fromMillis(Each.AgeMs),
+                       fromMillis(Each.TypicalMs)});
   }
   Spells->getInFlight().replacePeer(Daemon, Sequence, Known, Now);
 }
@@ -111,68 +113,71 @@
   this->updateLeaving(Now);
   if (auto *Pooled = std::get_if<PooledPolicy>(&this->Policy))
     for (Attempt &Each : this->Attempts)
-      noteLate(*Pooled, Each, this->Latency.getSlowAfter(Each.Route), Now);
+      noteLate(*Pooled, Each, this->Latency.getSlowThreshold(Each.Route), Now);
   std::visit([Now](auto &Own) { Own.advance(Now); }, this->Policy);
 }
 
 void ServiceRuntime::noteLoad(size_t Server, double Load, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Selector.noteReportedLoad(Server, Load, Now);
+  this->Selector.recordReportedLoad(Server, Load, Now);
 }
 
 std::vector<Observation> ServiceRuntime::takeObservations() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    return Spells->takeNews();
+  if (auto *Spells = std::get_if<MarkovPolicy>(&this->Policy))
+    return Spells->drainObservations();
   return {};
 }
 
 /// Returns the index of a server that peers speak of, or -1. Spells is null
 /// where another policy judges.
-static int findServer(const SpellPolicy *Spells, ServerId Id) {
+static int findServer(const MarkovPolicy *Spells, ServerId Id) {
   return Spells ? Spells->findServer(Id) : -1;
 }
 
-void ServiceRuntime::takeObservation(const Observation &Seen, TimePoint Now) {
+void ServiceRuntime::applyObservation(const Observation &Seen, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   const int Server = findServer(Spells, Seen.Server);
   if (Server < 0)
     return;
   const auto Index = static_cast<size_t>(Server);
-  Spells->takeObservation(Index, Seen.Outcome, Now, Seen.PacePercent);
+  Spells->applyObservation(Index, Seen.Outcome, Now, Seen.LatencyRatioPercent);
   if (Seen.Load >= 0)
-    Spells->getInFlight().noteReportedLoad(Index, Seen.Load, Now);
+    Spells->getInFlight().recordReportedLoad(Index, Seen.Load, Now);
 }
 
 /// Returns what Spells thinks of the servers that Wants picks, by their index.
 template <typename Predicate>
-std::vector<Estimate> ServiceRuntime::makeEstimates(const SpellPolicy &Spells,
-                                                    TimePoint Now,
-                                                    Predicate Wants) const {
-  std::vector<Estimate> Estimates;
+std::vector<HealthEstimate>
+ServiceRuntime::makeEstimates(const MarkovPolicy &Spells, TimePoint Now,
+                              Predicate Wants) const {
+  std::vector<HealthEstimate> Estimates;
   for (size_t I = 0; I < this->countServers(); ++I)
     if (Wants(I))
       Estimates.push_back(
           {this->Ids[I],
-           static_cast<int>(Spells.getSickness(I, Now) * EstimateParts),
+           static_cast<int>(Spells.getUnhealthyProbability(I, Now) *
+                            EstimateParts),
            static_cast<int>(
                std::lround(Spells.getInFlight().getLoad(I, Now) * LoadParts))});
   return Estimates;
 }
 
-std::vector<Estimate> ServiceRuntime::getNearEstimates(TimePoint Now) const {
+std::vector<HealthEstimate>
+ServiceRuntime::getNearEstimates(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
+  if (const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy))
     return this->makeEstimates(*Spells, Now, [this](size_t Server) {
       return this->Selector.isNear(Server);
     });
   return {};
 }
 
-std::vector<Estimate> ServiceRuntime::getUsedEstimates(TimePoint Now) const {
+std::vector<HealthEstimate>
+ServiceRuntime::getUsedEstimates(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
+  if (const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy))
     return this->makeEstimates(*Spells, Now, [Spells](size_t Server) {
       return Spells->isUsed(Server);
     });
@@ -180,48 +185,52 @@
 }
 
 /// Returns the probability that an estimate tells.
-static double getSickness(const Estimate &Given) {
+static double getUnhealthyProbability(const HealthEstimate &Given) {
   return Given.PerMille / static_cast<double>(EstimateParts);
 }
 
-void ServiceRuntime::takeNearEstimate(const Estimate &Given, TimePoint Now) {
+void ServiceRuntime::applySameHallEstimate(const HealthEstimate &Given,
+                                           TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   const int Server = findServer(Spells, Given.Server);
   if (Server >= 0)
-    Spells->takeNearEstimate(static_cast<size_t>(Server), getSickness(Given),
-                             Now);
+    Spells->applySameHallEstimate(static_cast<size_t>(Server),
+                                  getUnhealthyProbability(Given), Now);
 }
 
-void ServiceRuntime::takeEstimate(const Estimate &Given, TimePoint Now) {
+void ServiceRuntime::applyRemoteEstimate(const HealthEstimate &Given,
+                                         TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   const int Server = findServer(Spells, Given.Server);
   // What happens near this daemon it knows better.
   if (Server >= 0 && !this->Selector.isNear(static_cast<size_t>(Server)))
-    Spells->takeEstimate(static_cast<size_t>(Server), getSickness(Given), Now,
-                         Given.LoadTenths / LoadParts);
+    Spells->applyRemoteEstimate(static_cast<size_t>(Server),
+                                getUnhealthyProbability(Given), Now,
+                                Given.LoadTenths / LoadParts);
 }
 
 ServerId ServiceRuntime::getId() const {
   return static_cast<ServerId>(hashText(this->Config.Name));
 }
 
-HallRate ServiceRuntime::getRate(TimePoint Now) const {
+HallFailureRate ServiceRuntime::getFailureRate(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  HallRate Rate;
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    Rate = Spells->getRate(Now);
+  HallFailureRate Rate;
+  if (const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy))
+    Rate = Spells->getFailureRate(Now);
   Rate.Service = this->getId();
   return Rate;
 }
 
-void ServiceRuntime::takeRate(const std::string &Hall, const HallRate &Rate,
-                              TimePoint Now) {
+void ServiceRuntime::applyFailureRate(const std::string &Hall,
+                                      const HallFailureRate &Rate,
+                                      TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (Spells && Rate.Service == this->getId())
-    Spells->takeRate(Hall, Rate, Now);
+    Spells->applyFailureRate(Hall, Rate, Now);
 }
 
 std::optional<EvidenceReport> ServiceRuntime::makeReport(TimePoint Now) {
@@ -231,15 +240,16 @@
   return std::nullopt;
 }
 
-void ServiceRuntime::takeDigest(const EvidenceDigest &Digest, TimePoint Now) {
+void ServiceRuntime::applySummary(const EvidenceSummary &Digest,
+                                  TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (auto *Pooled = std::get_if<PooledPolicy>(&this->Policy))
-    Pooled->takeDigest(Digest, Now);
+    Pooled->applySummary(Digest, Now);
 }
 
 ShareExplanation ServiceRuntime::explain(size_t Server, TimePoint Now) const {
   ShareExplanation Why;
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
+  if (const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy))
     Why = Spells->explain(Server, Now);
   else
     Why = std::get<PooledPolicy>(this->Policy).explain(Server);
--- a/lib/Proxy/ServiceRepeats.cpp
+++ b/lib/Proxy/ServiceRepeats.cpp
@@ -22,8 +22,8 @@
 
 /// Returns what a request's chances are worth: of an answer in time, and of one
 /// at all.
-static double weigh(const AnswerChances &Chances) {
-  return Chances.InTime + LateWorth * (Chances.AtAll - Chances.InTime);
+static double weigh(const AnswerProbabilities &Chances) {
+  return Chances.InTime + LateUtility * (Chances.AtAll - Chances.InTime);
 }
 
 FleetRepeatBudgetRef
@@ -77,27 +77,28 @@
 Duration ServiceRuntime::getPatience(const std::string &Route,
                                      Duration Objective) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Latency.getUsual(Route, Objective);
+  return this->Latency.getTypicalTime(Route, Objective);
 }
 
-std::vector<double> ServiceRuntime::getWorths(const SpellPolicy &Spells,
+std::vector<double> ServiceRuntime::getWorths(const MarkovPolicy &Spells,
                                               const AttemptNeeds &Needs,
                                               TimePoint Now) const {
-  const Duration Alone = this->Latency.getUsual(Needs.Route, Needs.Objective);
+  const Duration Alone =
+      this->Latency.getTypicalTime(Needs.Route, Needs.Objective);
   const std::vector<double> Loads = this->getLoads(Now);
   std::vector<double> Worths;
   for (size_t I = 0; I < this->countServers(); ++I) {
     const double Factor = getQueueFactor(Loads[I], this->getServer(I).Slots);
-    const Duration Usual = fromSeconds(toSeconds(Alone) * Factor);
-    Worths.push_back(weigh(
-        Spells.getNewAnswerChances(I, Usual, Needs.Aim, Needs.Deadline, Now)));
+    const Duration TypicalTime = fromSeconds(toSeconds(Alone) * Factor);
+    Worths.push_back(weigh(Spells.getNewRequestProbabilities(
+        I, TypicalTime, Needs.Aim, Needs.Deadline, Now)));
   }
   return Worths;
 }
 
 /// Returns the best server for an attempt that could begin now elsewhere, or
 /// -1.
-int ServiceRuntime::findBestElsewhere(const SpellPolicy &Spells,
+int ServiceRuntime::findBestElsewhere(const MarkovPolicy &Spells,
                                       const Attempt &Each,
                                       const AttemptNeeds &Needs,
                                       TimePoint Now) const {
@@ -120,27 +121,30 @@
                                        const AttemptNeeds &Needs,
                                        TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
+  const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
   if (!Spells || !this->isOn(Mechanism::WeighedRepeats))
     return false;
   const int Best = this->findBestElsewhere(*Spells, Each, Needs, Now);
   if (Best < 0)
     return false;
   const auto Elsewhere = static_cast<size_t>(Best);
-  SilentAttempt Silent;
-  Silent.Out = Now - Each.Began;
-  Silent.Usual = fromSeconds(toSeconds(Each.Usual) * Each.QueueFactor);
-  Silent.Sickness = Spells->getSickness(Each.Server, Now);
-  Silent.AnswersElsewhere = Spells->getAnswerPart(Elsewhere, Now);
-  Silent.UsualElsewhere = fromSeconds(
-      toSeconds(this->Latency.getUsual(Needs.Route, Needs.Objective)) *
+  UnansweredAttempt Silent;
+  Silent.Elapsed = Now - Each.Began;
+  Silent.TypicalTime =
+      fromSeconds(toSeconds(Each.TypicalTime) * Each.QueueFactor);
+  Silent.UnhealthyProbability =
+      Spells->getUnhealthyProbability(Each.Server, Now);
+  Silent.AlternativeAnswerProbability =
+      Spells->getSuccessProbability(Elsewhere, Now);
+  Silent.AlternativeTypicalTime = fromSeconds(
+      toSeconds(this->Latency.getTypicalTime(Needs.Route, Needs.Objective)) *
       getQueueFactor(Spells->getInFlight().getLoad(Elsewhere, Now),
                      this->getServer(Elsewhere).Slots));
-  Silent.UntilAim = Needs.Aim - Now;
-  Silent.UntilDeadline = Needs.Deadline - Now;
-  Silent.Price = getRepeatPrice(
+  Silent.TimeToObjective = Needs.Aim - Now;
+  Silent.TimeToDeadline = Needs.Deadline - Now;
+  Silent.RetryCost = computeRetryCost(
       this->FleetRepeats ? this->FleetRepeats->getUsedPart(Now) : 0);
-  return shouldLeave(Silent, Spells->getAnswerTimes());
+  return shouldRetryElsewhere(Silent, Spells->getLatencyDistribution());
 }
 
 } // namespace canvaswick
--- a/lib/Proxy/ServiceRuntime.cpp
+++ b/lib/Proxy/ServiceRuntime.cpp
@@ -106,24 +106,24 @@
 ServiceRuntime::Policies
 ServiceRuntime::makePolicy(const DaemonIdentity &Identity) const {
   if (Identity.Source == SettingsSource::Platform)
-    return SpellPolicy(this->makeSetup(Identity));
+    return MarkovPolicy(this->makeSetup(Identity));
   return PooledPolicy(this->makeSetup(Identity));
 }
 
 /// A large answer from another hall costs more than it is worth: it takes more
 /// to turn away from the servers of the own one.
-static Caution chooseCaution(const AttemptNeeds &Needs) {
+static FailureCost chooseCaution(const AttemptNeeds &Needs) {
   if (Needs.Class == RouteClass::Download)
-    return Needs.IsLast ? Caution::Utmost : Caution::Least;
-  return Needs.IsLast ? Caution::Utmost : Caution::Ordinary;
+    return Needs.IsLast ? FailureCost::High : FailureCost::Low;
+  return Needs.IsLast ? FailureCost::High : FailureCost::Medium;
 }
 
 std::vector<ServerShare> ServiceRuntime::getShares(const AttemptNeeds &Needs,
                                                    TimePoint Now) const {
-  const Caution Care = chooseCaution(Needs);
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    return Spells->getSharesByWorth(this->getWorths(*Spells, Needs, Now), Care,
-                                    Now);
+  const FailureCost Care = chooseCaution(Needs);
+  if (const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy))
+    return Spells->getSharesByUtility(this->getWorths(*Spells, Needs, Now),
+                                      Care, Now);
   const auto &Pooled = std::get<PooledPolicy>(this->Policy);
   std::vector<ServerShare> Shares;
   Shares.reserve(this->countServers());
@@ -270,12 +270,12 @@
 RequestOutcome ServiceRuntime::judgeEnded(const Attempt &Ended,
                                           RequestOutcome Outcome,
                                           Duration Took) const {
-  const bool IsSpell = std::holds_alternative<SpellPolicy>(this->Policy);
+  const bool IsSpell = std::holds_alternative<MarkovPolicy>(this->Policy);
   if (Ended.WasGivenUp && IsSpell)
     return RequestOutcome::Overdue;
   if (isFailure(Outcome))
-    return this->Latency.judgeFailure(Ended.Route, Took);
-  const bool IsLate = Took > this->Latency.getSlowAfter(Ended.Route);
+    return this->Latency.classifyFailure(Ended.Route, Took);
+  const bool IsLate = Took > this->Latency.getSlowThreshold(Ended.Route);
   return Outcome == RequestOutcome::Good && IsLate ? RequestOutcome::Slow
                                                    : Outcome;
 }
@@ -293,21 +293,22 @@
   // What its place in the queue added says nothing about the kind of request.
   const Duration Alone = fromSeconds(toSeconds(Took) / Ended.QueueFactor);
   const RequestOutcome Evidence = this->judgeEnded(Ended, Outcome, Alone);
-  const int PacePercent = this->computePacePercent(Ended, Now);
+  const int LatencyRatioPercent = this->computePacePercent(Ended, Now);
   // One that was given up would have taken longer still. Were it left out, a
   // service that has become slow would seem as fast as before.
-  const bool IsLonger = Ended.WasGivenUp && Alone > Ended.Usual;
+  const bool IsLonger = Ended.WasGivenUp && Alone > Ended.TypicalTime;
   if (Outcome == RequestOutcome::Good || IsLonger)
     this->Latency.add(Ended.Route, Alone, Now);
-  if (auto *Spells = std::get_if<SpellPolicy>(&this->Policy)) {
+  if (auto *Spells = std::get_if<MarkovPolicy>(&this->Policy)) {
     Spells->getInFlight().end(Ended.InFlightNumber);
     if (Ended.Load >= 0)
-      Spells->getInFlight().noteReportedLoad(Ended.Server, Ended.Load, Now);
-    Spells->recordOutcome(Ended.Server, Evidence, Now, Ended.Load, PacePercent);
+      Spells->getInFlight().recordReportedLoad(Ended.Server, Ended.Load, Now);
+    Spells->recordOutcome(Ended.Server, Evidence, Now, Ended.Load,
+                          LatencyRatioPercent);
     return;
   }
   if (Ended.Load >= 0)
-    this->Selector.noteReportedLoad(Ended.Server, Ended.Load, Now);
+    this->Selector.recordReportedLoad(Ended.Server, Ended.Load, Now);
   // A late request was counted as slow while it was under way.
   if (Evidence == RequestOutcome::Slow && Ended.IsNotedLate)
     return;
--- a/lib/Routing/ServerSelector.cpp
+++ b/lib/Routing/ServerSelector.cpp
@@ -160,8 +160,8 @@
   State.EaseAt = Now;
 }
 
-void ServerSelector::noteReportedLoad(size_t Server, double Load,
-                                      TimePoint Now) {
+void ServerSelector::recordReportedLoad(size_t Server, double Load,
+                                        TimePoint Now) {
   this->Servers[Server].ReportedLoad = Load;
   this->Servers[Server].ReportedAt = Now;
 }
--- a/unittests/Health/ChoiceSpeedTest.cpp
+++ b/unittests/Health/ChoiceSpeedTest.cpp
@@ -28,13 +28,13 @@
 static constexpr size_t RequestsOfPeer = 4;
 static constexpr int Choices = 100;
 
-static SpellPolicy makeBusyPolicy() {
+static MarkovPolicy makeBusyPolicy() {
   PolicySetup Setup;
   Setup.Service = "s";
   Setup.FloorPercent = 70;
   for (size_t I = 0; I < Servers; ++I)
     Setup.Servers.push_back({static_cast<ServerId>(I + 1), 2});
-  SpellPolicy Policy(Setup);
+  MarkovPolicy Policy(Setup);
   for (size_t I = 0; I < Servers; ++I)
     Policy.recordOutcome(I, RequestOutcome::Good, Start, -1, 100);
   for (size_t Peer = 0; Peer < Peers; ++Peer) {
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE("a choice among 200 servers: its time is printed") {
-  const SpellPolicy Policy = makeBusyPolicy();
+  const MarkovPolicy Policy = makeBusyPolicy();
   const TimePoint Now = Start + fromMillis(150);
   double Sum = 0;
   const auto Began = std::chrono::steady_clock::now();
@@ -57,12 +57,12 @@
     std::vector<double> Worths;
     for (size_t I = 0; I < Servers; ++I)
       Worths.push_back(Policy
-                           .getNewAnswerChances(I, fromMillis(200),
-                                                Now + fromMillis(600),
-                                                Now + fromSeconds(2), Now)
+                           .getNewRequestProbabilities(
+                               I, fromMillis(200), Now + fromMillis(600),
+                               Now + fromSeconds(2), Now)
                            .InTime);
     for (const ServerShare &Each :
-         Policy.getSharesByWorth(Worths, Caution::Utmost, Now))
+         Policy.getSharesByUtility(Worths, FailureCost::High, Now))
       Sum += Each.Share;
   }
   const std::chrono::duration<double, std::micro> Took =
--- a/unittests/Health/CoverageSimulation.h
+++ b/unittests/Health/CoverageSimulation.h
@@ -29,15 +29,15 @@
 
 inline constexpr Duration Step = fromMillis(10);
 inline constexpr Duration Window = fromSeconds(2);
-inline constexpr Duration Usual = fromMillis(250);
+inline constexpr Duration TypicalTime = fromMillis(250);
 inline constexpr Duration Timeout = fromSeconds(3);
 
 /// One play.
 struct CoverageScenario {
   size_t Servers = 12;
   /// Part of the servers that is sick at a time, and for how long each is.
-  double SickPart = 0.2;
-  int SpellMs = 3000;
+  double UnhealthyFraction = 0.2;
+  int EpisodeMs = 3000;
   double RequestsPerServer = 3;
   int LengthMs = 16000;
   uint64_t Seed = 1;
@@ -47,12 +47,12 @@
 struct CoverageOutcome {
   size_t WindowsJudged = 0;
   /// The least part of the sound servers that was reached in one.
-  double LeastReached = 1;
+  double MinReachedFraction = 1;
 };
 
-class CoveragePlay {
+class CoverageSimulation {
 public:
-  explicit CoveragePlay(const CoverageScenario &Given)
+  explicit CoverageSimulation(const CoverageScenario &Given)
       : Scenario(Given), Random(Given.Seed), Policy(makeSetup(Given)),
         SickUntil(Given.Servers, Begin), ReachedAt(Given.Servers) {}
 
@@ -97,7 +97,7 @@
           Each.Server,
           Each.IsServed ? RequestOutcome::Good : RequestOutcome::Overdue,
           this->Now, -1,
-          static_cast<int>(100 * toSeconds(Took) / toSeconds(Usual)));
+          static_cast<int>(100 * toSeconds(Took) / toSeconds(TypicalTime)));
     }
   }
 
@@ -110,9 +110,10 @@
     size_t Sick = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I)
       Sick += this->isSick(I) ? 1 : 0;
-    const auto Wanted = static_cast<size_t>(
-        this->Scenario.SickPart * static_cast<double>(this->Scenario.Servers) +
-        0.5);
+    const auto Wanted =
+        static_cast<size_t>(this->Scenario.UnhealthyFraction *
+                                static_cast<double>(this->Scenario.Servers) +
+                            0.5);
     std::uniform_int_distribution<size_t> Any(0, this->Scenario.Servers - 1);
     std::uniform_real_distribution<double> Length(0.5, 1.5);
     for (; Sick < Wanted; ++Sick) {
@@ -120,7 +121,7 @@
       if (!this->isSick(Server))
         this->SickUntil[Server] =
             this->Now + fromMillis(static_cast<int64_t>(
-                            Length(this->Random) * this->Scenario.SpellMs));
+                            Length(this->Random) * this->Scenario.EpisodeMs));
     }
   }
 
@@ -130,16 +131,16 @@
         static_cast<double>(this->Scenario.Servers) * toSeconds(Step));
     for (int Left = Arrivals(this->Random); Left > 0; --Left) {
       const std::vector<double> Shares =
-          this->Policy.getShares(Caution::Utmost, this->Now);
+          this->Policy.getShares(FailureCost::High, this->Now);
       std::discrete_distribution<size_t> Pick(Shares.begin(), Shares.end());
       Sent Request;
       Request.At = this->Now;
       Request.Server = Pick(this->Random);
       Request.IsServed = !this->isSick(Request.Server);
-      Request.Ends = this->Now + (Request.IsServed ? Usual : Timeout);
-      Request.Number =
-          this->Policy.getInFlight().begin({Request.Server, this->Now, Usual});
-      this->Policy.noteUse(Request.Server, this->Now);
+      Request.Ends = this->Now + (Request.IsServed ? TypicalTime : Timeout);
+      Request.Number = this->Policy.getInFlight().begin(
+          {Request.Server, this->Now, TypicalTime});
+      this->Policy.recordUse(Request.Server, this->Now);
       this->ReachedAt[Request.Server] = this->Now;
       this->Requests.push_back(Request);
     }
@@ -174,15 +175,15 @@
     if (Sound < 3 || Reached == 0)
       return;
     ++this->Outcome.WindowsJudged;
-    this->Outcome.LeastReached =
-        std::min(this->Outcome.LeastReached,
+    this->Outcome.MinReachedFraction =
+        std::min(this->Outcome.MinReachedFraction,
                  static_cast<double>(Reached) / static_cast<double>(Sound));
   }
 
   static constexpr TimePoint Begin = TimePoint{} + fromSeconds(1000);
   const CoverageScenario &Scenario;
   std::mt19937_64 Random;
-  SpellPolicy Policy;
+  MarkovPolicy Policy;
   std::vector<TimePoint> SickUntil;
   std::vector<TimePoint> ReachedAt;
   std::deque<Sent> Requests;
--- a/unittests/Health/FloorCoverageTest.cpp
+++ b/unittests/Health/FloorCoverageTest.cpp
@@ -28,15 +28,15 @@
       for (uint64_t Seed = 1; Seed <= 3; ++Seed) {
         CoverageScenario Scenario;
         Scenario.Servers = Servers;
-        Scenario.SickPart = Sick;
+        Scenario.UnhealthyFraction = Sick;
         Scenario.Seed = Seed;
         Scenario.RequestsPerServer = Servers > 100 ? 2 : 4;
-        const CoverageOutcome Outcome = CoveragePlay(Scenario).run();
+        const CoverageOutcome Outcome = CoverageSimulation(Scenario).run();
         Judged += Outcome.WindowsJudged;
         CAPTURE(Servers);
         CAPTURE(Sick);
         CAPTURE(Seed);
-        CHECK(Outcome.LeastReached >= 0.7);
+        CHECK(Outcome.MinReachedFraction >= 0.7);
       }
   CHECK(Judged > 100);
 }
--- a/unittests/Health/InFlightTableTest.cpp
+++ b/unittests/Health/InFlightTableTest.cpp
@@ -31,7 +31,7 @@
   Table.replacePeer("p", 1, {makeRequest(0), makeRequest(0)}, Start);
   CHECK(Table.getLoad(0, Start) == 3);
   CHECK(Table.getLoad(1, Start) == 1);
-  CHECK(Table.getOwn().size() == 2);
+  CHECK(Table.getLocalRequests().size() == 2);
   Table.end(Number);
   CHECK(Table.getLoad(0, Start) == 2);
   size_t Visited = 0;
@@ -59,11 +59,11 @@
   InFlightTable Table(1);
   Table.begin(makeRequest(0));
   // Five with the one that was answered: three are not of this hall.
-  Table.noteReportedLoad(0, 5, Start);
+  Table.recordReportedLoad(0, 5, Start);
   CHECK(Table.getLoad(0, Start) == doctest::Approx(4));
   CHECK(Table.getLoad(0, Start + fromSeconds(3)) ==
         doctest::Approx(1).epsilon(0.01));
-  Table.noteReportedLoad(0, 0, Start);
+  Table.recordReportedLoad(0, 0, Start);
   CHECK(Table.getLoad(0, Start) == 1);
 }
 
@@ -74,7 +74,7 @@
   InFlightTable New(1);
   New.adopt(Old, {-1, 0});
   CHECK(New.getLoad(0, Start) == 1);
-  CHECK(New.getOwn().empty());
+  CHECK(New.getLocalRequests().empty());
   New.replacePeer("p", 5, {}, Start);
   CHECK(New.getLoad(0, Start) == 1);
 }
--- a/unittests/Health/LatencyDistributionTest.cpp
+++ b/unittests/Health/LatencyDistributionTest.cpp
@@ -20,15 +20,15 @@
 
 TEST_CASE(
     "before anything is known half of the answers take longer than usual") {
-  const AnswerTimes Times;
+  const LatencyDistribution Times;
   CHECK(Times.getSurvival(0) == 1);
   CHECK(Times.getSurvival(1) == doctest::Approx(0.5).epsilon(0.1));
   CHECK(Times.getSurvival(4) < 0.02);
-  CHECK(Times.getSurvival(1000) == AnswerTimes::LeastSurvival);
+  CHECK(Times.getSurvival(1000) == LatencyDistribution::MinSurvival);
 }
 
 TEST_CASE("a service whose answers vary much is given more time") {
-  AnswerTimes Times;
+  LatencyDistribution Times;
   for (int I = 0; I < 500; ++I)
     Times.add(I % 5 == 0 ? 5 : 1);
   CHECK(Times.getSurvival(4) > 0.15);
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("what a service did long ago is forgotten") {
-  AnswerTimes Times;
+  LatencyDistribution Times;
   for (int I = 0; I < 1000; ++I)
     Times.add(6);
   CHECK(Times.getSurvival(4) > 0.9);
@@ -47,14 +47,14 @@
 
 TEST_CASE("the longer a request is out, the fewer answers take longer still") {
   CHECK(rc::check([](const std::vector<uint16_t> &Percents) {
-    AnswerTimes Times;
+    LatencyDistribution Times;
     for (const uint16_t Percent : Percents)
       Times.add(Percent / 100.0);
     double Before = 1;
     for (double Pace = 0; Pace < 50; Pace += 0.1) {
       const double Now = Times.getSurvival(Pace);
       RC_ASSERT(Now <= Before + 1e-9);
-      RC_ASSERT(Now >= AnswerTimes::LeastSurvival);
+      RC_ASSERT(Now >= LatencyDistribution::MinSurvival);
       Before = Now;
     }
   }));
--- a/unittests/Health/LatencyTableTest.cpp
+++ b/unittests/Health/LatencyTableTest.cpp
@@ -27,39 +27,41 @@
   const LatencyTable Table = makeTable();
   CHECK(toMillis(Table.getMedian("heavy")) > 200);
   CHECK(toMillis(Table.getMedian("light")) < 5);
-  CHECK(Table.getSlowAfter("heavy") > fromMillis(800));
-  CHECK(Table.getSlowAfter("light") < fromMillis(50));
+  CHECK(Table.getSlowThreshold("heavy") > fromMillis(800));
+  CHECK(Table.getSlowThreshold("light") < fromMillis(50));
 }
 
 TEST_CASE("a failure is judged by when it came") {
   const LatencyTable Table = makeTable();
-  CHECK(Table.judgeFailure("heavy", fromMillis(2)) ==
+  CHECK(Table.classifyFailure("heavy", fromMillis(2)) ==
         RequestOutcome::FailedEarly);
-  CHECK(Table.judgeFailure("heavy", fromMillis(250)) ==
+  CHECK(Table.classifyFailure("heavy", fromMillis(250)) ==
         RequestOutcome::FailedAfterWork);
-  CHECK(Table.judgeFailure("heavy", fromSeconds(3)) ==
+  CHECK(Table.classifyFailure("heavy", fromSeconds(3)) ==
         RequestOutcome::FailedAfterWork);
   // Too short to tell.
-  CHECK(Table.judgeFailure("light", fromMillis(1)) == RequestOutcome::Failed);
+  CHECK(Table.classifyFailure("light", fromMillis(1)) ==
+        RequestOutcome::Failed);
   // Not known.
-  CHECK(Table.judgeFailure("new", fromMillis(1)) == RequestOutcome::Failed);
+  CHECK(Table.classifyFailure("new", fromMillis(1)) == RequestOutcome::Failed);
 }
 
 TEST_CASE("what was learned is taken over, but for routes long unused") {
   LatencyTable Table(Duration::zero());
   Table.adopt(makeTable(), Start + fromSeconds(1));
-  CHECK(Table.judgeFailure("heavy", fromMillis(2)) ==
+  CHECK(Table.classifyFailure("heavy", fromMillis(2)) ==
         RequestOutcome::FailedEarly);
   LatencyTable Later(Duration::zero());
   Later.adopt(makeTable(), Start + fromSeconds(3600));
-  CHECK(Later.judgeFailure("heavy", fromMillis(2)) == RequestOutcome::Failed);
+  CHECK(Later.classifyFailure("heavy", fromMillis(2)) ==
+        RequestOutcome::Failed);
 }
 
 TEST_CASE("operators' own bound on slowness holds on every route") {
   LatencyTable Table(fromMillis(700));
   Table.add("heavy", fromMillis(300), Start);
-  CHECK(Table.getSlowAfter("heavy") == fromMillis(700));
-  CHECK(Table.getSlowAfter("other") == fromMillis(700));
+  CHECK(Table.getSlowThreshold("heavy") == fromMillis(700));
+  CHECK(Table.getSlowThreshold("other") == fromMillis(700));
 }
 
 TEST_CASE("a first answer that was far off is soon left behind") {
@@ -79,12 +81,12 @@
 
 TEST_CASE("until enough was seen the usual time follows from the objective") {
   LatencyTable Table{Duration::zero()};
-  CHECK(Table.getUsual("r", Duration::zero()) == Duration::zero());
+  CHECK(Table.getTypicalTime("r", Duration::zero()) == Duration::zero());
   Table.add("r", fromMillis(1), Start);
-  CHECK(toSeconds(Table.getUsual("r", fromMillis(900))) ==
+  CHECK(toSeconds(Table.getTypicalTime("r", fromMillis(900))) ==
         doctest::Approx(0.3).epsilon(0.1));
   for (int I = 0; I < 30; ++I)
     Table.add("r", fromMillis(100), Start);
-  CHECK(toSeconds(Table.getUsual("r", fromMillis(900))) ==
+  CHECK(toSeconds(Table.getTypicalTime("r", fromMillis(900))) ==
         doctest::Approx(0.1).epsilon(0.1));
 }
--- a/unittests/Health/MarkovPolicyTest.cpp
+++ b/unittests/Health/MarkovPolicyTest.cpp
@@ -21,17 +21,17 @@
 
 static constexpr TimePoint Start{fromSeconds(100)};
 
-static SpellPolicy makePolicy(size_t Servers) {
+static MarkovPolicy makePolicy(size_t Servers) {
   PolicySetup Setup;
   Setup.Service = "s";
   Setup.FloorPercent = 70;
   for (size_t I = 0; I < Servers; ++I)
     Setup.Servers.push_back({static_cast<ServerId>(I + 1), 3});
-  return SpellPolicy(Setup);
+  return MarkovPolicy(Setup);
 }
 
 /// Lets every server answer well now and then for some seconds.
-static TimePoint makeAllWell(SpellPolicy &Policy, size_t Servers) {
+static TimePoint makeAllWell(MarkovPolicy &Policy, size_t Servers) {
   TimePoint Now = Start;
   for (int Round = 0; Round < 20; ++Round, Now += fromMillis(250))
     for (size_t I = 0; I < Servers; ++I)
@@ -40,67 +40,68 @@
 }
 
 TEST_CASE("one failure takes most of a well server's traffic") {
-  SpellPolicy Policy = makePolicy(4);
+  MarkovPolicy Policy = makePolicy(4);
   const TimePoint Now = makeAllWell(Policy, 4);
-  const double Before = Policy.getShare(0, Caution::Utmost, Now);
+  const double Before = Policy.getShare(0, FailureCost::High, Now);
   CHECK(Before > 0.5);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
-  CHECK(Policy.getShare(0, Caution::Utmost, Now) < 0.1 * Before);
+  CHECK(Policy.getShare(0, FailureCost::High, Now) < 0.1 * Before);
   // The failure teaches a little of how often servers fall sick at all.
-  CHECK(Policy.getShare(1, Caution::Utmost, Now) ==
+  CHECK(Policy.getShare(1, FailureCost::High, Now) ==
         doctest::Approx(Before).epsilon(0.002));
   // What may be sent again keeps testing it, most of all what is dear far away.
-  CHECK(Policy.getShare(0, Caution::Least, Now) >
-        Policy.getShare(0, Caution::Ordinary, Now));
-  CHECK(Policy.getShare(0, Caution::Ordinary, Now) >
-        Policy.getShare(0, Caution::Utmost, Now));
+  CHECK(Policy.getShare(0, FailureCost::Low, Now) >
+        Policy.getShare(0, FailureCost::Medium, Now));
+  CHECK(Policy.getShare(0, FailureCost::Medium, Now) >
+        Policy.getShare(0, FailureCost::High, Now));
 }
 
 TEST_CASE("a peer's observation counts like an own outcome") {
-  SpellPolicy Own = makePolicy(3);
-  SpellPolicy Told = makePolicy(3);
+  MarkovPolicy Own = makePolicy(3);
+  MarkovPolicy Told = makePolicy(3);
   Own.recordOutcome(1, RequestOutcome::Failed, Start);
-  Told.takeObservation(1, RequestOutcome::Failed, Start);
-  CHECK(Own.getSickness(1, Start) ==
-        doctest::Approx(Told.getSickness(1, Start)));
-  CHECK(Told.takeNews().empty());
-  CHECK(Own.takeNews().size() == 1);
-  CHECK(Own.takeNews().empty());
+  Told.applyObservation(1, RequestOutcome::Failed, Start);
+  CHECK(Own.getUnhealthyProbability(1, Start) ==
+        doctest::Approx(Told.getUnhealthyProbability(1, Start)));
+  CHECK(Told.drainObservations().empty());
+  CHECK(Own.drainObservations().size() == 1);
+  CHECK(Own.drainObservations().empty());
 }
 
 TEST_CASE("what is known loses its worth within seconds") {
-  SpellPolicy Policy = makePolicy(3);
+  MarkovPolicy Policy = makePolicy(3);
   for (int I = 0; I < 5; ++I)
     Policy.recordOutcome(0, RequestOutcome::Failed, Start);
-  const double AtOnce = Policy.getSickness(0, Start);
+  const double AtOnce = Policy.getUnhealthyProbability(0, Start);
   CHECK(AtOnce > 0.95);
-  CHECK(Policy.getSickness(0, Start + fromSeconds(2)) < AtOnce);
-  CHECK(Policy.getSickness(0, Start + fromSeconds(30)) ==
-        doctest::Approx(Policy.getSickness(1, Start + fromSeconds(30)))
+  CHECK(Policy.getUnhealthyProbability(0, Start + fromSeconds(2)) < AtOnce);
+  CHECK(Policy.getUnhealthyProbability(0, Start + fromSeconds(30)) ==
+        doctest::Approx(
+            Policy.getUnhealthyProbability(1, Start + fromSeconds(30)))
             .epsilon(0.001));
 }
 
 TEST_CASE("a server that this daemon does not reach is left alone") {
-  SpellPolicy Policy = makePolicy(3);
+  MarkovPolicy Policy = makePolicy(3);
   const TimePoint Now = makeAllWell(Policy, 3);
-  Policy.takeNews();
+  Policy.drainObservations();
   Policy.recordOutcome(0, RequestOutcome::Unreachable, Now);
-  CHECK(Policy.getShare(0, Caution::Utmost, Now) < 0.01);
+  CHECK(Policy.getShare(0, FailureCost::High, Now) < 0.01);
   // Others may reach it.
-  CHECK(Policy.takeNews().empty());
+  CHECK(Policy.drainObservations().empty());
   Policy.recordOutcome(0, RequestOutcome::Good, Now + fromSeconds(2));
-  CHECK(Policy.getShare(0, Caution::Utmost, Now + fromSeconds(2)) > 0.3);
+  CHECK(Policy.getShare(0, FailureCost::High, Now + fromSeconds(2)) > 0.3);
 }
 
 TEST_CASE("a leaving server gets nothing") {
-  SpellPolicy Policy = makePolicy(3);
+  MarkovPolicy Policy = makePolicy(3);
   Policy.setLeaving(0, true, Start);
-  CHECK(Policy.getShare(0, Caution::Ordinary, Start) == 0);
+  CHECK(Policy.getShare(0, FailureCost::Medium, Start) == 0);
   CHECK(Policy.explain(0, Start).Reason == ShareReason::Leaving);
 }
 
 TEST_CASE("while a tenth of the requests fail the floor's servers are used") {
-  SpellPolicy Policy = makePolicy(10);
+  MarkovPolicy Policy = makePolicy(10);
   TimePoint Now = makeAllWell(Policy, 10);
   // Failures everywhere, at servers that nothing speaks against.
   for (size_t I = 0; I < 10; ++I) {
@@ -114,7 +115,7 @@
     Policy.recordOutcome(1, RequestOutcome::Good, Now);
   }
   size_t Used = 0;
-  for (const double Share : Policy.getShares(Caution::Utmost, Now))
+  for (const double Share : Policy.getShares(FailureCost::High, Now))
     Used += Share > 0.25 ? 1 : 0;
   CHECK(Used >= 7);
 }
@@ -131,7 +132,7 @@
   constexpr size_t Count = 40;
   constexpr size_t Hot = 6;
   constexpr size_t Doubtful = 30;
-  SpellPolicy Policy = makePolicy(Count);
+  MarkovPolicy Policy = makePolicy(Count);
   // Servers are sick for three quarters of a second in five, by turns. What was
   // known of each has faded since.
   TimePoint Now = Start;
@@ -142,8 +143,8 @@
                                                     : RequestOutcome::Good,
                            Now);
   Now += fromSeconds(15);
-  CHECK(Policy.getSickness(0, Now) > 0.25);
-  CHECK(Policy.getSickness(0, Now) < 0.4);
+  CHECK(Policy.getUnhealthyProbability(0, Now) > 0.25);
+  CHECK(Policy.getUnhealthyProbability(0, Now) < 0.4);
   const auto SendToHot = [&](int Times, RequestOutcome Outcome) {
     for (int I = 0; I < Times; ++I)
       for (size_t Server = 0; Server < Hot; ++Server)
@@ -162,13 +163,13 @@
   SendToHot(2, RequestOutcome::Good);
   // Now 11 in 100 requests fail, and 7 in 100 of those to the first six.
   size_t Used = 0;
-  for (const double Share : Policy.getShares(Caution::Utmost, Now))
+  for (const double Share : Policy.getShares(FailureCost::High, Now))
     Used += Share > 0.25 ? 1 : 0;
   CHECK(Used >= 28);
 }
 
 TEST_CASE("what can run once only tests no server that has failed") {
-  SpellPolicy Policy = makePolicy(4);
+  MarkovPolicy Policy = makePolicy(4);
   TimePoint Now = makeAllWell(Policy, 4);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
@@ -176,35 +177,35 @@
   Now += fromSeconds(4);
   for (size_t I = 1; I < 4; ++I)
     Policy.recordOutcome(I, RequestOutcome::Good, Now);
-  CHECK(Policy.getShare(0, Caution::Utmost, Now) <
-        0.2 * Policy.getShare(1, Caution::Utmost, Now));
+  CHECK(Policy.getShare(0, FailureCost::High, Now) <
+        0.2 * Policy.getShare(1, FailureCost::High, Now));
   // What can be sent again tests it.
-  CHECK(Policy.getShare(0, Caution::Ordinary, Now) > 0.5);
+  CHECK(Policy.getShare(0, FailureCost::Medium, Now) > 0.5);
 }
 
 TEST_CASE("when a failure came decides how much it says") {
-  SpellPolicy Policy = makePolicy(3);
+  MarkovPolicy Policy = makePolicy(3);
   const TimePoint Now = makeAllWell(Policy, 3);
   Policy.recordOutcome(0, RequestOutcome::FailedEarly, Now);
-  CHECK(Policy.getSickness(0, Now) > 0.8);
+  CHECK(Policy.getUnhealthyProbability(0, Now) > 0.8);
   // Well servers fail one in a hundred after their work.
   Policy.recordOutcome(1, RequestOutcome::FailedAfterWork, Now);
-  CHECK(Policy.getSickness(1, Now) < 0.2);
+  CHECK(Policy.getUnhealthyProbability(1, Now) < 0.2);
   // One late answer says little, several in a row do not.
   Policy.recordOutcome(2, RequestOutcome::Slow, Now);
-  CHECK(Policy.getSickness(2, Now) < 0.15);
+  CHECK(Policy.getUnhealthyProbability(2, Now) < 0.15);
   for (int I = 0; I < 4; ++I)
     Policy.recordOutcome(2, RequestOutcome::Slow, Now);
-  CHECK(Policy.getSickness(2, Now) > 0.5);
+  CHECK(Policy.getUnhealthyProbability(2, Now) > 0.5);
 }
 
 TEST_CASE("a refusal says little where all servers refuse") {
-  SpellPolicy One = makePolicy(6);
+  MarkovPolicy One = makePolicy(6);
   const TimePoint Now = makeAllWell(One, 6);
-  SpellPolicy All = One;
+  MarkovPolicy All = One;
   for (int I = 0; I < 3; ++I)
     One.recordOutcome(0, RequestOutcome::Shed, Now);
-  CHECK(One.getSickness(0, Now) > 0.5);
+  CHECK(One.getUnhealthyProbability(0, Now) > 0.5);
   // Every other request to five of six is refused; one was not asked of late.
   for (int Round = 0; Round < 6; ++Round)
     for (size_t I = 0; I < 5; ++I) {
@@ -212,57 +213,58 @@
       All.recordOutcome(I, RequestOutcome::Good, Now);
     }
   All.recordOutcome(0, RequestOutcome::Shed, Now);
-  CHECK(All.getShare(0, Caution::Utmost, Now) >
-        0.5 * All.getShare(5, Caution::Utmost, Now));
+  CHECK(All.getShare(0, FailureCost::High, Now) >
+        0.5 * All.getShare(5, FailureCost::High, Now));
 }
 
 TEST_CASE("a daemon that has just started believes its hall") {
-  SpellPolicy New = makePolicy(3);
-  New.takeNearEstimate(0, 0.95, Start);
-  New.takeNearEstimate(1, 0.02, Start);
+  MarkovPolicy New = makePolicy(3);
+  New.applySameHallEstimate(0, 0.95, Start);
+  New.applySameHallEstimate(1, 0.02, Start);
   // No first test of what the hall knows to be sick.
-  CHECK(New.getShare(0, Caution::Utmost, Start) < 0.01);
-  CHECK(New.getShare(1, Caution::Utmost, Start) > 0.7);
+  CHECK(New.getShare(0, FailureCost::High, Start) < 0.01);
+  CHECK(New.getShare(1, FailureCost::High, Start) > 0.7);
   // What nobody has used is tested all the same.
-  CHECK(New.getShare(2, Caution::Utmost, Start) > 0.5);
+  CHECK(New.getShare(2, FailureCost::High, Start) > 0.5);
   // Another hall knows its own servers better.
-  New.takeEstimate(2, 0.03, Start);
-  New.takeNearEstimate(2, 0.95, Start);
-  CHECK(New.getSickness(2, Start) == doctest::Approx(0.03));
+  New.applyRemoteEstimate(2, 0.03, Start);
+  New.applySameHallEstimate(2, 0.95, Start);
+  CHECK(New.getUnhealthyProbability(2, Start) == doctest::Approx(0.03));
   // Its own experience counts more than any word.
   New.recordOutcome(1, RequestOutcome::FailedEarly, Start);
-  New.takeNearEstimate(1, 0.02, Start);
-  CHECK(New.getShare(1, Caution::Utmost, Start) < 0.01);
+  New.applySameHallEstimate(1, 0.02, Start);
+  CHECK(New.getShare(1, FailureCost::High, Start) < 0.01);
 }
 
 TEST_CASE("a server that nobody has used gets a request soon") {
-  SpellPolicy Policy = makePolicy(2);
+  MarkovPolicy Policy = makePolicy(2);
   Policy.recordOutcome(0, RequestOutcome::Good, Start);
-  CHECK(Policy.getShare(1, Caution::Utmost, Start) > 0.5);
+  CHECK(Policy.getShare(1, FailureCost::High, Start) > 0.5);
 }
 
 TEST_CASE("another hall's word replaces what was known and is not tested") {
-  SpellPolicy Policy = makePolicy(3);
+  MarkovPolicy Policy = makePolicy(3);
   for (int I = 0; I < 4; ++I)
-    Policy.takeObservation(2, RequestOutcome::Failed, Start);
-  Policy.takeEstimate(2, 0.02, Start);
-  CHECK(Policy.getSickness(2, Start) == doctest::Approx(0.02));
-  CHECK(Policy.getShare(2, Caution::Utmost, Start) > 0.7);
+    Policy.applyObservation(2, RequestOutcome::Failed, Start);
+  Policy.applyRemoteEstimate(2, 0.02, Start);
+  CHECK(Policy.getUnhealthyProbability(2, Start) == doctest::Approx(0.02));
+  CHECK(Policy.getShare(2, FailureCost::High, Start) > 0.7);
 }
 
 TEST_CASE("evidence is taken over for the servers that are in both") {
-  SpellPolicy Old = makePolicy(3);
+  MarkovPolicy Old = makePolicy(3);
   Old.recordOutcome(1, RequestOutcome::Failed, Start);
-  SpellPolicy New = makePolicy(5);
+  MarkovPolicy New = makePolicy(5);
   New.adopt(Old, Start);
-  CHECK(New.getSickness(1, Start) ==
-        doctest::Approx(Old.getSickness(1, Start)));
-  CHECK(New.getSickness(4, Start) < New.getSickness(1, Start));
+  CHECK(New.getUnhealthyProbability(1, Start) ==
+        doctest::Approx(Old.getUnhealthyProbability(1, Start)));
+  CHECK(New.getUnhealthyProbability(4, Start) <
+        New.getUnhealthyProbability(1, Start));
 }
 
 TEST_CASE("shares stay between nothing and all, whatever is seen") {
   CHECK(rc::check([] {
-    SpellPolicy Policy = makePolicy(6);
+    MarkovPolicy Policy = makePolicy(6);
     TimePoint Now = Start;
     const auto Steps = *rc::gen::container<std::vector<int>>(
         rc::gen::inRange(0, 6 * OutcomeCount * 50));
@@ -273,105 +275,110 @@
       if (Step % 2 == 0)
         Policy.recordOutcome(Server, Outcome, Now);
       else
-        Policy.takeObservation(Server, Outcome, Now);
-      for (const Caution Care :
-           {Caution::Least, Caution::Ordinary, Caution::Utmost})
+        Policy.applyObservation(Server, Outcome, Now);
+      for (const FailureCost Care :
+           {FailureCost::Low, FailureCost::Medium, FailureCost::High})
         for (const double Share : Policy.getShares(Care, Now))
           RC_ASSERT(Share >= 0 && Share <= 1);
-      RC_ASSERT(Policy.getSickness(Server, Now) > 0);
-      RC_ASSERT(Policy.getSickness(Server, Now) < 1);
+      RC_ASSERT(Policy.getUnhealthyProbability(Server, Now) > 0);
+      RC_ASSERT(Policy.getUnhealthyProbability(Server, Now) < 1);
     }
   }));
 }
 
 TEST_CASE("a request that stays out speaks against its server at once") {
-  SpellPolicy Policy = makePolicy(2);
+  MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllWell(Policy, 2);
-  const double Before = Policy.getSickness(0, Now);
+  const double Before = Policy.getUnhealthyProbability(0, Now);
   const uint64_t Number = Policy.getInFlight().begin({0, Now, fromMillis(200)});
-  CHECK(Policy.getSickness(0, Now) == doctest::Approx(Before));
+  CHECK(Policy.getUnhealthyProbability(0, Now) == doctest::Approx(Before));
   // A good answer may well take twice the usual time.
-  CHECK(Policy.getSickness(0, Now + fromMillis(300)) < 0.2);
-  CHECK(Policy.getSickness(0, Now + fromMillis(1000)) > 0.6);
-  CHECK(Policy.getSickness(1, Now + fromMillis(1000)) < 0.2);
+  CHECK(Policy.getUnhealthyProbability(0, Now + fromMillis(300)) < 0.2);
+  CHECK(Policy.getUnhealthyProbability(0, Now + fromMillis(1000)) > 0.6);
+  CHECK(Policy.getUnhealthyProbability(1, Now + fromMillis(1000)) < 0.2);
   Policy.getInFlight().end(Number);
-  CHECK(Policy.getSickness(0, Now + fromMillis(1000)) < 0.2);
+  CHECK(Policy.getUnhealthyProbability(0, Now + fromMillis(1000)) < 0.2);
 }
 
 TEST_CASE("silence where many wait says less than at an idle server") {
-  SpellPolicy Policy = makePolicy(2);
+  MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllWell(Policy, 2);
   Policy.getInFlight().begin({0, Now, fromMillis(200)});
   Policy.getInFlight().begin({1, Now, fromMillis(600)});
   const TimePoint Later = Now + fromMillis(700);
-  CHECK(Policy.getSickness(0, Later) > 2 * Policy.getSickness(1, Later));
+  CHECK(Policy.getUnhealthyProbability(0, Later) >
+        2 * Policy.getUnhealthyProbability(1, Later));
 }
 
 TEST_CASE("several requests that stay out at one server say more than one") {
-  SpellPolicy Policy = makePolicy(2);
+  MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllWell(Policy, 2);
   Policy.getInFlight().begin({0, Now, fromMillis(200)});
   Policy.getInFlight().replacePeer("p", 1, {{0, Now, fromMillis(200)}},
                                    Now + fromMillis(100));
   Policy.getInFlight().begin({1, Now, fromMillis(200)});
   const TimePoint Later = Now + fromMillis(600);
-  CHECK(Policy.getSickness(0, Later) > Policy.getSickness(1, Later) + 0.1);
+  CHECK(Policy.getUnhealthyProbability(0, Later) >
+        Policy.getUnhealthyProbability(1, Later) + 0.1);
 }
 
 TEST_CASE("what was said while a request was out is not counted again") {
-  SpellPolicy Policy = makePolicy(1);
+  MarkovPolicy Policy = makePolicy(1);
   TimePoint Now = makeAllWell(Policy, 1);
   const uint64_t Number = Policy.getInFlight().begin({0, Now, fromMillis(200)});
   Now += fromMillis(1000);
-  const double WhileOut = Policy.getSickness(0, Now);
+  const double WhileOut = Policy.getUnhealthyProbability(0, Now);
   Policy.getInFlight().end(Number);
   Policy.recordOutcome(0, RequestOutcome::Overdue, Now, -1, 500);
-  CHECK(Policy.getSickness(0, Now) == doctest::Approx(WhileOut).epsilon(0.15));
+  CHECK(Policy.getUnhealthyProbability(0, Now) ==
+        doctest::Approx(WhileOut).epsilon(0.15));
 }
 
 TEST_CASE("a server is tested by one request at a time") {
-  SpellPolicy Policy = makePolicy(2);
+  MarkovPolicy Policy = makePolicy(2);
   Policy.recordOutcome(0, RequestOutcome::Good, Start);
-  CHECK(Policy.getShare(1, Caution::Utmost, Start) > 0.5);
+  CHECK(Policy.getShare(1, FailureCost::High, Start) > 0.5);
   Policy.getInFlight().replacePeer("p", 1, {{1, Start, fromMillis(200)}},
                                    Start);
-  CHECK(Policy.getShare(1, Caution::Utmost, Start) < 0.1);
+  CHECK(Policy.getShare(1, FailureCost::High, Start) < 0.1);
 }
 
 TEST_CASE("what is expected at a server decides over its share") {
-  SpellPolicy Policy = makePolicy(3);
+  MarkovPolicy Policy = makePolicy(3);
   const TimePoint Now = makeAllWell(Policy, 3);
   const auto Shares =
-      Policy.getSharesByWorth({0.95, 0.85, 0.0}, Caution::Utmost, Now);
+      Policy.getSharesByUtility({0.95, 0.85, 0.0}, FailureCost::High, Now);
   CHECK(Shares[0].Share == doctest::Approx(1));
   CHECK(Shares[1].Share < 0.25);
   CHECK(Shares[1].Share > 0.1);
   CHECK(Shares[2].Share == 0);
   // What can be sent again turns away less.
-  CHECK(Policy.getSharesByWorth({0.95, 0.85, 0.0}, Caution::Ordinary, Now)[1]
-            .Share > Shares[1].Share);
+  CHECK(
+      Policy.getSharesByUtility({0.95, 0.85, 0.0}, FailureCost::Medium, Now)[1]
+          .Share > Shares[1].Share);
 }
 
 TEST_CASE("the chance of an answer falls with silence and with load") {
-  SpellPolicy Policy = makePolicy(2);
+  MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllWell(Policy, 2);
-  const Duration Usual = fromMillis(200);
+  const Duration TypicalTime = fromMillis(200);
   const TimePoint Aim = Now + fromMillis(600);
   const auto GetChance = [&](size_t Server, Duration Time, TimePoint Until,
                              TimePoint At) {
     return Policy
-        .getNewAnswerChances(Server, Time, Until, At + fromSeconds(2), At)
+        .getNewRequestProbabilities(Server, Time, Until, At + fromSeconds(2),
+                                    At)
         .InTime;
   };
-  const double New = GetChance(0, Usual, Aim, Now);
+  const double New = GetChance(0, TypicalTime, Aim, Now);
   CHECK(New > 0.9);
-  CHECK(GetChance(0, 3 * Usual, Aim, Now) < New - 0.3);
-  CHECK(GetChance(0, Usual, Now, Now) == 0);
-  const InFlightRequest Out{0, Now, Usual};
+  CHECK(GetChance(0, 3 * TypicalTime, Aim, Now) < New - 0.3);
+  CHECK(GetChance(0, TypicalTime, Now, Now) == 0);
+  const InFlightRequest Out{0, Now, TypicalTime};
   Policy.getInFlight().begin(Out);
   const TimePoint Later = Now + fromMillis(450);
-  CHECK(Policy.getAnswerChance(Out, Aim, Later) <
-        Policy.getAnswerChance(Out, Aim, Now + fromMillis(150)));
-  CHECK(Policy.getAnswerChance(Out, Aim, Later) <
-        GetChance(1, Usual, Later + fromMillis(600), Later));
+  CHECK(Policy.getAnswerProbability(Out, Aim, Later) <
+        Policy.getAnswerProbability(Out, Aim, Now + fromMillis(150)));
+  CHECK(Policy.getAnswerProbability(Out, Aim, Later) <
+        GetChance(1, TypicalTime, Later + fromMillis(600), Later));
 }
--- a/unittests/Health/PooledPolicyTest.cpp
+++ b/unittests/Health/PooledPolicyTest.cpp
@@ -70,8 +70,8 @@
   RC_ASSERT(Usable >= Known.getBound() - 1e-9);
 }
 
-static EvidenceDigest drawDigest(const PolicySetup &Setup, uint64_t Sequence) {
-  EvidenceDigest Digest;
+static EvidenceSummary drawDigest(const PolicySetup &Setup, uint64_t Sequence) {
+  EvidenceSummary Digest;
   Digest.Service = "s";
   Digest.Owner = *rc::gen::element<std::string>("o1", "o2");
   Digest.Rank = Digest.Owner == "o1" ? 0 : 1;
@@ -79,7 +79,7 @@
   for (const PolicyServer &Server : Setup.Servers) {
     if (*rc::gen::arbitrary<bool>())
       continue;
-    ServerDigest Entry;
+    ServerSummary Entry;
     Entry.Server = Server.Id;
     Entry.Share = *rc::gen::element(0.0, 0.04, 0.4, 1.0);
     Entry.Score = *rc::gen::inRange(0, 40);
@@ -116,8 +116,8 @@
         Policy.setLeaving(Server, Known.IsLeaving[Server], Now);
         break;
       case 1:
-        Policy.takeDigest(drawDigest(Setup, *rc::gen::inRange<uint64_t>(1, 50)),
-                          Now);
+        Policy.applySummary(
+            drawDigest(Setup, *rc::gen::inRange<uint64_t>(1, 50)), Now);
         break;
       case 2:
         Policy.advance(Now);
@@ -159,7 +159,7 @@
 static double getShareOf(EvidencePool &Pool, int Server,
                          const std::string &Hall) {
   const ServerId Id = getServerId("s", fmt::format("{}", Server));
-  for (const ServerDigest &Digest : Pool.makeDigest(Hall).Servers)
+  for (const ServerSummary &Digest : Pool.buildSummary(Hall).Servers)
     if (Digest.Server == Id)
       return Digest.Share;
   return 1;
@@ -177,7 +177,7 @@
         if (*rc::gen::inRange(0, 3) == 0)
           Seen.push_back({getServerId("s", fmt::format("{}", S)),
                           {0, 0, *rc::gen::inRange<uint32_t>(1, 100)}});
-      Pool.takeReport(
+      Pool.mergeReport(
           makeReport("one", "a", static_cast<uint64_t>(I), std::move(Seen)),
           Now);
       Pool.advance(Now);
@@ -192,9 +192,9 @@
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   const ServerId Sick = getServerId("s", "4");
   for (int I = 0; I < 6; ++I)
-    Pool.takeReport(makeReport(fmt::format("d{}", I), I % 2 ? "a" : "b", 1,
-                               {{Sick, {0, 0, 3}}}),
-                    Now);
+    Pool.mergeReport(makeReport(fmt::format("d{}", I), I % 2 ? "a" : "b", 1,
+                                {{Sick, {0, 0, 3}}}),
+                     Now);
   Pool.advance(Now);
   CHECK(getShareOf(Pool, 4, "a") == 0);
   CHECK(getShareOf(Pool, 4, "c") == 0);
@@ -206,10 +206,10 @@
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   const ServerId Cut = getServerId("s", "4");
   for (int I = 0; I < 6; ++I)
-    Pool.takeReport(
+    Pool.mergeReport(
         makeReport(fmt::format("b{}", I), "b", 1, {{Cut, {8, 0, 0}}}), Now);
   for (int I = 0; I < 6; ++I)
-    Pool.takeReport(
+    Pool.mergeReport(
         makeReport(fmt::format("a{}", I), "a", 1, {{Cut, {0, 0, 3}}}), Now);
   Pool.advance(Now);
   CHECK(getShareOf(Pool, 4, "a") == 0);
@@ -232,7 +232,7 @@
                                           {Servers[2].Id, {0, 0, 2}},
                                           {Servers[3].Id, {2, 0, 0}}});
       Report.UsedServers = 4;
-      Pool.takeReport(Report, Now);
+      Pool.mergeReport(Report, Now);
     }
     Pool.advance(Now);
   }
@@ -270,7 +270,7 @@
           if (Round > 3)
             for (size_t S = 0; S < 3; ++S)
               Report.Servers.push_back({Servers[S].Id, {0, 0, 2}});
-          Pool.takeReport(Report, Now);
+          Pool.mergeReport(Report, Now);
         }
         Pool.advance(Now);
       }
@@ -289,14 +289,14 @@
   const ServerId Some = getServerId("s", "4");
   for (int Times = 0; Times < 20; ++Times)
     for (int I = 0; I < 3; ++I)
-      Pool.takeReport(
+      Pool.mergeReport(
           makeReport(fmt::format("d{}", I), "a", 1, {{Some, {0, 0, 1}}}), Now);
   Pool.advance(Now);
   Pool.advance(Now + fromSeconds(1));
   // Three failures are not enough by themselves for this to be certain.
   const double Once = 3 * 4.0;
   CHECK(Once > getTuning(Weighing::Detection).Threshold);
-  CHECK(Pool.makeDigest("a").Servers.size() <= 1);
+  CHECK(Pool.buildSummary("a").Servers.size() <= 1);
 }
 
 TEST_CASE("a source that sees most servers fail is not believed") {
@@ -307,7 +307,7 @@
     All.reserve(10);
     for (int S = 0; S < 10; ++S)
       All.push_back({getServerId("s", fmt::format("{}", S)), {0, 0, 2}});
-    Pool.takeReport(makeReport(fmt::format("d{}", I), "a", 1, All), Now);
+    Pool.mergeReport(makeReport(fmt::format("d{}", I), "a", 1, All), Now);
     CHECK(!Pool.isCredible(fmt::format("d{}", I), Now));
   }
   Pool.advance(Now);
--- a/unittests/ServerRest/ServerRestTest.cpp
+++ b/unittests/ServerRest/ServerRestTest.cpp
@@ -64,7 +64,7 @@
   ServiceBench Under;
   Under.say("b0", askRest(3), RequestOutcome::Shed, BenchBegin);
   for (int I = 0; I < 20; ++I)
-    Under.Service->takeObservation(
+    Under.Service->applyObservation(
         {getServerId("s", "b0"), RequestOutcome::Good, 0, 100}, after(1));
   CHECK(Under.send(200, after(1.1))["b0"] == 0);
 }
