--- a/include/canvaswick/Health/EvidencePool.h
+++ b/include/canvaswick/Health/EvidencePool.h
@@ -101,21 +101,21 @@
   };
   /// What one source or hall has contributed against one server.
   struct Contribution {
-    DecayingCount Taken;
+    DecayingCount Accepted;
   };
   using ContributionKey = std::pair<size_t, std::string>;
 
   ScopeTracker &getHallTracker(const std::string &Hall);
-  void noteSeen(SourceState &Source, const EvidenceReport &Report,
-                TimePoint Now) const;
+  void recordSeen(SourceState &Source, const EvidenceReport &Report,
+                  TimePoint Now) const;
   bool isCredible(const SourceState &Source, TimePoint Now) const;
   void addServer(const EvidenceReport &Report, size_t Server,
                  const OutcomeCounts &Counts, bool IsCredible, TimePoint Now);
   RemovalRules makeRules(std::vector<int> SourceCounts) const;
-  void heedFleet(RemovalRules &Rules) const;
+  void excludeFleetRemovals(RemovalRules &Rules) const;
   std::vector<int> countSources(const std::string *Hall, TimePoint Now) const;
-  std::string summarize(const std::string &Hall) const;
-  ServerSummary describe(size_t Server, const std::string &Hall) const;
+  std::string formatState(const std::string &Hall) const;
+  ServerSummary summarizeServer(size_t Server, const std::string &Hall) const;
 
   const std::string Service;
   const std::string Owner;
@@ -128,7 +128,7 @@
   std::map<std::string, SourceState> Sources;
   std::map<ContributionKey, Contribution> BySource;
   std::map<ContributionKey, Contribution> ByHall;
-  std::map<std::string, std::string> LastSummary;
+  std::map<std::string, std::string> LastSentState;
   std::vector<int> FleetSources;
   std::map<std::string, std::vector<int>> HallSources;
   uint64_t Sequence;
--- a/include/canvaswick/Health/FloorGuard.h
+++ b/include/canvaswick/Health/FloorGuard.h
@@ -22,10 +22,10 @@
 namespace canvaswick {
 
 /// Whose evidence it is, widest first.
-enum class EvidenceScope : uint8_t { Fleet, Hall, Own };
+enum class EvidenceScope : uint8_t { Fleet, Hall, Local };
 
 /// What the evidence wants for one server.
-struct ShareWish {
+struct DesiredShare {
   /// Wanted part of the fair share, from 0 to 1.
   double Share = 1;
   /// How strong the evidence is; the worst go first.
@@ -35,13 +35,13 @@
   bool IsLeaving = false;
   /// Who shares the evidence. What more daemons agree on goes first, so that
   /// they do not spend the floor on different servers.
-  EvidenceScope Scope = EvidenceScope::Own;
+  EvidenceScope Scope = EvidenceScope::Local;
   /// Whether the last decision reduced it, so that ties do not flip.
   bool WasReduced = false;
 };
 
 /// What one server is given.
-struct ShareGrant {
+struct GrantedShare {
   double Share = 1;
   /// The evidence wanted less, and the floor kept it.
   bool IsKeptByFloor = false;
@@ -49,12 +49,12 @@
 
 /// Returns the shares to use. Reduces the worst first while the slots in use,
 /// weighed by share, stay at or above FloorPercent of all configured slots.
-std::vector<ShareGrant> applyFloor(const std::vector<ShareWish> &Wishes,
-                                   int FloorPercent);
+std::vector<GrantedShare>
+applyFloor(const std::vector<DesiredShare> &DesiredShares, int FloorPercent);
 
 /// Returns the slots in use, weighed by share, of servers that do not leave.
-double countUsableSlots(const std::vector<ShareWish> &Wishes,
-                        const std::vector<ShareGrant> &Grants);
+double countUsableSlots(const std::vector<DesiredShare> &DesiredShares,
+                        const std::vector<GrantedShare> &GrantedShares);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Health/HealthPolicy.h
+++ b/include/canvaswick/Health/HealthPolicy.h
@@ -135,7 +135,7 @@
   std::optional<EvidenceReport> makeReport(TimePoint Now);
 
   /// Takes an owner's digest. Older ones than the last are left out.
-  void applySummary(const EvidenceSummary &Digest, TimePoint Now);
+  void applySummary(const EvidenceSummary &Summary, TimePoint Now);
 
   /// Takes over the evidence of an earlier version of the service.
   void adopt(const PooledPolicy &Other, TimePoint Now);
@@ -166,17 +166,17 @@
 
   void updateShares(TimePoint Now);
   void expireViews(TimePoint Now);
-  void noteRecent(size_t Server, RequestOutcome Outcome);
-  bool isSpecific(size_t Server) const;
+  void recordRecent(size_t Server, RequestOutcome Outcome);
+  bool isServerSpecific(size_t Server) const;
   RemovalRules makeRules() const;
   const OwnerView *findLeadingView() const;
-  const ServerSummary *findDigest(size_t Server) const;
-  ShareWish wishFor(size_t Server, ShareReason &Reason) const;
+  const ServerSummary *findSummary(size_t Server) const;
+  DesiredShare computeDesiredShare(size_t Server, ShareReason &Reason) const;
   bool isReportDue(TimePoint Now) const;
 
   PolicySetup Setup;
   HealthTuning Tuning;
-  ScopeTracker Own;
+  ScopeTracker Local;
   std::vector<ServerState> Servers;
   std::map<ServerId, size_t> IndexOfServer;
   std::map<std::string, OwnerView> Views;
--- a/include/canvaswick/Health/InFlightTable.h
+++ b/include/canvaswick/Health/InFlightTable.h
@@ -74,8 +74,8 @@
   template <typename VisitorT>
   void visit(size_t Server, TimePoint Now, const VisitorT &Visit) const {
     for (const Entry &Each : this->ByServer[Server])
-      if (Each.Source == OwnSource ||
-          Now - this->Peers[Each.Source].HeardAt <= PeerSilence)
+      if (Each.Source == LocalSource ||
+          Now - this->Peers[Each.Source].ReceivedAt <= PeerTimeout)
         Visit(Each.Request);
   }
 
@@ -88,22 +88,22 @@
   void adopt(const InFlightTable &Other, const std::vector<int> &Matches);
 
 private:
-  static constexpr size_t OwnSource = SIZE_MAX;
+  static constexpr size_t LocalSource = SIZE_MAX;
 
   struct Peer {
     uint64_t Sequence = 0;
-    TimePoint HeardAt{};
+    TimePoint ReceivedAt{};
     /// Where its requests are.
     std::vector<size_t> Servers;
   };
   struct Entry {
     InFlightRequest Request;
-    /// Which of Peers told it, or OwnSource.
-    size_t Source = OwnSource;
+    /// Which of Peers told it, or LocalSource.
+    size_t Source = LocalSource;
     /// Of this daemon's own.
     uint64_t Number = 0;
   };
-  struct ForeignLoad {
+  struct RemoteLoad {
     double Requests = 0;
     TimePoint At{};
   };
@@ -111,19 +111,19 @@
   /// A peer with requests out says so again within a quarter of a second; after
   /// this long without a word it is gone or out of reach, and its requests with
   /// it. Two messages may be lost.
-  static constexpr Duration PeerSilence = fromMillis(700);
+  static constexpr Duration PeerTimeout = fromMillis(700);
 
   size_t findPeer(const std::string &Daemon);
   size_t countKnown(size_t Server, TimePoint Now) const;
 
   std::vector<std::vector<Entry>> ByServer;
   /// Where this daemon's own are, by number.
-  std::map<uint64_t, size_t> Own;
+  std::map<uint64_t, size_t> ServerOfLocal;
   std::vector<Peer> Peers;
   /// Their indexes, by name.
   std::map<std::string, size_t> PeerOfName;
   /// What answers showed beyond what the hall knew of.
-  std::vector<ForeignLoad> Foreign;
+  std::vector<RemoteLoad> RemoteLoads;
   uint64_t NextNumber = 1;
 };
 
--- a/include/canvaswick/Health/LatencyDistribution.h
+++ b/include/canvaswick/Health/LatencyDistribution.h
@@ -29,11 +29,11 @@
   LatencyDistribution();
 
   /// Adds the pace of one good answer, above 0.
-  void add(double Pace);
+  void add(double Ratio);
 
   /// Returns the part of good answers that take longer than Pace: from 1 for
   /// none at all down to MinSurvival.
-  double getSurvival(double Pace) const;
+  double getSurvival(double Ratio) const;
 
   /// Some good answers take longer than any that were seen.
   static constexpr double MinSurvival = 0.004;
@@ -41,11 +41,11 @@
 private:
   static constexpr size_t BinCount = 32;
 
-  void sumUp();
+  void updateSuffixCounts();
 
   std::array<double, BinCount> Bins{};
   /// For each bin the answers in it and in all longer ones; a last 0.
-  std::array<double, BinCount + 1> Longer{};
+  std::array<double, BinCount + 1> SuffixCounts{};
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/LatencyTable.h
+++ b/include/canvaswick/Health/LatencyTable.h
@@ -29,7 +29,7 @@
 class LatencyTable {
 public:
   /// Fixed is the operators' own bound on slowness, or zero.
-  explicit LatencyTable(Duration Fixed);
+  explicit LatencyTable(Duration FixedThreshold);
 
   /// Adds the time of one complete answer.
   void add(const std::string &Route, Duration Latency, TimePoint Now);
@@ -59,9 +59,9 @@
 
   const LatencyTracker &find(const std::string &Route) const;
 
-  Duration Fixed;
-  LatencyTracker OfService;
-  std::map<std::string, RouteTimes> OfRoutes;
+  Duration FixedThreshold;
+  LatencyTracker ServiceTracker;
+  std::map<std::string, RouteTimes> Routes;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/LatencyTracker.h
+++ b/include/canvaswick/Health/LatencyTracker.h
@@ -23,10 +23,12 @@
 class LatencyTracker {
 public:
   /// Fixed is the operators' own bound, or zero to follow the median.
-  explicit LatencyTracker(Duration Fixed);
+  explicit LatencyTracker(Duration FixedThreshold);
 
   /// Changes the operators' bound and keeps what was learned.
-  void setFixed(Duration Fixed) { this->Fixed = Fixed; }
+  void setFixedThreshold(Duration FixedThreshold) {
+    this->FixedThreshold = FixedThreshold;
+  }
 
   /// Adds the time of one complete answer.
   void add(Duration Latency);
@@ -35,13 +37,13 @@
   Duration getSlowThreshold() const;
 
   /// Returns whether enough answers were seen to rely on the median.
-  bool isSettled() const;
+  bool hasEnoughSamples() const;
 
   /// Returns the median, or zero while there is none.
   Duration getMedian() const;
 
 private:
-  Duration Fixed;
+  Duration FixedThreshold;
   double MedianSeconds = 0;
   /// By which part of itself the median moves next.
   double Step = 0.3;
--- a/include/canvaswick/Health/MarkovPolicy.h
+++ b/include/canvaswick/Health/MarkovPolicy.h
@@ -146,18 +146,18 @@
 
   /// Returns the part of its fair share that a server gets from requests of
   /// this caution.
-  double getShare(size_t Server, FailureCost Care, TimePoint Now) const;
+  double getShare(size_t Server, FailureCost Cost, TimePoint Now) const;
 
   /// Returns the shares of all servers at once. Those that the floor keeps are
   /// tested while it is near.
-  std::vector<double> getShares(FailureCost Care, TimePoint Now) const;
+  std::vector<double> getShares(FailureCost Cost, TimePoint Now) const;
 
   /// Returns the shares of all servers, the best one's being 1, where Worths
   /// holds what a request may expect at each of them, from 0 to 1. The same
   /// tests and bounds apply.
-  std::vector<ServerShare> getSharesByUtility(const std::vector<double> &Worths,
-                                              FailureCost Care,
-                                              TimePoint Now) const;
+  std::vector<ServerShare>
+  getSharesByUtility(const std::vector<double> &Utilities, FailureCost Cost,
+                     TimePoint Now) const;
 
   /// Returns the probability that a server is in a spell, by what has ended
   /// there and by what is still out.
@@ -170,9 +170,11 @@
 
   /// Returns what a request may expect that begins now at a server, where its
   /// usual time is Usual; zero: not known.
-  AnswerProbabilities
-  getNewRequestProbabilities(size_t Server, Duration TypicalTime, TimePoint Aim,
-                             TimePoint Deadline, TimePoint Now) const;
+  AnswerProbabilities getNewRequestProbabilities(size_t Server,
+                                                 Duration TypicalTime,
+                                                 TimePoint Objective,
+                                                 TimePoint Deadline,
+                                                 TimePoint Now) const;
 
   /// Returns the chance that a server answers a request at all.
   double getSuccessProbability(size_t Server, TimePoint Now) const;
@@ -204,27 +206,30 @@
   };
 
   /// Returns whether the server's own hall told of it of late.
-  bool isEstimated(size_t Server, TimePoint Now) const;
-  std::vector<double> getWorths(TimePoint Now) const;
-  double getEndedSickness(size_t Server, TimePoint Now) const;
-  double getSilenceRatio(const InFlightRequest &Request, TimePoint Now) const;
+  bool hasRecentEstimate(size_t Server, TimePoint Now) const;
+  std::vector<double> computeUtilities(TimePoint Now) const;
+  double getProbabilityFromOutcomes(size_t Server, TimePoint Now) const;
+  double getNoAnswerLikelihoodRatio(const InFlightRequest &Request,
+                                    TimePoint Now) const;
   void update(size_t Server, RequestOutcome Outcome, int LatencyRatioPercent,
               TimePoint Now);
-  void setSickness(size_t Server, double UnhealthyProbability, TimePoint Now);
-  void noteShed(RequestOutcome Outcome, TimePoint Now);
-  double getUsualShed(TimePoint Now) const;
-  void noteRecent(size_t Server, RequestOutcome Outcome, TimePoint Now);
-  void noteReach(ServerState &State, RequestOutcome Outcome, TimePoint Now);
+  void setUnhealthyProbability(size_t Server, double UnhealthyProbability,
+                               TimePoint Now);
+  void recordShed(RequestOutcome Outcome, TimePoint Now);
+  double getShedRate(TimePoint Now) const;
+  void recordRecent(size_t Server, RequestOutcome Outcome, TimePoint Now);
+  void recordReachability(ServerState &State, RequestOutcome Outcome,
+                          TimePoint Now);
   std::vector<bool> findKeptByFloor(TimePoint Now) const;
   double countOverdue(TimePoint Now) const;
-  double getFailurePart(FailureCost Care, TimePoint Now) const;
-  bool isTestDue(size_t Server, FailureCost Care, bool IsKept,
+  double getUnservedFraction(FailureCost Cost, TimePoint Now) const;
+  bool isTestDue(size_t Server, FailureCost Cost, bool IsKeptByFloor,
                  TimePoint Now) const;
 
   PolicySetup Setup;
   std::vector<ServerState> Servers;
   std::map<ServerId, size_t> IndexOfServer;
-  std::vector<Observation> News;
+  std::vector<Observation> UnsentObservations;
   InFlightTable InFlight;
   LatencyDistribution Times;
   TransitionRates Rates;
@@ -235,7 +240,7 @@
   DecayingCount RecentOutcomes;
   DecayingCount RecentShed;
   /// The rates of other halls, and when they came.
-  std::map<std::string, std::pair<HallFailureRate, TimePoint>> OtherRates;
+  std::map<std::string, std::pair<HallFailureRate, TimePoint>> HallRates;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/Outcome.h
+++ b/include/canvaswick/Health/Outcome.h
@@ -85,8 +85,8 @@
   double get(TimePoint Now, Duration HalfLife) const {
     if (this->Value == 0)
       return 0;
-    const double Lives = toSeconds(Now - this->At) / toSeconds(HalfLife);
-    return this->Value * std::exp2(-Lives);
+    const double HalfLives = toSeconds(Now - this->At) / toSeconds(HalfLife);
+    return this->Value * std::exp2(-HalfLives);
   }
 
   /// Adds Amount at Now.
--- a/include/canvaswick/Health/RetryTiming.h
+++ b/include/canvaswick/Health/RetryTiming.h
@@ -62,7 +62,7 @@
                           const LatencyDistribution &Times);
 
 /// Returns the price of a repeat where this part of the allowance is used.
-double computeRetryCost(double UsedPart);
+double computeRetryCost(double UsedFraction);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Health/ScopeTracker.h
+++ b/include/canvaswick/Health/ScopeTracker.h
@@ -86,7 +86,7 @@
   bool isSuspect(size_t Server) const;
 
   /// Returns whether removals wait because too many servers look sick at once.
-  bool isDoubted() const;
+  bool areRemovalsSuspended() const;
 
   size_t countServers() const { return this->Servers.size(); }
 
@@ -98,10 +98,10 @@
     DecayingCount Good;
     DecayingCount Slow;
     DecayingCount Failed;
-    TimePoint HoldUntil{};
-    TimePoint StepSince{};
+    TimePoint RemovedUntil{};
+    TimePoint StepStartedAt{};
     TimePoint LastRemoved{};
-    DecayingCount SlowTaken;
+    DecayingCount SlowEvidence;
     size_t Step = 0;
     uint32_t GoodInStep = 0;
     int Removals = 0;
@@ -109,33 +109,33 @@
   };
 
   /// Usual share of slow and failed requests among servers that look healthy.
-  struct UsualShares {
+  struct TypicalRates {
     double Slow;
     double Failed;
   };
 
-  void updateUsualShares(TimePoint Now);
-  double getUsualShare(DecayingCount ServerState::*Kind, TimePoint Now,
-                       double Total, double Least) const;
-  double computeAgainst(ServerState &State, const OutcomeCounts &Counts,
-                        TimePoint Now) const;
-  double computeFor(const OutcomeCounts &Counts) const;
+  void updateTypicalRates(TimePoint Now);
+  double computeTypicalRate(DecayingCount ServerState::*Kind, TimePoint Now,
+                            double Total, double Minimum) const;
+  double computeEvidenceAgainst(ServerState &State, const OutcomeCounts &Counts,
+                                TimePoint Now) const;
+  double computeEvidenceFor(const OutcomeCounts &Counts) const;
   void addScore(ServerState &State, double Amount);
-  double getBadShare(const ServerState &State, TimePoint Now) const;
-  void fadeScore(ServerState &State, TimePoint Now);
+  double getBadRate(const ServerState &State, TimePoint Now) const;
+  void decayScore(ServerState &State, TimePoint Now);
   void remove(ServerState &State, TimePoint Now);
   void advanceReturn(ServerState &State, TimePoint Now);
   bool areTooManySuspect() const;
   bool isRemovable(size_t Server, const RemovalRules &Rules) const;
   double countUsable(const RemovalRules &Rules) const;
-  void yieldToFloor(const RemovalRules &Rules);
+  void restoreToFloor(const RemovalRules &Rules);
   void removeWorst(TimePoint Now, const RemovalRules &Rules);
 
   HealthTuning Tuning;
   std::vector<ServerState> Servers;
   DecayingCount TotalGood;
-  UsualShares Usual;
-  bool Doubted = false;
+  TypicalRates Typical;
+  bool RemovalsSuspended = false;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/TransitionRates.h
+++ b/include/canvaswick/Health/TransitionRates.h
@@ -22,8 +22,8 @@
 
 /// How likely an outcome is at a sick and at a well server.
 struct Likelihood {
-  double Sick;
-  double Well;
+  double Unhealthy;
+  double Healthy;
 };
 
 /// The rates at which a service's servers change between well and sick. Not
@@ -31,30 +31,30 @@
 class TransitionRates {
 public:
   /// Returns the part of the servers that are sick at any time.
-  double getUsualSickness() const;
+  double getStationaryProbability() const;
 
   /// Returns how fast what is known of a server loses its worth: after this
   /// time all but 1/e of it is gone.
-  Duration getMemory() const;
+  Duration getTimeConstant() const;
 
   /// Returns the probability of sickness after Passed, if it was Before.
-  double drift(double Before, Duration Passed) const;
+  double predict(double Before, Duration Passed) const;
 
   /// Learns from one outcome at a server that was sick with the probability
   /// Before when the last one came, Passed ago.
   void learn(double Before, Duration Passed, const Likelihood &Seen);
 
 private:
-  double getBeginRate() const;
-  double getEndRate() const;
+  double getOnsetRate() const;
+  double getRecoveryRate() const;
 
   // The prior: a server falls sick once in ten seconds and is so for four. It
   // counts like half a minute of one server's life, so that what a service does
   // outweighs it within seconds.
-  double Begins = 3;
-  double WellSeconds = 30;
-  double Ends = 3;
-  double SickSeconds = 13;
+  double Onsets = 3;
+  double HealthySeconds = 30;
+  double Recoveries = 3;
+  double UnhealthySeconds = 13;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/Tuning.h
+++ b/include/canvaswick/Health/Tuning.h
@@ -34,11 +34,11 @@
   double HallBound = 1;
   /// Largest evidence in one second from slow answers. A queue that builds up
   /// and empties again makes many at once; sickness lasts.
-  double SlowPerSecond = 0;
+  double MaxSlowEvidencePerSecond = 0;
   /// First time a removed server is left alone. Doubles each time it fails
   /// again soon after.
-  Duration FirstHold{};
-  Duration LongestHold{};
+  Duration InitialRemovalTime{};
+  Duration MaxRemovalTime{};
   /// How often evidence is reported while there is any.
   Duration ReportInterval{};
 };
--- a/lib/Health/AdoptStates.h
+++ b/lib/Health/AdoptStates.h
@@ -25,16 +25,16 @@
 /// Takes over the state of each server that is in both, all but its Config, and
 /// calls Adopted with its new and its old index.
 template <typename StateT, typename VisitorT>
-void adoptStates(std::vector<StateT> &Own, const std::vector<StateT> &Old,
+void adoptStates(std::vector<StateT> &New, const std::vector<StateT> &Old,
                  const std::map<ServerId, size_t> &IndexOfOld,
                  const VisitorT &Adopted) {
-  for (size_t I = 0; I < Own.size(); ++I) {
-    const auto Found = IndexOfOld.find(Own[I].Config.Id);
+  for (size_t I = 0; I < New.size(); ++I) {
+    const auto Found = IndexOfOld.find(New[I].Config.Id);
     if (Found == IndexOfOld.end())
       continue;
-    const PolicyServer Config = Own[I].Config;
-    Own[I] = Old[Found->second];
-    Own[I].Config = Config;
+    const PolicyServer Config = New[I].Config;
+    New[I] = Old[Found->second];
+    New[I].Config = Config;
     Adopted(I, Found->second);
   }
 }
--- a/lib/Health/EvidencePool.cpp
+++ b/lib/Health/EvidencePool.cpp
@@ -31,26 +31,26 @@
 static constexpr Duration ContributionHalfLife = fromSeconds(10);
 
 /// A contribution below this no longer counts as a source's testimony.
-static constexpr double TestimonyScore = 0.5;
+static constexpr double MinSourceEvidence = 0.5;
 
 /// What a source saw at its servers is forgotten with this half-life.
 static constexpr Duration SeenHalfLife = fromSeconds(10);
 
 /// Below this many bad outcomes a server is forgotten as one that failed.
-static constexpr double LeastBadSeen = 0.1;
+static constexpr double MinBadSeen = 0.1;
 
 /// A server fails a source that gets this part of bad outcomes there. It is the
 /// least that a sick server fails (ScopeTracker); a single slow answer among
 /// good ones stays below. With any bad outcome counted, one at the only sound
 /// server of four kept three sick ones in use for 30 s (unit test "one stray
 /// answer at the sound server does not keep sick ones").
-static constexpr double LeastFailingPart = 0.25;
+static constexpr double MinFailingFraction = 0.25;
 
 /// A source that sees more than this part of its servers fail is doubted.
-static constexpr double MaxFailingPart = 0.75;
+static constexpr double MaxFailingFraction = 0.75;
 
 /// A source that is silent for this long is forgotten.
-static constexpr Duration SourceLife = fromSeconds(120);
+static constexpr Duration SourceTimeout = fromSeconds(120);
 
 EvidencePool::EvidencePool(std::string Service, std::string Owner,
                            HealthTuning Tuning, std::vector<PooledServer> Given,
@@ -102,8 +102,8 @@
 /// Keeps what the source saw of the servers that failed it of late. A report
 /// counts the good outcomes of the servers that it does not name in one sum,
 /// which is taken to be spread evenly over them.
-void EvidencePool::noteSeen(SourceState &Source, const EvidenceReport &Report,
-                            TimePoint Now) const {
+void EvidencePool::recordSeen(SourceState &Source, const EvidenceReport &Report,
+                              TimePoint Now) const {
   Source.UsedServers = Report.UsedServers;
   const auto Named = static_cast<uint32_t>(Report.Servers.size());
   const uint32_t Unnamed = std::max(Report.UsedServers, Named + 1) - Named;
@@ -125,7 +125,7 @@
     Seen.Bad.add(Evidence.Counts.countBad(), Now, SeenHalfLife);
   }
   std::erase_if(Source.Seen, [Now](const auto &Entry) {
-    return Entry.second.Bad.get(Now, SeenHalfLife) < LeastBadSeen;
+    return Entry.second.Bad.get(Now, SeenHalfLife) < MinBadSeen;
   });
 }
 
@@ -134,11 +134,11 @@
   for (const auto &[Server, Seen] : Source.Seen) {
     const double Bad = Seen.Bad.get(Now, SeenHalfLife);
     const double All = Bad + Seen.Good.get(Now, SeenHalfLife);
-    if (Bad >= LeastBadSeen && Bad >= LeastFailingPart * All)
+    if (Bad >= MinBadSeen && Bad >= MinFailingFraction * All)
       ++Failing;
   }
-  const double Limit =
-      std::max(1.0, MaxFailingPart * static_cast<double>(Source.UsedServers));
+  const double Limit = std::max(
+      1.0, MaxFailingFraction * static_cast<double>(Source.UsedServers));
   return static_cast<double>(Failing) <= Limit;
 }
 
@@ -150,26 +150,27 @@
 void EvidencePool::addServer(const EvidenceReport &Report, size_t Server,
                              const OutcomeCounts &Counts, bool IsCredible,
                              TimePoint Now) {
-  OutcomeCounts Taken = Counts;
+  OutcomeCounts Accepted = Counts;
   if (!IsCredible)
-    Taken.Slow = Taken.Failed = 0;
+    Accepted.Slow = Accepted.Failed = 0;
   const auto Remaining = [&](Contribution &Entry, double Bound) {
     return Bound * this->Tuning.Threshold -
-           Entry.Taken.get(Now, ContributionHalfLife);
+           Entry.Accepted.get(Now, ContributionHalfLife);
   };
-  Contribution &OfSource = this->BySource[{Server, Report.Source}];
-  Contribution &OfHall = this->ByHall[{Server, Report.Hall}];
-  const double SourceLimit = Remaining(OfSource, this->Tuning.SourceBound);
+  Contribution &FromSource = this->BySource[{Server, Report.Source}];
+  Contribution &FromHall = this->ByHall[{Server, Report.Hall}];
+  const double SourceLimit = Remaining(FromSource, this->Tuning.SourceBound);
   // With one hall only there is no second one to ask.
   const double HallLimit = this->Halls.size() > 1
-                               ? Remaining(OfHall, this->Tuning.HallBound)
+                               ? Remaining(FromHall, this->Tuning.HallBound)
                                : std::numeric_limits<double>::infinity();
-  const double InHall = this->getHallTracker(Report.Hall)
-                            .addCounts(Server, Taken, SourceLimit, Now);
-  const double InFleet = this->Fleet.addCounts(
-      Server, Taken, std::min(SourceLimit, HallLimit), Now);
-  OfSource.Taken.add(InHall, Now, ContributionHalfLife);
-  OfHall.Taken.add(InFleet, Now, ContributionHalfLife);
+  const double HallEvidence =
+      this->getHallTracker(Report.Hall)
+          .addCounts(Server, Accepted, SourceLimit, Now);
+  const double FleetEvidence = this->Fleet.addCounts(
+      Server, Accepted, std::min(SourceLimit, HallLimit), Now);
+  FromSource.Accepted.add(HallEvidence, Now, ContributionHalfLife);
+  FromHall.Accepted.add(FleetEvidence, Now, ContributionHalfLife);
 }
 
 void EvidencePool::mergeReport(const EvidenceReport &Report, TimePoint Now) {
@@ -179,7 +180,7 @@
   Source.LastSequence = Report.Sequence;
   Source.Hall = Report.Hall;
   Source.LastReport = Now;
-  this->noteSeen(Source, Report, Now);
+  this->recordSeen(Source, Report, Now);
   const bool IsCredible = this->isCredible(Source, Now);
   std::vector<bool> IsNamed(this->Servers.size(), false);
   for (const ServerEvidence &Evidence : Report.Servers) {
@@ -203,7 +204,7 @@
                                             TimePoint Now) const {
   std::vector<int> Counts(this->Servers.size(), 0);
   for (const auto &[Key, Entry] : this->BySource) {
-    if (Entry.Taken.get(Now, ContributionHalfLife) < TestimonyScore)
+    if (Entry.Accepted.get(Now, ContributionHalfLife) < MinSourceEvidence)
       continue;
     const auto Source = this->Sources.find(Key.second);
     if (Source == this->Sources.end())
@@ -227,7 +228,7 @@
 }
 
 /// What the fleet has removed is no longer there for a hall to use.
-void EvidencePool::heedFleet(RemovalRules &Rules) const {
+void EvidencePool::excludeFleetRemovals(RemovalRules &Rules) const {
   for (size_t I = 0; I < this->Servers.size(); ++I)
     if (this->Fleet.getShare(I) < 1)
       Rules.Slots[I] = 0;
@@ -235,85 +236,86 @@
 
 void EvidencePool::advance(TimePoint Now) {
   std::erase_if(this->BySource, [Now](const auto &Entry) {
-    return Entry.second.Taken.get(Now, ContributionHalfLife) < 0.01;
+    return Entry.second.Accepted.get(Now, ContributionHalfLife) < 0.01;
   });
   std::erase_if(this->Sources, [Now](const auto &Entry) {
-    return Now - Entry.second.LastReport > SourceLife;
+    return Now - Entry.second.LastReport > SourceTimeout;
   });
   this->FleetSources = this->countSources(nullptr, Now);
   this->Fleet.advance(Now, this->makeRules(this->FleetSources));
   for (auto &[Hall, Tracker] : this->Halls) {
     std::vector<int> Counts = this->countSources(&Hall, Now);
     RemovalRules Rules = this->makeRules(Counts);
-    this->heedFleet(Rules);
+    this->excludeFleetRemovals(Rules);
     Tracker.advance(Now, Rules);
     this->HallSources[Hall] = std::move(Counts);
   }
 }
 
-ServerSummary EvidencePool::describe(size_t Server,
-                                     const std::string &Hall) const {
-  ServerSummary Digest;
-  Digest.Server = this->Servers[Server].Id;
-  Digest.Share = this->Fleet.getShare(Server);
-  Digest.Score = this->Fleet.getScore(Server);
+ServerSummary EvidencePool::summarizeServer(size_t Server,
+                                            const std::string &Hall) const {
+  ServerSummary Summary;
+  Summary.Server = this->Servers[Server].Id;
+  Summary.Share = this->Fleet.getShare(Server);
+  Summary.Score = this->Fleet.getScore(Server);
   if (Server < this->FleetSources.size())
-    Digest.Sources = static_cast<uint32_t>(this->FleetSources[Server]);
+    Summary.Sources = static_cast<uint32_t>(this->FleetSources[Server]);
   const auto Found = this->Halls.find(Hall);
   if (Found == this->Halls.end())
-    return Digest;
+    return Summary;
   const double HallShare = Found->second.getShare(Server);
-  if (HallShare >= Digest.Share)
-    return Digest;
-  Digest.Score = Found->second.getScore(Server);
-  Digest.IsHallOnly = Digest.Share >= 1;
-  Digest.Share = HallShare;
+  if (HallShare >= Summary.Share)
+    return Summary;
+  Summary.Score = Found->second.getScore(Server);
+  Summary.IsHallOnly = Summary.Share >= 1;
+  Summary.Share = HallShare;
   const auto Counts = this->HallSources.find(Hall);
   if (Counts != this->HallSources.end())
-    Digest.Sources = static_cast<uint32_t>(Counts->second[Server]);
-  return Digest;
+    Summary.Sources = static_cast<uint32_t>(Counts->second[Server]);
+  return Summary;
 }
 
 EvidenceSummary EvidencePool::buildSummary(const std::string &Hall) {
-  EvidenceSummary Digest;
-  Digest.Service = this->Service;
-  Digest.Owner = this->Owner;
-  Digest.Rank = this->Rank;
-  Digest.Sequence = ++this->Sequence;
+  EvidenceSummary Summary;
+  Summary.Service = this->Service;
+  Summary.Owner = this->Owner;
+  Summary.Rank = this->Rank;
+  Summary.Sequence = ++this->Sequence;
   const auto Found = this->Halls.find(Hall);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     const bool IsHallSuspect =
         Found != this->Halls.end() && Found->second.isSuspect(I);
     if (this->Fleet.isSuspect(I) || IsHallSuspect)
-      Digest.Servers.push_back(this->describe(I, Hall));
+      Summary.Servers.push_back(this->summarizeServer(I, Hall));
   }
-  return Digest;
+  return Summary;
 }
 
 void EvidencePool::recordSent(const std::string &Hall) {
-  this->LastSummary[Hall] = this->summarize(Hall);
+  this->LastSentState[Hall] = this->formatState(Hall);
 }
 
 /// Returns a text that changes when a digest for the hall would say something
 /// new: another share, or another set of suspects.
-std::string EvidencePool::summarize(const std::string &Hall) const {
-  std::string Summary;
+std::string EvidencePool::formatState(const std::string &Hall) const {
+  std::string State;
   const auto Found = this->Halls.find(Hall);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     const bool IsSuspect =
         this->Fleet.isSuspect(I) ||
         (Found != this->Halls.end() && Found->second.isSuspect(I));
     if (IsSuspect)
-      Summary += fmt::format("{}={:.2f};", I, this->describe(I, Hall).Share);
+      State +=
+          fmt::format("{}={:.2f};", I, this->summarizeServer(I, Hall).Share);
   }
-  return Summary;
+  return State;
 }
 
 bool EvidencePool::hasUpdates(const std::string &Hall) const {
-  const auto Found = this->LastSummary.find(Hall);
+  const auto Found = this->LastSentState.find(Hall);
   const std::string Last =
-      Found == this->LastSummary.end() ? "" : Found->second;
-  return this->summarize(Hall) != Last;
+      Found == this->LastSentState.end() ? "" : Found->second;
+  return this->formatState(Hall) != Last;
 }
 
 bool EvidencePool::hasSuspects() const {
--- a/lib/Health/FloorGuard.cpp
+++ b/lib/Health/FloorGuard.cpp
@@ -19,18 +19,18 @@
 
 namespace canvaswick {
 
-double countUsableSlots(const std::vector<ShareWish> &Wishes,
-                        const std::vector<ShareGrant> &Grants) {
-  assert(Wishes.size() == Grants.size() && "one grant a wish");
+double countUsableSlots(const std::vector<DesiredShare> &DesiredShares,
+                        const std::vector<GrantedShare> &GrantedShares) {
+  assert(DesiredShares.size() == GrantedShares.size() && "one grant a wish");
   double Usable = 0;
-  for (size_t I = 0; I < Wishes.size(); ++I)
-    if (!Wishes[I].IsLeaving)
-      Usable += Wishes[I].Slots * Grants[I].Share;
+  for (size_t I = 0; I < DesiredShares.size(); ++I)
+    if (!DesiredShares[I].IsLeaving)
+      Usable += DesiredShares[I].Slots * GrantedShares[I].Share;
   return Usable;
 }
 
 /// Returns whether Left is to be reduced before Right.
-static bool isWorse(const ShareWish &Left, const ShareWish &Right) {
+static bool isWorse(const DesiredShare &Left, const DesiredShare &Right) {
   if (Left.Scope != Right.Scope)
     return Left.Scope < Right.Scope;
   if (Left.WasReduced != Right.WasReduced)
@@ -40,35 +40,35 @@
   return Left.Score > Right.Score;
 }
 
-std::vector<ShareGrant> applyFloor(const std::vector<ShareWish> &Wishes,
-                                   int FloorPercent) {
-  std::vector<ShareGrant> Grants(Wishes.size());
+std::vector<GrantedShare>
+applyFloor(const std::vector<DesiredShare> &DesiredShares, int FloorPercent) {
+  std::vector<GrantedShare> GrantedShares(DesiredShares.size());
   double AllSlots = 0;
-  for (size_t I = 0; I < Wishes.size(); ++I) {
-    AllSlots += Wishes[I].Slots;
-    if (Wishes[I].IsLeaving)
-      Grants[I].Share = 0;
+  for (size_t I = 0; I < DesiredShares.size(); ++I) {
+    AllSlots += DesiredShares[I].Slots;
+    if (DesiredShares[I].IsLeaving)
+      GrantedShares[I].Share = 0;
   }
-  double Usable = countUsableSlots(Wishes, Grants);
+  double Usable = countUsableSlots(DesiredShares, GrantedShares);
   const double Floor = AllSlots * FloorPercent / 100;
-  std::vector<size_t> Order(Wishes.size());
+  std::vector<size_t> Order(DesiredShares.size());
   std::iota(Order.begin(), Order.end(), 0);
   std::stable_sort(Order.begin(), Order.end(), [&](size_t Left, size_t Right) {
-    return isWorse(Wishes[Left], Wishes[Right]);
+    return isWorse(DesiredShares[Left], DesiredShares[Right]);
   });
   for (const size_t I : Order) {
-    const ShareWish &Wish = Wishes[I];
-    if (Wish.IsLeaving || Wish.Share >= 1)
+    const DesiredShare &Desired = DesiredShares[I];
+    if (Desired.IsLeaving || Desired.Share >= 1)
       continue;
-    const double Loss = Wish.Slots * (1 - Wish.Share);
+    const double Loss = Desired.Slots * (1 - Desired.Share);
     if (Usable - Loss < Floor) {
-      Grants[I].IsKeptByFloor = true;
+      GrantedShares[I].IsKeptByFloor = true;
       continue;
     }
     Usable -= Loss;
-    Grants[I].Share = Wish.Share;
+    GrantedShares[I].Share = Desired.Share;
   }
-  return Grants;
+  return GrantedShares;
 }
 
 } // namespace canvaswick
--- a/lib/Health/InFlightTable.cpp
+++ b/lib/Health/InFlightTable.cpp
@@ -20,50 +20,51 @@
 
 /// How long half of what an answer showed of other halls' requests is taken to
 /// last: about a request's time.
-static constexpr Duration ForeignHalfLife = fromMillis(250);
+static constexpr Duration RemoteLoadHalfLife = fromMillis(250);
 
 InFlightTable::InFlightTable(size_t Servers)
-    : ByServer(Servers), Foreign(Servers) {}
+    : ByServer(Servers), RemoteLoads(Servers) {}
 
 uint64_t InFlightTable::begin(const InFlightRequest &Request) {
   const uint64_t Number = this->NextNumber++;
-  this->ByServer[Request.Server].push_back({Request, OwnSource, Number});
-  this->Own[Number] = Request.Server;
+  this->ByServer[Request.Server].push_back({Request, LocalSource, Number});
+  this->ServerOfLocal[Number] = Request.Server;
   return Number;
 }
 
 void InFlightTable::end(uint64_t Number) {
-  const auto Found = this->Own.find(Number);
-  if (Found == this->Own.end())
+  const auto Found = this->ServerOfLocal.find(Number);
+  if (Found == this->ServerOfLocal.end())
     return;
   std::erase_if(this->ByServer[Found->second], [Number](const Entry &Each) {
-    return Each.Source == OwnSource && Each.Number == Number;
+    return Each.Source == LocalSource && Each.Number == Number;
   });
-  this->Own.erase(Found);
+  this->ServerOfLocal.erase(Found);
 }
 
 size_t InFlightTable::findPeer(const std::string &Daemon) {
-  const auto Place = this->PeerOfName.try_emplace(Daemon, this->Peers.size());
-  if (Place.second)
+  const auto Inserted =
+      this->PeerOfName.try_emplace(Daemon, this->Peers.size());
+  if (Inserted.second)
     this->Peers.emplace_back();
-  return Place.first->second;
+  return Inserted.first->second;
 }
 
 void InFlightTable::replacePeer(const std::string &Daemon, uint64_t Sequence,
                                 const std::vector<InFlightRequest> &Requests,
                                 TimePoint Now) {
   const size_t Source = this->findPeer(Daemon);
-  Peer &Told = this->Peers[Source];
-  if (Sequence <= Told.Sequence)
+  Peer &Sender = this->Peers[Source];
+  if (Sequence <= Sender.Sequence)
     return;
-  for (const size_t Server : Told.Servers)
+  for (const size_t Server : Sender.Servers)
     std::erase_if(this->ByServer[Server], [Source](const Entry &Each) {
       return Each.Source == Source;
     });
-  Told = {Sequence, Now, {}};
+  Sender = {Sequence, Now, {}};
   for (const InFlightRequest &Request : Requests) {
     this->ByServer[Request.Server].push_back({Request, Source, 0});
-    Told.Servers.push_back(Request.Server);
+    Sender.Servers.push_back(Request.Server);
   }
 }
 
@@ -76,27 +77,28 @@
 void InFlightTable::recordReportedLoad(size_t Server, int Load, TimePoint Now) {
   // The request that was answered still counts in the answer's load.
   const double Others = Load - 1 - static_cast<double>(countKnown(Server, Now));
-  this->Foreign[Server] = {std::max(0.0, Others), Now};
+  this->RemoteLoads[Server] = {std::max(0.0, Others), Now};
 }
 
 void InFlightTable::recordRemoteLoad(size_t Server, double Load,
                                      TimePoint Now) {
   const double Others = Load - static_cast<double>(countKnown(Server, Now));
-  this->Foreign[Server] = {std::max(0.0, Others), Now};
+  this->RemoteLoads[Server] = {std::max(0.0, Others), Now};
 }
 
 double InFlightTable::getLoad(size_t Server, TimePoint Now) const {
-  const ForeignLoad &Shown = this->Foreign[Server];
-  const double Lives = toSeconds(Now - Shown.At) / toSeconds(ForeignHalfLife);
+  const RemoteLoad &Reported = this->RemoteLoads[Server];
+  const double HalfLives =
+      toSeconds(Now - Reported.At) / toSeconds(RemoteLoadHalfLife);
   return static_cast<double>(this->countKnown(Server, Now)) +
-         Shown.Requests * std::exp2(-std::max(0.0, Lives));
+         Reported.Requests * std::exp2(-std::max(0.0, HalfLives));
 }
 
 std::vector<InFlightRequest> InFlightTable::getLocalRequests() const {
   std::vector<InFlightRequest> All;
-  for (const auto &[Number, Server] : this->Own)
+  for (const auto &[Number, Server] : this->ServerOfLocal)
     for (const Entry &Each : this->ByServer[Server])
-      if (Each.Source == OwnSource && Each.Number == Number)
+      if (Each.Source == LocalSource && Each.Number == Number)
         All.push_back(Each.Request);
   return All;
 }
@@ -111,9 +113,9 @@
     if (Matches[Old] < 0)
       continue;
     const auto Server = static_cast<size_t>(Matches[Old]);
-    this->Foreign[Server] = Other.Foreign[Old];
+    this->RemoteLoads[Server] = Other.RemoteLoads[Old];
     for (Entry Each : Other.ByServer[Old]) {
-      if (Each.Source == OwnSource)
+      if (Each.Source == LocalSource)
         continue;
       Each.Request.Server = Server;
       this->ByServer[Server].push_back(Each);
--- a/lib/Health/LatencyDistribution.cpp
+++ b/lib/Health/LatencyDistribution.cpp
@@ -34,19 +34,19 @@
 
 /// Above this many answers all counts are halved, so that the spread follows
 /// what the service does of late.
-static constexpr double MostAnswers = 2000;
+static constexpr double MaxAnswers = 2000;
 
 /// Returns where a pace lies, counted in bins.
-static double getPosition(double Pace) {
-  return (std::log2(Pace) - FirstDoubling) * BinsPerDoubling;
+static double computeBinPosition(double Ratio) {
+  return (std::log2(Ratio) - FirstDoubling) * BinsPerDoubling;
 }
 
 /// Returns the part of the prior's answers that take longer than a pace.
-static double getPriorSurvival(double Pace) {
-  const double Common =
-      0.5 * std::erfc(std::log(Pace) / (PriorSpread * std::sqrt(2.0)));
-  const double Rare = std::min(1.0, 1 / Pace);
-  return (1 - PriorTail) * Common + PriorTail * Rare;
+static double computePriorSurvival(double Ratio) {
+  const double Body =
+      0.5 * std::erfc(std::log(Ratio) / (PriorSpread * std::sqrt(2.0)));
+  const double Tail = std::min(1.0, 1 / Ratio);
+  return (1 - PriorTail) * Body + PriorTail * Tail;
 }
 
 LatencyDistribution::LatencyDistribution() {
@@ -54,43 +54,44 @@
   for (size_t I = 0; I < BinCount; ++I) {
     const double End =
         std::exp2(FirstDoubling + static_cast<double>(I + 1) / BinsPerDoubling);
-    const double After = I + 1 < BinCount ? getPriorSurvival(End) : 0;
+    const double After = I + 1 < BinCount ? computePriorSurvival(End) : 0;
     this->Bins[I] = PriorAnswers * (Before - After);
     Before = After;
   }
-  this->sumUp();
+  this->updateSuffixCounts();
 }
 
 /// Brings Longer up to date. Choices ask a hundred times for each answer that
 /// is added.
-void LatencyDistribution::sumUp() {
+void LatencyDistribution::updateSuffixCounts() {
   for (size_t I = BinCount; I > 0; --I)
-    this->Longer[I - 1] = this->Longer[I] + this->Bins[I - 1];
+    this->SuffixCounts[I - 1] = this->SuffixCounts[I] + this->Bins[I - 1];
 }
 
-void LatencyDistribution::add(double Pace) {
-  if (!(Pace > 0))
+void LatencyDistribution::add(double Ratio) {
+  if (!(Ratio > 0))
     return;
-  const double Position =
-      std::clamp(getPosition(Pace), 0.0, static_cast<double>(BinCount - 1));
+  const double Position = std::clamp(computeBinPosition(Ratio), 0.0,
+                                     static_cast<double>(BinCount - 1));
   this->Bins[static_cast<size_t>(Position)] += 1;
-  if (this->Longer[0] >= MostAnswers)
+  if (this->SuffixCounts[0] >= MaxAnswers)
     for (double &Count : this->Bins)
       Count /= 2;
-  this->sumUp();
+  this->updateSuffixCounts();
 }
 
-double LatencyDistribution::getSurvival(double Pace) const {
-  if (!(Pace > 0))
+double LatencyDistribution::getSurvival(double Ratio) const {
+  if (!(Ratio > 0))
     return 1;
-  const double Position = getPosition(Pace);
+  const double Position = computeBinPosition(Ratio);
   if (Position <= 0)
     return 1;
   const auto Bin = static_cast<size_t>(Position);
   if (Bin >= BinCount)
     return MinSurvival;
   const double Passed = this->Bins[Bin] * (Position - static_cast<double>(Bin));
-  return std::max(MinSurvival, (this->Longer[Bin] - Passed) / this->Longer[0]);
+  return std::max(MinSurvival,
+                  (this->SuffixCounts[Bin] - Passed) / this->SuffixCounts[0]);
 }
 
 } // namespace canvaswick
--- a/lib/Health/LatencyTable.cpp
+++ b/lib/Health/LatencyTable.cpp
@@ -16,35 +16,36 @@
 namespace canvaswick {
 
 /// A failure in less than this part of the usual time came without the work.
-static constexpr double EarlyPart = 0.25;
+static constexpr double EarlyFraction = 0.25;
 
 /// Where good answers take no longer than this, a failure's time says nothing.
-static constexpr Duration LeastTelling = fromMillis(20);
+static constexpr Duration MinTypicalTime = fromMillis(20);
 
 /// A route without an answer for this long is forgotten when the service is
 /// rebuilt. Operators add and drop routes all day.
-static constexpr Duration RouteMemory = fromSeconds(600);
+static constexpr Duration RouteTimeout = fromSeconds(600);
 
 /// Before anything is known, the usual time as a part of the objective:
 /// operators leave room for about two times the work.
-static constexpr double UsualOfObjective = 0.33;
+static constexpr double TypicalFractionOfObjective = 0.33;
 
-LatencyTable::LatencyTable(Duration Fixed) : Fixed(Fixed), OfService(Fixed) {}
+LatencyTable::LatencyTable(Duration FixedThreshold)
+    : FixedThreshold(FixedThreshold), ServiceTracker(FixedThreshold) {}
 
 void LatencyTable::add(const std::string &Route, Duration Latency,
                        TimePoint Now) {
-  this->OfService.add(Latency);
-  const auto Place = this->OfRoutes.try_emplace(
-      Route, RouteTimes{LatencyTracker(this->Fixed), Now});
-  Place.first->second.Tracker.add(Latency);
-  Place.first->second.UsedAt = Now;
+  this->ServiceTracker.add(Latency);
+  const auto Inserted = this->Routes.try_emplace(
+      Route, RouteTimes{LatencyTracker(this->FixedThreshold), Now});
+  Inserted.first->second.Tracker.add(Latency);
+  Inserted.first->second.UsedAt = Now;
 }
 
 const LatencyTracker &LatencyTable::find(const std::string &Route) const {
-  const auto Found = this->OfRoutes.find(Route);
+  const auto Found = this->Routes.find(Route);
   const bool IsKnown =
-      Found != this->OfRoutes.end() && Found->second.Tracker.isSettled();
-  return IsKnown ? Found->second.Tracker : this->OfService;
+      Found != this->Routes.end() && Found->second.Tracker.hasEnoughSamples();
+  return IsKnown ? Found->second.Tracker : this->ServiceTracker;
 }
 
 Duration LatencyTable::getMedian(const std::string &Route) const {
@@ -54,9 +55,9 @@
 Duration LatencyTable::getTypicalTime(const std::string &Route,
                                       Duration Objective) const {
   const LatencyTracker &Known = this->find(Route);
-  if (Known.isSettled())
+  if (Known.hasEnoughSamples())
     return Known.getMedian();
-  return fromSeconds(toSeconds(Objective) * UsualOfObjective);
+  return fromSeconds(toSeconds(Objective) * TypicalFractionOfObjective);
 }
 
 Duration LatencyTable::getSlowThreshold(const std::string &Route) const {
@@ -65,25 +66,25 @@
 
 RequestOutcome LatencyTable::classifyFailure(const std::string &Route,
                                              Duration Took) const {
-  const auto Found = this->OfRoutes.find(Route);
-  if (Found == this->OfRoutes.end() || !Found->second.Tracker.isSettled())
+  const auto Found = this->Routes.find(Route);
+  if (Found == this->Routes.end() || !Found->second.Tracker.hasEnoughSamples())
     return RequestOutcome::Failed;
   const Duration TypicalTime = Found->second.Tracker.getMedian();
-  if (TypicalTime <= LeastTelling)
+  if (TypicalTime <= MinTypicalTime)
     return RequestOutcome::Failed;
-  return toSeconds(Took) < EarlyPart * toSeconds(TypicalTime)
+  return toSeconds(Took) < EarlyFraction * toSeconds(TypicalTime)
              ? RequestOutcome::FailedEarly
              : RequestOutcome::FailedAfterWork;
 }
 
 void LatencyTable::adopt(const LatencyTable &Other, TimePoint Now) {
-  this->OfService = Other.OfService;
-  this->OfService.setFixed(this->Fixed);
-  for (const auto &[Route, Times] : Other.OfRoutes) {
-    if (Now - Times.UsedAt > RouteMemory)
+  this->ServiceTracker = Other.ServiceTracker;
+  this->ServiceTracker.setFixedThreshold(this->FixedThreshold);
+  for (const auto &[Route, Times] : Other.Routes) {
+    if (Now - Times.UsedAt > RouteTimeout)
       continue;
-    const auto Place = this->OfRoutes.emplace(Route, Times);
-    Place.first->second.Tracker.setFixed(this->Fixed);
+    const auto Inserted = this->Routes.emplace(Route, Times);
+    Inserted.first->second.Tracker.setFixedThreshold(this->FixedThreshold);
   }
 }
 
--- a/lib/Health/MarkovPolicy.cpp
+++ b/lib/Health/MarkovPolicy.cpp
@@ -24,11 +24,11 @@
 //===-- The model of spells -----------------------------------------------===//
 
 /// Sickness never leaves this range, so that one outcome can still move it.
-static constexpr double LeastSickness = 0.005;
-static constexpr double MostSickness = 0.995;
+static constexpr double MinUnhealthyProbability = 0.005;
+static constexpr double MaxUnhealthyProbability = 0.995;
 
 /// Parts of one in Observation::LatencyRatioPercent.
-static constexpr int PaceParts = 100;
+static constexpr int PercentScale = 100;
 
 //===-- Whether the floor is near -----------------------------------------===//
 
@@ -41,35 +41,35 @@
 /// little is known do: in a hall of 168 servers a third of what failed went to
 /// them, and the floor was taken to be far at 0.25 (unit test "what fails at
 /// servers of which little is known counts too").
-static constexpr double LikelySick = 0.5;
+static constexpr double LikelyUnhealthy = 0.5;
 
 /// A request that is out for this many times its usual time counts as one that
 /// went unserved: one in a hundred good answers takes as long.
-static constexpr double OverduePace = 3;
+static constexpr double OverdueRatio = 3;
 
 /// Outcomes that are imagined to have gone well, so that a quiet service's
 /// first failure is not taken for a rate.
-static constexpr double ImaginedGood = 10;
+static constexpr double PriorGoodOutcomes = 10;
 
 /// How long another hall's rate counts.
-static constexpr Duration RateLife = fromSeconds(2);
+static constexpr Duration RateTimeout = fromSeconds(2);
 
 /// A HallFailureRate counts in tenths of a request.
-static constexpr int RateParts = 10;
+static constexpr int RateScale = 10;
 
 //===-- Word of other halls
 //------------------------------------------------===//
 
 /// Without word from another hall for this long, its servers are tested as if
 /// they were near.
-static constexpr Duration EstimateLife = fromSeconds(2);
+static constexpr Duration EstimateTimeout = fromSeconds(2);
 
 //===-- Servers that are not reached --------------------------------------===//
 
 /// How long a server is left alone after no connection to it came about.
-/// Doubles with each failure in a row, MostDoublings times at most.
-static constexpr Duration FirstUnreachable = fromMillis(1000);
-static constexpr int MostDoublings = 2;
+/// Doubles with each failure in a row, MaxDoublings times at most.
+static constexpr Duration InitialUnreachableTime = fromMillis(1000);
+static constexpr int MaxDoublings = 2;
 
 MarkovPolicy::MarkovPolicy(PolicySetup Given)
     : Setup(std::move(Given)), InFlight(this->Setup.Servers.size()) {
@@ -77,53 +77,56 @@
     this->IndexOfServer[Server.Id] = this->Servers.size();
     ServerState State;
     State.Config = Server;
-    State.UnhealthyProbability = this->Rates.getUsualSickness();
+    State.UnhealthyProbability = this->Rates.getStationaryProbability();
     this->Servers.push_back(State);
   }
 }
 
 /// Returns the probability by what has ended, faded with time.
-double MarkovPolicy::getEndedSickness(size_t Server, TimePoint Now) const {
+double MarkovPolicy::getProbabilityFromOutcomes(size_t Server,
+                                                TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
-  return this->Rates.drift(State.UnhealthyProbability, Now - State.At);
+  return this->Rates.predict(State.UnhealthyProbability, Now - State.At);
 }
 
 /// Returns how much likelier a request is still out at a sick server than at a
 /// well one. What it says fades with its age: the server may have got well
 /// after it came.
-double MarkovPolicy::getSilenceRatio(const InFlightRequest &Request,
-                                     TimePoint Now) const {
+double MarkovPolicy::getNoAnswerLikelihoodRatio(const InFlightRequest &Request,
+                                                TimePoint Now) const {
   const Duration Age = Now - Request.Began;
   if (Request.TypicalTime <= Duration::zero() || Age <= Duration::zero())
     return 1;
-  const double Pace = toSeconds(Age) / toSeconds(Request.TypicalTime);
-  const Likelihood Seen = getSilenceLikelihood(this->Times.getSurvival(Pace));
+  const double Ratio = toSeconds(Age) / toSeconds(Request.TypicalTime);
+  const Likelihood Seen = getNoAnswerLikelihood(this->Times.getSurvival(Ratio));
   const double Kept =
-      std::exp(-toSeconds(Age) / toSeconds(this->Rates.getMemory()));
-  return 1 + (Seen.Sick / Seen.Well - 1) * Kept;
+      std::exp(-toSeconds(Age) / toSeconds(this->Rates.getTimeConstant()));
+  return 1 + (Seen.Unhealthy / Seen.Healthy - 1) * Kept;
 }
 
 double MarkovPolicy::getUnhealthyProbability(size_t Server,
                                              TimePoint Now) const {
-  const double Ended = this->getEndedSickness(Server, Now);
-  double Odds = Ended / (1 - Ended);
+  const double FromOutcomes = this->getProbabilityFromOutcomes(Server, Now);
+  double Odds = FromOutcomes / (1 - FromOutcomes);
   if (this->isOn(Mechanism::ElapsedEvidence))
     this->InFlight.visit(Server, Now, [&](const InFlightRequest &Each) {
-      Odds *= this->getSilenceRatio(Each, Now);
+      Odds *= this->getNoAnswerLikelihoodRatio(Each, Now);
     });
-  return std::clamp(Odds / (1 + Odds), LeastSickness, MostSickness);
+  return std::clamp(Odds / (1 + Odds), MinUnhealthyProbability,
+                    MaxUnhealthyProbability);
 }
 
 /// Sets what is known of a server from now on.
-void MarkovPolicy::setSickness(size_t Server, double UnhealthyProbability,
-                               TimePoint Now) {
-  this->Servers[Server].UnhealthyProbability =
-      std::clamp(UnhealthyProbability, LeastSickness, MostSickness);
+void MarkovPolicy::setUnhealthyProbability(size_t Server,
+                                           double UnhealthyProbability,
+                                           TimePoint Now) {
+  this->Servers[Server].UnhealthyProbability = std::clamp(
+      UnhealthyProbability, MinUnhealthyProbability, MaxUnhealthyProbability);
   this->Servers[Server].At = Now;
 }
 
 /// Counts how often the service as a whole refuses.
-void MarkovPolicy::noteShed(RequestOutcome Outcome, TimePoint Now) {
+void MarkovPolicy::recordShed(RequestOutcome Outcome, TimePoint Now) {
   this->RecentOutcomes.add(1, Now, RecentHalfLife);
   if (Outcome == RequestOutcome::Shed)
     this->RecentShed.add(1, Now, RecentHalfLife);
@@ -132,39 +135,40 @@
 /// Where all servers refuse, a refusal says nothing about one of them: turning
 /// away from it would send everybody to the few that were not asked of late,
 /// and overload them.
-double MarkovPolicy::getUsualShed(TimePoint Now) const {
+double MarkovPolicy::getShedRate(TimePoint Now) const {
   const double All =
-      this->RecentOutcomes.get(Now, RecentHalfLife) + ImaginedGood;
+      this->RecentOutcomes.get(Now, RecentHalfLife) + PriorGoodOutcomes;
   return this->RecentShed.get(Now, RecentHalfLife) / All;
 }
 
 void MarkovPolicy::update(size_t Server, RequestOutcome Outcome,
                           int LatencyRatioPercent, TimePoint Now) {
-  const double Before = this->getEndedSickness(Server, Now);
+  const double Before = this->getProbabilityFromOutcomes(Server, Now);
   Likelihood Seen = getLikelihood(Outcome);
-  const double Pace = LatencyRatioPercent / static_cast<double>(PaceParts);
-  if (Outcome == RequestOutcome::Overdue && Pace > 0)
-    Seen = getSilenceLikelihood(this->Times.getSurvival(Pace));
+  const double Ratio = LatencyRatioPercent / static_cast<double>(PercentScale);
+  if (Outcome == RequestOutcome::Overdue && Ratio > 0)
+    Seen = getNoAnswerLikelihood(this->Times.getSurvival(Ratio));
   if ((Outcome == RequestOutcome::Good || Outcome == RequestOutcome::Slow) &&
       this->isOn(Mechanism::LearnedTimes))
-    this->Times.add(Pace);
-  this->noteShed(Outcome, Now);
+    this->Times.add(Ratio);
+  this->recordShed(Outcome, Now);
   if (Outcome == RequestOutcome::Shed)
-    Seen.Well = std::clamp(this->getUsualShed(Now), Seen.Well, Seen.Sick);
+    Seen.Healthy =
+        std::clamp(this->getShedRate(Now), Seen.Healthy, Seen.Unhealthy);
   const ServerState &State = this->Servers[Server];
   // Without an earlier outcome there is no step to learn from.
   if (this->isOn(Mechanism::LearnedRates) && State.At != TimePoint{})
     this->Rates.learn(State.UnhealthyProbability, Now - State.At, Seen);
-  const double Sick = Before * Seen.Sick;
-  const double Well = (1 - Before) * Seen.Well;
-  this->setSickness(Server, Sick / (Sick + Well), Now);
+  const double Unhealthy = Before * Seen.Unhealthy;
+  const double Healthy = (1 - Before) * Seen.Healthy;
+  this->setUnhealthyProbability(Server, Unhealthy / (Unhealthy + Healthy), Now);
 }
 
 /// Counts outcomes at servers that are likelier well than sick.
-void MarkovPolicy::noteRecent(size_t Server, RequestOutcome Outcome,
-                              TimePoint Now) {
+void MarkovPolicy::recordRecent(size_t Server, RequestOutcome Outcome,
+                                TimePoint Now) {
   // What is still out there would have counted against it before it failed.
-  if (this->getEndedSickness(Server, Now) > LikelySick)
+  if (this->getProbabilityFromOutcomes(Server, Now) > LikelyUnhealthy)
     return;
   this->RecentAll.add(1, Now, RecentHalfLife);
   // A late answer is served all the same; one that is overdue hardly ever.
@@ -174,15 +178,15 @@
 
 /// Keeps track of whether this daemon reaches the server at all, which says
 /// little about what others reach.
-void MarkovPolicy::noteReach(ServerState &State, RequestOutcome Outcome,
-                             TimePoint Now) {
+void MarkovPolicy::recordReachability(ServerState &State,
+                                      RequestOutcome Outcome, TimePoint Now) {
   if (Outcome != RequestOutcome::Unreachable) {
     State.UnreachableInRow = 0;
     State.UnreachableUntil = TimePoint{};
     return;
   }
-  const int Doublings = std::min(State.UnreachableInRow, MostDoublings);
-  State.UnreachableUntil = Now + FirstUnreachable * (1 << Doublings);
+  const int Doublings = std::min(State.UnreachableInRow, MaxDoublings);
+  State.UnreachableUntil = Now + InitialUnreachableTime * (1 << Doublings);
   ++State.UnreachableInRow;
 }
 
@@ -193,18 +197,19 @@
     return;
   ServerState &State = this->Servers[Server];
   State.Counts.add(Outcome);
-  this->noteReach(State, Outcome, Now);
-  this->noteRecent(Server, Outcome, Now);
+  this->recordReachability(State, Outcome, Now);
+  this->recordRecent(Server, Outcome, Now);
   this->recordUse(Server, Now);
   this->update(Server, Outcome, LatencyRatioPercent, Now);
   // What this daemon does not reach, others may.
   if (Outcome != RequestOutcome::Unreachable)
-    this->News.push_back({State.Config.Id, Outcome, Load, LatencyRatioPercent});
+    this->UnsentObservations.push_back(
+        {State.Config.Id, Outcome, Load, LatencyRatioPercent});
 }
 
 void MarkovPolicy::applyObservation(size_t Server, RequestOutcome Outcome,
                                     TimePoint Now, int LatencyRatioPercent) {
-  this->noteRecent(Server, Outcome, Now);
+  this->recordRecent(Server, Outcome, Now);
   this->recordUse(Server, Now);
   this->update(Server, Outcome, LatencyRatioPercent, Now);
 }
@@ -217,7 +222,7 @@
                                        double UnhealthyProbability,
                                        TimePoint Now, double Load) {
   this->InFlight.recordRemoteLoad(Server, Load, Now);
-  this->setSickness(Server, UnhealthyProbability, Now);
+  this->setUnhealthyProbability(Server, UnhealthyProbability, Now);
   this->Servers[Server].EstimatedAt = Now;
 }
 
@@ -225,15 +230,15 @@
                                          double UnhealthyProbability,
                                          TimePoint Now) {
   // The server's own hall knows it better, and so does this daemon.
-  if (this->isUsed(Server) || this->isEstimated(Server, Now))
+  if (this->isUsed(Server) || this->hasRecentEstimate(Server, Now))
     return;
-  this->setSickness(Server, UnhealthyProbability, Now);
+  this->setUnhealthyProbability(Server, UnhealthyProbability, Now);
   // Peers have used it: it needs no first test from this daemon.
   this->recordUse(Server, Now);
 }
 
-bool MarkovPolicy::isEstimated(size_t Server, TimePoint Now) const {
-  return Now - this->Servers[Server].EstimatedAt <= EstimateLife;
+bool MarkovPolicy::hasRecentEstimate(size_t Server, TimePoint Now) const {
+  return Now - this->Servers[Server].EstimatedAt <= EstimateTimeout;
 }
 
 bool MarkovPolicy::isUsed(size_t Server) const {
@@ -260,7 +265,7 @@
     this->InFlight.visit(I, Now, [&](const InFlightRequest &Each) {
       if (Each.TypicalTime > Duration::zero() &&
           toSeconds(Now - Each.Began) >
-              OverduePace * toSeconds(Each.TypicalTime))
+              OverdueRatio * toSeconds(Each.TypicalTime))
         Overdue += 1;
     });
   return Overdue;
@@ -268,20 +273,21 @@
 
 /// Returns what part of the requests of this caution goes unserved at servers
 /// that are likelier well than sick, over all halls that told of theirs.
-double MarkovPolicy::getFailurePart(FailureCost Care, TimePoint Now) const {
+double MarkovPolicy::getUnservedFraction(FailureCost Cost,
+                                         TimePoint Now) const {
   const double Overdue = this->countOverdue(Now);
   double All =
-      this->RecentAll.get(Now, RecentHalfLife) + ImaginedGood + Overdue;
+      this->RecentAll.get(Now, RecentHalfLife) + PriorGoodOutcomes + Overdue;
   double Bad = this->RecentBad.get(Now, RecentHalfLife) + Overdue;
-  for (const auto &[Hall, Rate] : this->OtherRates) {
-    if (Now - Rate.second > RateLife)
+  for (const auto &[Hall, Rate] : this->HallRates) {
+    if (Now - Rate.second > RateTimeout)
       continue;
-    All += Rate.first.All / static_cast<double>(RateParts);
-    Bad += Rate.first.Bad / static_cast<double>(RateParts);
+    All += Rate.first.All / static_cast<double>(RateScale);
+    Bad += Rate.first.Bad / static_cast<double>(RateScale);
   }
   const double Failures = Bad / All;
   // What may be sent again goes unserved only if it fails twice.
-  return Care == FailureCost::High ? Failures : Failures * Failures;
+  return Cost == FailureCost::High ? Failures : Failures * Failures;
 }
 
 /// Returns the part of good answers that take longer than until an instant.
@@ -298,47 +304,48 @@
     return 1;
   if (Until <= Now)
     return 0;
-  const double Still =
+  const double SurvivalNow =
       getSurvivalUntil(this->Times, Request.Began, Request.TypicalTime, Now);
-  const double Later =
+  const double SurvivalAtEnd =
       getSurvivalUntil(this->Times, Request.Began, Request.TypicalTime, Until);
-  const Likelihood Silence = getSilenceLikelihood(Still);
-  const double Sick = this->getUnhealthyProbability(Request.Server, Now);
+  const Likelihood NoAnswer = getNoAnswerLikelihood(SurvivalNow);
+  const double Unhealthy = this->getUnhealthyProbability(Request.Server, Now);
   // A sick server answers some requests all the same.
-  const double Answers = 1 - Sick * getSilentPart() / Silence.Sick;
-  return Answers * (1 - Later / Still);
+  const double AnswerProbability =
+      1 - Unhealthy * getNoAnswerFraction() / NoAnswer.Unhealthy;
+  return AnswerProbability * (1 - SurvivalAtEnd / SurvivalNow);
 }
 
-AnswerProbabilities
-MarkovPolicy::getNewRequestProbabilities(size_t Server, Duration TypicalTime,
-                                         TimePoint Aim, TimePoint Deadline,
-                                         TimePoint Now) const {
+AnswerProbabilities MarkovPolicy::getNewRequestProbabilities(
+    size_t Server, Duration TypicalTime, TimePoint Objective,
+    TimePoint Deadline, TimePoint Now) const {
   if (this->Servers[Server].IsLeaving || Deadline <= Now)
     return {};
-  const double Answers =
-      1 - this->getUnhealthyProbability(Server, Now) * getFailingPart();
+  const double AnswerProbability =
+      1 - this->getUnhealthyProbability(Server, Now) * getFailureFraction();
   if (TypicalTime <= Duration::zero())
-    return {Aim > Now ? Answers : 0, Answers};
-  const auto GetPart = [&](TimePoint Until) {
+    return {Objective > Now ? AnswerProbability : 0, AnswerProbability};
+  const auto GetFraction = [&](TimePoint Until) {
     return Until <= Now
                ? 0
                : 1 - getSurvivalUntil(this->Times, Now, TypicalTime, Until);
   };
-  return {Answers * GetPart(Aim), Answers * GetPart(Deadline)};
+  return {AnswerProbability * GetFraction(Objective),
+          AnswerProbability * GetFraction(Deadline)};
 }
 
 double MarkovPolicy::getSuccessProbability(size_t Server, TimePoint Now) const {
   return this->Servers[Server].IsLeaving
              ? 0
              : 1 - this->getUnhealthyProbability(Server, Now) *
-                       getFailingPart();
+                       getFailureFraction();
 }
 
 HallFailureRate MarkovPolicy::getFailureRate(TimePoint Now) const {
   const double Overdue = this->countOverdue(Now);
   const auto Tenths = [Now, Overdue](const DecayingCount &Count) {
     return static_cast<int>(
-        std::lround(RateParts * (Count.get(Now, RecentHalfLife) + Overdue)));
+        std::lround(RateScale * (Count.get(Now, RecentHalfLife) + Overdue)));
   };
   return {0, Tenths(this->RecentAll), Tenths(this->RecentBad)};
 }
@@ -346,28 +353,28 @@
 void MarkovPolicy::applyFailureRate(const std::string &Hall,
                                     const HallFailureRate &Rate,
                                     TimePoint Now) {
-  this->OtherRates[Hall] = {Rate, Now};
+  this->HallRates[Hall] = {Rate, Now};
 }
 
 std::vector<Observation> MarkovPolicy::drainObservations() {
   std::vector<Observation> Taken;
-  Taken.swap(this->News);
+  Taken.swap(this->UnsentObservations);
   return Taken;
 }
 
 void MarkovPolicy::adopt(const MarkovPolicy &Other, TimePoint) {
-  this->News = Other.News;
+  this->UnsentObservations = Other.UnsentObservations;
   this->RecentAll = Other.RecentAll;
   this->RecentBad = Other.RecentBad;
   this->RecentOutcomes = Other.RecentOutcomes;
   this->RecentShed = Other.RecentShed;
-  this->OtherRates = Other.OtherRates;
+  this->HallRates = Other.HallRates;
   this->Times = Other.Times;
   this->Rates = Other.Rates;
   std::vector<int> Matches(Other.Servers.size(), -1);
   adoptStates(this->Servers, Other.Servers, Other.IndexOfServer,
-              [&Matches](size_t Own, size_t Old) {
-                Matches[Old] = static_cast<int>(Own);
+              [&Matches](size_t New, size_t Old) {
+                Matches[Old] = static_cast<int>(New);
               });
   this->InFlight.adopt(Other.InFlight, Matches);
 }
--- a/lib/Health/OutcomeLikelihood.cpp
+++ b/lib/Health/OutcomeLikelihood.cpp
@@ -47,14 +47,16 @@
 
 /// Part of a sick server's requests that get no answer at all. Between the
 /// kinds of sickness: some answer nothing, others fail at once.
-static constexpr double SilentPart = 0.4;
+static constexpr double NoAnswerFraction = 0.4;
 
-double getSilentPart() { return SilentPart; }
+double getNoAnswerFraction() { return NoAnswerFraction; }
 
-double getFailingPart() { return 1 - getLikelihood(RequestOutcome::Good).Sick; }
+double getFailureFraction() {
+  return 1 - getLikelihood(RequestOutcome::Good).Unhealthy;
+}
 
-Likelihood getSilenceLikelihood(double Survival) {
-  return {SilentPart + (1 - SilentPart) * Survival, Survival};
+Likelihood getNoAnswerLikelihood(double Survival) {
+  return {NoAnswerFraction + (1 - NoAnswerFraction) * Survival, Survival};
 }
 
 } // namespace canvaswick
--- a/lib/Health/OutcomeLikelihood.h
+++ b/lib/Health/OutcomeLikelihood.h
@@ -25,13 +25,13 @@
 
 /// Returns how likely a request has no answer yet. Survival is the part of good
 /// answers that take longer still.
-Likelihood getSilenceLikelihood(double Survival);
+Likelihood getNoAnswerLikelihood(double Survival);
 
 /// Returns the part of a sick server's requests that get no answer at all.
-double getSilentPart();
+double getNoAnswerFraction();
 
 /// Returns the part of a sick server's requests that get no good answer.
-double getFailingPart();
+double getFailureFraction();
 
 } // namespace canvaswick
 
--- a/lib/Health/PooledPolicy.cpp
+++ b/lib/Health/PooledPolicy.cpp
@@ -23,27 +23,27 @@
 namespace canvaswick {
 
 /// How long an owner's digest holds without being repeated.
-static constexpr Duration DigestLife = fromSeconds(10);
+static constexpr Duration SummaryTimeout = fromSeconds(10);
 
 /// Over which time used and failing servers are counted.
 static constexpr Duration UseWindow = fromSeconds(30);
 
 /// A daemon of whose other requests more than this part fail doubts itself.
-static constexpr double MaxFailingPart = 0.25;
+static constexpr double MaxFailingFraction = 0.25;
 
 /// Its last outcomes by which it judges that, and how many must be of others.
-static constexpr size_t RecentKept = 12;
-static constexpr size_t LeastOthers = 3;
+static constexpr size_t MaxRecentOutcomes = 12;
+static constexpr size_t MinOtherOutcomes = 3;
 
 /// How often at least while the pool suspects a server.
 static constexpr Duration SuspectReportInterval = fromSeconds(4);
 
 /// How often totals are reported while nothing is wrong.
-static constexpr Duration QuietReportInterval = fromSeconds(10);
+static constexpr Duration IdleReportInterval = fromSeconds(10);
 
 PooledPolicy::PooledPolicy(PolicySetup Setup)
     : Setup(std::move(Setup)), Tuning(getTuning(this->Setup.Preference)),
-      Own(this->Tuning, this->Setup.Servers.size()),
+      Local(this->Tuning, this->Setup.Servers.size()),
       ReportSequence(this->Setup.FirstSequence) {
   for (const PolicyServer &Server : this->Setup.Servers) {
     this->IndexOfServer[Server.Id] = this->Servers.size();
@@ -61,7 +61,7 @@
   // A cold server is expected to be slow.
   if (Outcome == RequestOutcome::Slow && Now < State.ColdUntil)
     return;
-  this->noteRecent(Server, Outcome);
+  this->recordRecent(Server, Outcome);
   State.LastUsed = Now;
   State.WasLastBad = Outcome != RequestOutcome::Good;
   State.WasUsed = true;
@@ -73,9 +73,10 @@
   OutcomeCounts One;
   One.add(Outcome);
   // What may be this daemon's own fault is no evidence against the server.
-  const double Limit =
-      this->isSpecific(Server) ? std::numeric_limits<double>::infinity() : 0;
-  this->Own.addCounts(Server, One, Limit, Now);
+  const double Limit = this->isServerSpecific(Server)
+                           ? std::numeric_limits<double>::infinity()
+                           : 0;
+  this->Local.addCounts(Server, One, Limit, Now);
 }
 
 void PooledPolicy::setLeaving(size_t Server, bool IsLeaving, TimePoint Now) {
@@ -88,15 +89,15 @@
   this->updateShares(Now);
 }
 
-void PooledPolicy::noteRecent(size_t Server, RequestOutcome Outcome) {
+void PooledPolicy::recordRecent(size_t Server, RequestOutcome Outcome) {
   this->Recent.emplace_back(Server, Outcome != RequestOutcome::Good);
-  if (this->Recent.size() > RecentKept)
+  if (this->Recent.size() > MaxRecentOutcomes)
     this->Recent.pop_front();
 }
 
 /// Returns whether what this daemon saw is about this server and not about the
 /// daemon itself: its last requests to other servers went well.
-bool PooledPolicy::isSpecific(size_t Server) const {
+bool PooledPolicy::isServerSpecific(size_t Server) const {
   size_t Others = 0;
   size_t Bad = 0;
   for (const auto &[Other, IsBad] : this->Recent) {
@@ -105,9 +106,9 @@
     ++Others;
     Bad += IsBad ? 1 : 0;
   }
-  return Others >= LeastOthers &&
+  return Others >= MinOtherOutcomes &&
          static_cast<double>(Bad) <=
-             MaxFailingPart * static_cast<double>(Others);
+             MaxFailingFraction * static_cast<double>(Others);
 }
 
 RemovalRules PooledPolicy::makeRules() const {
@@ -116,9 +117,9 @@
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     const ServerState &State = this->Servers[I];
     // A server that has just answered well is not removed for its past.
-    Rules.MayRemove.push_back(State.WasLastBad && this->isSpecific(I));
-    const ServerSummary *Digest = this->findDigest(I);
-    const bool IsUsable = !State.IsLeaving && (!Digest || Digest->Share >= 1);
+    Rules.MayRemove.push_back(State.WasLastBad && this->isServerSpecific(I));
+    const ServerSummary *Summary = this->findSummary(I);
+    const bool IsUsable = !State.IsLeaving && (!Summary || Summary->Share >= 1);
     Rules.Slots.push_back(IsUsable ? State.Config.Slots : 0);
     All += State.Config.Slots;
   }
@@ -128,15 +129,15 @@
 
 void PooledPolicy::expireViews(TimePoint Now) {
   for (auto &[Owner, View] : this->Views) {
-    if (!View.IsCurrent || Now - View.At <= DigestLife)
+    if (!View.IsCurrent || Now - View.At <= SummaryTimeout)
       continue;
     View.IsCurrent = false;
     // Nobody speaks for these servers any more: let them back by steps.
-    for (const ServerSummary &Digest : View.Servers) {
-      const auto Found = this->IndexOfServer.find(Digest.Server);
-      if (Found != this->IndexOfServer.end() && Digest.Share < 1 &&
-          this->Own.getPhase(Found->second) == HealthPhase::Serving)
-        this->Own.beginReturn(Found->second, Digest.Share, Now);
+    for (const ServerSummary &Summary : View.Servers) {
+      const auto Found = this->IndexOfServer.find(Summary.Server);
+      if (Found != this->IndexOfServer.end() && Summary.Share < 1 &&
+          this->Local.getPhase(Found->second) == HealthPhase::Serving)
+        this->Local.beginReturn(Found->second, Summary.Share, Now);
     }
     View.Servers.clear();
   }
@@ -144,7 +145,7 @@
 
 void PooledPolicy::advance(TimePoint Now) {
   this->expireViews(Now);
-  this->Own.advance(Now, this->makeRules());
+  this->Local.advance(Now, this->makeRules());
   this->updateShares(Now);
 }
 
@@ -161,56 +162,58 @@
   return Leading;
 }
 
-const ServerSummary *PooledPolicy::findDigest(size_t Server) const {
+const ServerSummary *PooledPolicy::findSummary(size_t Server) const {
   const OwnerView *View = this->findLeadingView();
   if (!View)
     return nullptr;
-  for (const ServerSummary &Digest : View->Servers)
-    if (Digest.Server == this->Servers[Server].Config.Id)
-      return &Digest;
+  for (const ServerSummary &Summary : View->Servers)
+    if (Summary.Server == this->Servers[Server].Config.Id)
+      return &Summary;
   return nullptr;
 }
 
-ShareWish PooledPolicy::wishFor(size_t Server, ShareReason &Reason) const {
+DesiredShare PooledPolicy::computeDesiredShare(size_t Server,
+                                               ShareReason &Reason) const {
   const ServerState &State = this->Servers[Server];
-  ShareWish Wish;
-  Wish.Slots = State.Config.Slots;
-  Wish.IsLeaving = State.IsLeaving;
-  Wish.WasReduced = State.Explanation.Share < 1;
-  Wish.Share = this->Own.getShare(Server);
-  Wish.Score = this->Own.getScore(Server);
-  Reason = Wish.Share < 1 ? ShareReason::LocalEvidence : ShareReason::Healthy;
-  if (const ServerSummary *Digest = this->findDigest(Server)) {
-    Wish.Score = std::max(Wish.Score, Digest->Score);
-    if (Digest->Share < Wish.Share) {
-      Wish.Share = Digest->Share;
-      Wish.Scope =
-          Digest->IsHallOnly ? EvidenceScope::Hall : EvidenceScope::Fleet;
-      Reason = Digest->IsHallOnly ? ShareReason::HallEvidence
-                                  : ShareReason::FleetEvidence;
+  DesiredShare Desired;
+  Desired.Slots = State.Config.Slots;
+  Desired.IsLeaving = State.IsLeaving;
+  Desired.WasReduced = State.Explanation.Share < 1;
+  Desired.Share = this->Local.getShare(Server);
+  Desired.Score = this->Local.getScore(Server);
+  Reason =
+      Desired.Share < 1 ? ShareReason::LocalEvidence : ShareReason::Healthy;
+  if (const ServerSummary *Summary = this->findSummary(Server)) {
+    Desired.Score = std::max(Desired.Score, Summary->Score);
+    if (Summary->Share < Desired.Share) {
+      Desired.Share = Summary->Share;
+      Desired.Scope =
+          Summary->IsHallOnly ? EvidenceScope::Hall : EvidenceScope::Fleet;
+      Reason = Summary->IsHallOnly ? ShareReason::HallEvidence
+                                   : ShareReason::FleetEvidence;
     }
   }
   if (State.IsLeaving)
     Reason = ShareReason::Leaving;
-  return Wish;
+  return Desired;
 }
 
 void PooledPolicy::updateShares(TimePoint Now) {
-  std::vector<ShareWish> Wishes;
+  std::vector<DesiredShare> DesiredShares;
   std::vector<ShareReason> Reasons(this->Servers.size());
-  Wishes.reserve(this->Servers.size());
+  DesiredShares.reserve(this->Servers.size());
   for (size_t I = 0; I < this->Servers.size(); ++I)
-    Wishes.push_back(this->wishFor(I, Reasons[I]));
-  const std::vector<ShareGrant> Grants =
-      applyFloor(Wishes, this->Setup.FloorPercent);
+    DesiredShares.push_back(this->computeDesiredShare(I, Reasons[I]));
+  const std::vector<GrantedShare> GrantedShares =
+      applyFloor(DesiredShares, this->Setup.FloorPercent);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     ShareExplanation &Explanation = this->Servers[I].Explanation;
-    if (Explanation.Share != Grants[I].Share)
+    if (Explanation.Share != GrantedShares[I].Share)
       Explanation.Since = Now;
-    Explanation.Share = Grants[I].Share;
-    Explanation.WantedShare = Wishes[I].Share;
+    Explanation.Share = GrantedShares[I].Share;
+    Explanation.WantedShare = DesiredShares[I].Share;
     Explanation.Reason =
-        Grants[I].IsKeptByFloor ? ShareReason::KeptByFloor : Reasons[I];
+        GrantedShares[I].IsKeptByFloor ? ShareReason::KeptByFloor : Reasons[I];
   }
 }
 
@@ -229,7 +232,7 @@
     if (State.Unreported.Good > 0 || Since >= SuspectReportInterval)
       return Since >= this->Tuning.ReportInterval;
   }
-  return Since >= QuietReportInterval;
+  return Since >= IdleReportInterval;
 }
 
 std::optional<EvidenceReport> PooledPolicy::makeReport(TimePoint Now) {
@@ -260,15 +263,15 @@
   return Report;
 }
 
-void PooledPolicy::applySummary(const EvidenceSummary &Digest, TimePoint Now) {
-  OwnerView &View = this->Views[Digest.Owner];
-  if (View.IsCurrent && Digest.Sequence <= View.Sequence)
+void PooledPolicy::applySummary(const EvidenceSummary &Summary, TimePoint Now) {
+  OwnerView &View = this->Views[Summary.Owner];
+  if (View.IsCurrent && Summary.Sequence <= View.Sequence)
     return;
-  View.Sequence = Digest.Sequence;
-  View.Rank = Digest.Rank;
+  View.Sequence = Summary.Sequence;
+  View.Rank = Summary.Rank;
   View.At = Now;
   View.IsCurrent = true;
-  View.Servers = Digest.Servers;
+  View.Servers = Summary.Servers;
   for (ServerState &State : this->Servers)
     State.IsPoolSuspect = false;
   for (const auto &[Owner, Other] : this->Views)
@@ -288,7 +291,7 @@
   adoptStates(this->Servers, Other.Servers, Other.IndexOfServer,
               [&](size_t Server, size_t Old) {
                 this->Servers[Server].IsLeaving = false;
-                this->Own.adopt(Server, Other.Own, Old);
+                this->Local.adopt(Server, Other.Local, Old);
               });
   this->updateShares(Now);
 }
@@ -296,11 +299,11 @@
 ShareExplanation PooledPolicy::explain(size_t Server) const {
   const ServerState &State = this->Servers[Server];
   ShareExplanation Explanation = State.Explanation;
-  Explanation.LocalScore = this->Own.getScore(Server);
+  Explanation.LocalScore = this->Local.getScore(Server);
   Explanation.LocalCounts = State.Counts;
-  if (const ServerSummary *Digest = this->findDigest(Server)) {
-    Explanation.PoolScore = Digest->Score;
-    Explanation.PoolSources = Digest->Sources;
+  if (const ServerSummary *Summary = this->findSummary(Server)) {
+    Explanation.PoolScore = Summary->Score;
+    Explanation.PoolSources = Summary->Sources;
   }
   return Explanation;
 }
--- a/lib/Health/RetryTiming.cpp
+++ b/lib/Health/RetryTiming.cpp
@@ -23,37 +23,37 @@
 
 /// Moments at which the attempt may be left. They lie closer together the
 /// sooner they are, since what comes later is looked at again.
-static constexpr size_t Moments = 64;
+static constexpr size_t MomentCount = 64;
 
 /// Returns a moment, counted from now.
 static Duration getMoment(size_t Index, Duration Last) {
-  const double Part = static_cast<double>(Index) / Moments;
-  return fromSeconds(toSeconds(Last) * Part * Part);
+  const double Fraction = static_cast<double>(Index) / MomentCount;
+  return fromSeconds(toSeconds(Last) * Fraction * Fraction);
 }
 
 /// Where waiting brings no more than this, there is nothing to wait for: a
 /// server that hangs holds a slot, and the caller may leave.
-static constexpr double Indifference = 0.003;
+static constexpr double MinWaitingGain = 0.003;
 
 /// A repeat must gain this much at any time: a server works in vain if the
 /// first answer comes after all.
-static constexpr double LeastPrice = 0.05;
+static constexpr double MinRetryCost = 0.05;
 
 /// From this part of the allowance on each repeat costs more, up to what the
 /// last one does: a request that hangs and would end in nothing gains more than
 /// that even when it is late, one that is merely slow does not.
-static constexpr double PricedFrom = 0.5;
-static constexpr double MostPrice = 0.2;
+static constexpr double CostRiseStart = 0.5;
+static constexpr double MaxRetryCost = 0.2;
 
-double computeRetryCost(double UsedPart) {
-  const double Short =
-      std::clamp((UsedPart - PricedFrom) / (1 - PricedFrom), 0.0, 1.0);
-  return LeastPrice + (MostPrice - LeastPrice) * Short;
+double computeRetryCost(double UsedFraction) {
+  const double Scarcity = std::clamp(
+      (UsedFraction - CostRiseStart) / (1 - CostRiseStart), 0.0, 1.0);
+  return MinRetryCost + (MaxRetryCost - MinRetryCost) * Scarcity;
 }
 
 /// Returns the part of good answers that are there after a time.
-static double getAnswered(const LatencyDistribution &Times, Duration After,
-                          Duration TypicalTime) {
+static double computeAnsweredFraction(const LatencyDistribution &Times,
+                                      Duration After, Duration TypicalTime) {
   if (After <= Duration::zero())
     return 0;
   if (TypicalTime <= Duration::zero())
@@ -64,12 +64,12 @@
 double computeAlternativeUtility(const UnansweredAttempt &Attempt,
                                  const LatencyDistribution &Times,
                                  Duration Later) {
-  const Duration Aim =
+  const Duration Objective =
       std::min(Attempt.TimeToObjective, Attempt.TimeToDeadline);
-  const double InTime =
-      getAnswered(Times, Aim - Later, Attempt.AlternativeTypicalTime);
-  const double AtAll = getAnswered(Times, Attempt.TimeToDeadline - Later,
-                                   Attempt.AlternativeTypicalTime);
+  const double InTime = computeAnsweredFraction(Times, Objective - Later,
+                                                Attempt.AlternativeTypicalTime);
+  const double AtAll = computeAnsweredFraction(
+      Times, Attempt.TimeToDeadline - Later, Attempt.AlternativeTypicalTime);
   return Attempt.AlternativeAnswerProbability *
          (InTime + LateUtility * std::max(0.0, AtAll - InTime));
 }
@@ -78,18 +78,19 @@
 
 /// The probabilities, up to a factor, that an attempt is still silent after
 /// some time.
-class Silence {
+class NoAnswerProbability {
 public:
-  Silence(const UnansweredAttempt &Attempt, const LatencyDistribution &Times)
+  NoAnswerProbability(const UnansweredAttempt &Attempt,
+                      const LatencyDistribution &Times)
       : Attempt(Attempt), Times(Times) {
-    const Likelihood Now = getSilenceLikelihood(this->getSurvival({}));
-    this->Well = (1 - Attempt.UnhealthyProbability) / Now.Well;
-    this->Sick = Attempt.UnhealthyProbability / Now.Sick;
+    const Likelihood Now = getNoAnswerLikelihood(this->getSurvival({}));
+    this->Healthy = (1 - Attempt.UnhealthyProbability) / Now.Healthy;
+    this->Unhealthy = Attempt.UnhealthyProbability / Now.Unhealthy;
   }
 
   double get(Duration Later) const {
-    const Likelihood Then = getSilenceLikelihood(this->getSurvival(Later));
-    return this->Well * Then.Well + this->Sick * Then.Sick;
+    const Likelihood Then = getNoAnswerLikelihood(this->getSurvival(Later));
+    return this->Healthy * Then.Healthy + this->Unhealthy * Then.Unhealthy;
   }
 
 private:
@@ -100,8 +101,8 @@
 
   const UnansweredAttempt &Attempt;
   const LatencyDistribution &Times;
-  double Well = 0;
-  double Sick = 0;
+  double Healthy = 0;
+  double Unhealthy = 0;
 };
 
 } // namespace
@@ -111,26 +112,26 @@
   if (Attempt.TimeToDeadline <= Duration::zero() ||
       Attempt.TypicalTime <= Duration::zero())
     return 0;
-  const Silence Silent(Attempt, Times);
-  std::array<Duration, Moments + 1> At{};
-  std::array<double, Moments + 1> StillSilent{};
-  for (size_t I = 0; I <= Moments; ++I) {
+  const NoAnswerProbability NoAnswer(Attempt, Times);
+  std::array<Duration, MomentCount + 1> At{};
+  std::array<double, MomentCount + 1> Unanswered{};
+  for (size_t I = 0; I <= MomentCount; ++I) {
     At[I] = getMoment(I, Attempt.TimeToDeadline);
-    StillSilent[I] = Silent.get(At[I]);
+    Unanswered[I] = NoAnswer.get(At[I]);
   }
-  double Worth = 0;
-  for (size_t I = Moments; I > 0; --I) {
+  double Utility = 0;
+  for (size_t I = MomentCount; I > 0; --I) {
     const bool IsInTime = (At[I - 1] + At[I]) / 2 <= Attempt.TimeToObjective;
-    const double Answered = StillSilent[I - 1] - StillSilent[I];
-    Worth =
-        (Answered * (IsInTime ? 1.0 : LateUtility) + StillSilent[I] * Worth) /
-        StillSilent[I - 1];
+    const double Answered = Unanswered[I - 1] - Unanswered[I];
+    Utility =
+        (Answered * (IsInTime ? 1.0 : LateUtility) + Unanswered[I] * Utility) /
+        Unanswered[I - 1];
     if (I > 1)
-      Worth =
-          std::max(Worth, computeAlternativeUtility(Attempt, Times, At[I - 1]) -
-                              Attempt.RetryCost);
+      Utility = std::max(Utility,
+                         computeAlternativeUtility(Attempt, Times, At[I - 1]) -
+                             Attempt.RetryCost);
   }
-  return Worth;
+  return Utility;
 }
 
 bool shouldRetryElsewhere(const UnansweredAttempt &Attempt,
@@ -138,7 +139,7 @@
   const double Now =
       computeAlternativeUtility(Attempt, Times, Duration::zero());
   return Now - Attempt.RetryCost >
-         computeWaitingUtility(Attempt, Times) - Indifference;
+         computeWaitingUtility(Attempt, Times) - MinWaitingGain;
 }
 
 } // namespace canvaswick
--- a/lib/Health/ScopeTracker.cpp
+++ b/lib/Health/ScopeTracker.cpp
@@ -32,7 +32,7 @@
 }
 
 /// Over which time the usual shares are taken.
-static constexpr Duration UsualHalfLife = fromSeconds(15);
+static constexpr Duration RateHalfLife = fromSeconds(15);
 
 /// Without news, evidence fades with this half-life.
 static constexpr Duration ScoreHalfLife = fromSeconds(60);
@@ -42,34 +42,34 @@
 static constexpr Duration SlowHalfLife = fromSeconds(0.69);
 
 /// Requests that even a healthy server fails, or answers slowly, at least.
-static constexpr double LeastUsualFailed = 0.005;
-static constexpr double LeastUsualSlow = 0.02;
+static constexpr double MinFailedRate = 0.005;
+static constexpr double MinSlowRate = 0.02;
 
 /// A sick server fails at least this share of its requests.
-static constexpr double LeastSickShare = 0.25;
+static constexpr double MinUnhealthyRate = 0.25;
 
 /// Largest weight of one request, in nats.
 static constexpr double MaxWeight = 4.0;
 
 /// The part of the servers that look best, from which the usual share is taken.
-static constexpr double HealthyPart = 0.25;
+static constexpr double HealthyFraction = 0.25;
 
 /// When more than this part looks sick at once, the cause is a common one and
 /// removing servers does not help.
-static constexpr double MaxSuspectPart = 0.75;
+static constexpr double MaxSuspectFraction = 0.75;
 
 /// What a suspect score is, as a part of the threshold, for that comparison.
-static constexpr double SuspectPart = 0.33;
+static constexpr double SuspectThresholdFraction = 0.33;
 
 /// Evidence beyond this many thresholds is not added up, so that a server that
 /// could not be removed is soon believed when it gets well.
-static constexpr double MostScore = 1.2;
+static constexpr double MaxScoreFactor = 1.2;
 
 /// Evidence below this is noise that needs no extra reports.
 static constexpr double ReportScore = 5.0;
 
 /// A server that fails again within this time is held longer.
-static constexpr Duration FlapMemory = fromSeconds(300);
+static constexpr Duration FlapWindow = fromSeconds(300);
 
 namespace {
 
@@ -94,39 +94,40 @@
 
 ScopeTracker::ScopeTracker(HealthTuning Tuning, size_t ServerCount)
     : Tuning(Tuning),
-      Servers(ServerCount), Usual{LeastUsualSlow, LeastUsualFailed} {}
+      Servers(ServerCount), Typical{MinSlowRate, MinFailedRate} {}
 
-static double getSickShare(double Usual) {
-  return std::max(LeastSickShare, Usual + (1 - Usual) * 0.5);
+static double getUnhealthyRate(double Typical) {
+  return std::max(MinUnhealthyRate, Typical + (1 - Typical) * 0.5);
 }
 
-static double getBadWeight(double Usual) {
-  return std::min(MaxWeight, std::log(getSickShare(Usual) / Usual));
+static double getBadWeight(double Typical) {
+  return std::min(MaxWeight, std::log(getUnhealthyRate(Typical) / Typical));
 }
 
-double ScopeTracker::computeAgainst(ServerState &State,
-                                    const OutcomeCounts &Counts,
-                                    TimePoint Now) const {
+double ScopeTracker::computeEvidenceAgainst(ServerState &State,
+                                            const OutcomeCounts &Counts,
+                                            TimePoint Now) const {
   // What slow answers may add fills up again at the rate of the tuning.
-  const double Room = std::max(0.0, this->Tuning.SlowPerSecond -
-                                        State.SlowTaken.get(Now, SlowHalfLife));
+  const double Budget =
+      std::max(0.0, this->Tuning.MaxSlowEvidencePerSecond -
+                        State.SlowEvidence.get(Now, SlowHalfLife));
   const double Slow =
-      std::min(Room, Counts.Slow * getBadWeight(this->Usual.Slow));
-  State.SlowTaken.add(Slow, Now, SlowHalfLife);
-  return Counts.Failed * getBadWeight(this->Usual.Failed) + Slow;
+      std::min(Budget, Counts.Slow * getBadWeight(this->Typical.Slow));
+  State.SlowEvidence.add(Slow, Now, SlowHalfLife);
+  return Counts.Failed * getBadWeight(this->Typical.Failed) + Slow;
 }
 
-double ScopeTracker::computeFor(const OutcomeCounts &Counts) const {
+double ScopeTracker::computeEvidenceFor(const OutcomeCounts &Counts) const {
   // A good request is neither failed nor slow: it speaks against the milder of
   // the two kinds of sickness, so that one good answer does not wash out more
   // than it proves.
-  const double Usual = std::min(this->Usual.Failed, this->Usual.Slow);
+  const double Typical = std::min(this->Typical.Failed, this->Typical.Slow);
   const double Weight =
-      std::log((1 - Usual) / (1 - std::max(LeastSickShare, Usual)));
+      std::log((1 - Typical) / (1 - std::max(MinUnhealthyRate, Typical)));
   return Counts.Good * Weight;
 }
 
-void ScopeTracker::fadeScore(ServerState &State, TimePoint Now) {
+void ScopeTracker::decayScore(ServerState &State, TimePoint Now) {
   if (Now > State.ScoreAt && State.Score > 0)
     State.Score *=
         std::exp2(-toSeconds(Now - State.ScoreAt) / toSeconds(ScoreHalfLife));
@@ -134,15 +135,14 @@
 }
 
 void ScopeTracker::addScore(ServerState &State, double Amount) {
-  const double Most = this->Tuning.Threshold * MostScore;
-  State.Score = std::clamp(State.Score + Amount, 0.0, Most);
+  const double MaxScore = this->Tuning.Threshold * MaxScoreFactor;
+  State.Score = std::clamp(State.Score + Amount, 0.0, MaxScore);
 }
 
-double ScopeTracker::getBadShare(const ServerState &State,
-                                 TimePoint Now) const {
+double ScopeTracker::getBadRate(const ServerState &State, TimePoint Now) const {
   const double Bad =
-      State.Failed.get(Now, UsualHalfLife) + State.Slow.get(Now, UsualHalfLife);
-  return Bad / (1 + Bad + State.Good.get(Now, UsualHalfLife));
+      State.Failed.get(Now, RateHalfLife) + State.Slow.get(Now, RateHalfLife);
+  return Bad / (1 + Bad + State.Good.get(Now, RateHalfLife));
 }
 
 double ScopeTracker::addCounts(size_t Server, const OutcomeCounts &Given,
@@ -150,51 +150,52 @@
   OutcomeCounts Counts = Given;
   assert(Server < this->Servers.size() && "server index out of range");
   ServerState &State = this->Servers[Server];
-  State.Good.add(Counts.Good, Now, UsualHalfLife);
-  State.Slow.add(Counts.Slow, Now, UsualHalfLife);
-  State.Failed.add(Counts.Failed, Now, UsualHalfLife);
+  State.Good.add(Counts.Good, Now, RateHalfLife);
+  State.Slow.add(Counts.Slow, Now, RateHalfLife);
+  State.Failed.add(Counts.Failed, Now, RateHalfLife);
   // A server that failed outright may have started anew and be cold.
   if (State.Phase == HealthPhase::Returning && !State.WasRemovedForSlowness)
     Counts.Slow = 0;
-  this->fadeScore(State, Now);
-  const double Against = std::min(this->computeAgainst(State, Counts, Now),
-                                  std::max(0.0, PositiveLimit));
-  this->addScore(State, Against - this->computeFor(Counts));
+  this->decayScore(State, Now);
+  const double Against =
+      std::min(this->computeEvidenceAgainst(State, Counts, Now),
+               std::max(0.0, PositiveLimit));
+  this->addScore(State, Against - this->computeEvidenceFor(Counts));
   State.GoodInStep += Counts.Good;
   return Against;
 }
 
 void ScopeTracker::addOtherGood(uint32_t Good, const std::vector<bool> &IsNamed,
                                 TimePoint Now) {
-  this->TotalGood.add(Good, Now, UsualHalfLife);
+  this->TotalGood.add(Good, Now, RateHalfLife);
   const auto Others = std::count(IsNamed.begin(), IsNamed.end(), false);
   if (Others == 0)
     return;
   OutcomeCounts One;
   One.Good = 1;
   const double Credit =
-      this->computeFor(One) * Good / static_cast<double>(Others);
+      this->computeEvidenceFor(One) * Good / static_cast<double>(Others);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     ServerState &State = this->Servers[I];
     if (IsNamed[I] || State.Phase != HealthPhase::Serving)
       continue;
-    this->fadeScore(State, Now);
+    this->decayScore(State, Now);
     this->addScore(State, -Credit);
   }
 }
 
 /// Returns the share of one kind of bad outcome among the servers that look
 /// best. Total is the good requests that were not counted server by server.
-double ScopeTracker::getUsualShare(DecayingCount ServerState::*Kind,
-                                   TimePoint Now, double Total,
-                                   double Least) const {
+double ScopeTracker::computeTypicalRate(DecayingCount ServerState::*Kind,
+                                        TimePoint Now, double Total,
+                                        double Minimum) const {
   std::vector<std::pair<double, double>> BadAndAll;
   const double OtherGood = Total / static_cast<double>(this->Servers.size());
   for (const ServerState &State : this->Servers) {
-    const double Bad = (State.*Kind).get(Now, UsualHalfLife);
-    const double All = OtherGood + State.Good.get(Now, UsualHalfLife) +
-                       State.Slow.get(Now, UsualHalfLife) +
-                       State.Failed.get(Now, UsualHalfLife);
+    const double Bad = (State.*Kind).get(Now, RateHalfLife);
+    const double All = OtherGood + State.Good.get(Now, RateHalfLife) +
+                       State.Slow.get(Now, RateHalfLife) +
+                       State.Failed.get(Now, RateHalfLife);
     BadAndAll.emplace_back(Bad, All);
   }
   std::sort(BadAndAll.begin(), BadAndAll.end(),
@@ -203,7 +204,7 @@
                      Right.first * (Left.second + 1);
             });
   const auto Used = static_cast<size_t>(
-      std::ceil(HealthyPart * static_cast<double>(BadAndAll.size())));
+      std::ceil(HealthyFraction * static_cast<double>(BadAndAll.size())));
   double Bad = 0;
   double All = 0;
   for (size_t I = 0; I < Used; ++I) {
@@ -212,44 +213,45 @@
   }
   // A handful of requests proves no share: lean on the least one.
   static constexpr double PriorRequests = 20;
-  const double Share = (Bad + Least * PriorRequests) / (All + PriorRequests);
-  return std::clamp(Share, Least, 0.95);
+  const double Rate = (Bad + Minimum * PriorRequests) / (All + PriorRequests);
+  return std::clamp(Rate, Minimum, 0.95);
 }
 
-void ScopeTracker::updateUsualShares(TimePoint Now) {
+void ScopeTracker::updateTypicalRates(TimePoint Now) {
   if (this->Servers.empty())
     return;
-  const double Total = this->TotalGood.get(Now, UsualHalfLife);
-  this->Usual.Failed =
-      this->getUsualShare(&ServerState::Failed, Now, Total, LeastUsualFailed);
-  this->Usual.Slow =
-      this->getUsualShare(&ServerState::Slow, Now, Total, LeastUsualSlow);
+  const double Total = this->TotalGood.get(Now, RateHalfLife);
+  this->Typical.Failed =
+      this->computeTypicalRate(&ServerState::Failed, Now, Total, MinFailedRate);
+  this->Typical.Slow =
+      this->computeTypicalRate(&ServerState::Slow, Now, Total, MinSlowRate);
 }
 
 bool ScopeTracker::areTooManySuspect() const {
   size_t Suspect = 0;
   for (const ServerState &State : this->Servers)
     if (State.Phase == HealthPhase::Removed ||
-        State.Score >= SuspectPart * this->Tuning.Threshold)
+        State.Score >= SuspectThresholdFraction * this->Tuning.Threshold)
       ++Suspect;
   const double Limit =
-      MaxSuspectPart * static_cast<double>(this->Servers.size());
+      MaxSuspectFraction * static_cast<double>(this->Servers.size());
   return Suspect > 1 && static_cast<double>(Suspect) > Limit;
 }
 
 void ScopeTracker::remove(ServerState &State, TimePoint Now) {
   const bool IsRecent = State.Removals > 0 &&
                         Now - State.LastRemoved <
-                            FlapMemory + State.HoldUntil - State.LastRemoved;
+                            FlapWindow + State.RemovedUntil - State.LastRemoved;
   State.Removals = IsRecent ? State.Removals + 1 : 1;
   const int Doublings = std::min(State.Removals - 1, 10);
-  const Duration Hold = std::min(this->Tuning.LongestHold,
-                                 this->Tuning.FirstHold * (1 << Doublings));
+  const Duration RemovalTime =
+      std::min(this->Tuning.MaxRemovalTime,
+               this->Tuning.InitialRemovalTime * (1 << Doublings));
   State.WasRemovedForSlowness =
-      State.Slow.get(Now, UsualHalfLife) > State.Failed.get(Now, UsualHalfLife);
+      State.Slow.get(Now, RateHalfLife) > State.Failed.get(Now, RateHalfLife);
   State.Phase = HealthPhase::Removed;
   State.LastRemoved = Now;
-  State.HoldUntil = Now + Hold;
+  State.RemovedUntil = Now + RemovalTime;
 }
 
 void ScopeTracker::beginReturn(size_t Server, double Share, TimePoint Now) {
@@ -259,7 +261,7 @@
   while (State.Step + 1 < std::size(ReturnSteps) &&
          ReturnSteps[State.Step].Share < Share)
     ++State.Step;
-  State.StepSince = Now;
+  State.StepStartedAt = Now;
   State.GoodInStep = 0;
   State.Score = 0;
   State.ScoreAt = Now;
@@ -273,12 +275,12 @@
   const ReturnStep &Step = ReturnSteps[State.Step];
   const int Doublings = std::clamp(State.Removals - 1, 0, MaxWaitDoublings);
   const bool HasWaited =
-      Now - State.StepSince >= Step.LongestWait * (1 << Doublings);
-  const bool HasProved = State.GoodInStep >= Step.GoodNeeded;
-  if (State.Score > 1 || (!HasWaited && !HasProved))
+      Now - State.StepStartedAt >= Step.LongestWait * (1 << Doublings);
+  const bool HasSucceeded = State.GoodInStep >= Step.GoodNeeded;
+  if (State.Score > 1 || (!HasWaited && !HasSucceeded))
     return;
   ++State.Step;
-  State.StepSince = Now;
+  State.StepStartedAt = Now;
   State.GoodInStep = 0;
   if (State.Step == std::size(ReturnSteps))
     State.Phase = HealthPhase::Serving;
@@ -304,24 +306,24 @@
 
 /// Gives back servers, the least bad first, when a wider scope has used up the
 /// floor since: they are used anyway and must go on being judged.
-void ScopeTracker::yieldToFloor(const RemovalRules &Rules) {
+void ScopeTracker::restoreToFloor(const RemovalRules &Rules) {
   double Usable = this->countUsable(Rules);
   while (Usable < Rules.FloorSlots) {
-    ServerState *Least = nullptr;
-    size_t LeastIndex = 0;
+    ServerState *Lowest = nullptr;
+    size_t LowestIndex = 0;
     for (size_t I = 0; I < this->Servers.size(); ++I) {
       ServerState &State = this->Servers[I];
       const bool IsReduced =
           State.Phase != HealthPhase::Serving && Rules.Slots[I] > 0;
-      if (!IsReduced || (Least && Least->Score <= State.Score))
+      if (!IsReduced || (Lowest && Lowest->Score <= State.Score))
         continue;
-      Least = &State;
-      LeastIndex = I;
+      Lowest = &State;
+      LowestIndex = I;
     }
-    if (!Least)
+    if (!Lowest)
       return;
-    Usable += Rules.Slots[LeastIndex] * (1 - this->getShare(LeastIndex));
-    Least->Phase = HealthPhase::Serving;
+    Usable += Rules.Slots[LowestIndex] * (1 - this->getShare(LowestIndex));
+    Lowest->Phase = HealthPhase::Serving;
   }
 }
 
@@ -338,8 +340,8 @@
               const ServerState &Second = this->Servers[Right];
               if (First.Score != Second.Score)
                 return First.Score > Second.Score;
-              return this->getBadShare(First, Now) >
-                     this->getBadShare(Second, Now);
+              return this->getBadRate(First, Now) >
+                     this->getBadRate(Second, Now);
             });
   for (const size_t I : Candidates) {
     if (Usable - Rules.Slots[I] < Rules.FloorSlots)
@@ -350,12 +352,12 @@
 }
 
 void ScopeTracker::advance(TimePoint Now, const RemovalRules &Rules) {
-  this->updateUsualShares(Now);
-  this->Doubted = this->areTooManySuspect();
-  this->yieldToFloor(Rules);
+  this->updateTypicalRates(Now);
+  this->RemovalsSuspended = this->areTooManySuspect();
+  this->restoreToFloor(Rules);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     ServerState &State = this->Servers[I];
-    this->fadeScore(State, Now);
+    this->decayScore(State, Now);
     if (State.Phase == HealthPhase::Returning)
       this->advanceReturn(State, Now);
     if (State.Phase != HealthPhase::Removed)
@@ -363,10 +365,10 @@
     // One that the floor kept in use may prove that it is well again.
     if (State.Score <= 0)
       this->beginReturn(I, 1, Now);
-    else if (Now >= State.HoldUntil)
+    else if (Now >= State.RemovedUntil)
       this->beginReturn(I, 0, Now);
   }
-  if (!this->Doubted)
+  if (!this->RemovalsSuspended)
     this->removeWorst(Now, Rules);
 }
 
@@ -402,6 +404,8 @@
   return State.Phase != HealthPhase::Serving || State.Score >= ReportScore;
 }
 
-bool ScopeTracker::isDoubted() const { return this->Doubted; }
+bool ScopeTracker::areRemovalsSuspended() const {
+  return this->RemovalsSuspended;
+}
 
 } // namespace canvaswick
--- a/lib/Health/TransitionRates.cpp
+++ b/lib/Health/TransitionRates.cpp
@@ -21,44 +21,47 @@
 
 /// Changes a second. Slower ones do not matter while requests are in flight,
 /// faster ones cannot be followed by news that takes some tens of milliseconds.
-static constexpr double LeastBeginRate = 0.002;
-static constexpr double MostBeginRate = 0.3;
-static constexpr double LeastEndRate = 0.03;
-static constexpr double MostEndRate = 1;
+static constexpr double MinOnsetRate = 0.002;
+static constexpr double MaxOnsetRate = 0.3;
+static constexpr double MinRecoveryRate = 0.03;
+static constexpr double MaxRecoveryRate = 1;
 
 /// Between outcomes further apart a server may have changed more than once.
-static constexpr Duration LongestStep = fromSeconds(2);
+static constexpr Duration MaxLearningStep = fromSeconds(2);
 
 /// Above this much time in a state what was learned of it is halved, so that
 /// the rates follow the service.
-static constexpr double MostSeconds = 600;
+static constexpr double MaxStateSeconds = 600;
 
-double TransitionRates::getBeginRate() const {
-  return std::clamp(this->Begins / this->WellSeconds, LeastBeginRate,
-                    MostBeginRate);
+double TransitionRates::getOnsetRate() const {
+  return std::clamp(this->Onsets / this->HealthySeconds, MinOnsetRate,
+                    MaxOnsetRate);
 }
 
-double TransitionRates::getEndRate() const {
-  return std::clamp(this->Ends / this->SickSeconds, LeastEndRate, MostEndRate);
+double TransitionRates::getRecoveryRate() const {
+  return std::clamp(this->Recoveries / this->UnhealthySeconds, MinRecoveryRate,
+                    MaxRecoveryRate);
 }
 
-double TransitionRates::getUsualSickness() const {
-  const double Begin = this->getBeginRate();
-  return Begin / (Begin + this->getEndRate());
+double TransitionRates::getStationaryProbability() const {
+  const double Onset = this->getOnsetRate();
+  return Onset / (Onset + this->getRecoveryRate());
 }
 
-Duration TransitionRates::getMemory() const {
-  return fromSeconds(1 / (this->getBeginRate() + this->getEndRate()));
+Duration TransitionRates::getTimeConstant() const {
+  return fromSeconds(1 / (this->getOnsetRate() + this->getRecoveryRate()));
 }
 
-double TransitionRates::drift(double Before, Duration Passed) const {
-  const double Usual = this->getUsualSickness();
-  const double Lives = toSeconds(Passed) / toSeconds(this->getMemory());
-  return Usual + (Before - Usual) * std::exp(-std::max(0.0, Lives));
+double TransitionRates::predict(double Before, Duration Passed) const {
+  const double Stationary = this->getStationaryProbability();
+  const double TimeConstants =
+      toSeconds(Passed) / toSeconds(this->getTimeConstant());
+  return Stationary +
+         (Before - Stationary) * std::exp(-std::max(0.0, TimeConstants));
 }
 
-static void fade(double &Count, double &Seconds) {
-  if (Seconds <= MostSeconds)
+static void decay(double &Count, double &Seconds) {
+  if (Seconds <= MaxStateSeconds)
     return;
   Count /= 2;
   Seconds /= 2;
@@ -66,22 +69,27 @@
 
 void TransitionRates::learn(double Before, Duration Passed,
                             const Likelihood &Seen) {
-  if (Passed <= Duration::zero() || Passed > LongestStep)
+  if (Passed <= Duration::zero() || Passed > MaxLearningStep)
     return;
-  const double FallsSick = this->drift(0, Passed);
-  const double StaysSick = this->drift(1, Passed);
-  const double WellWell = (1 - Before) * (1 - FallsSick) * Seen.Well;
-  const double WellSick = (1 - Before) * FallsSick * Seen.Sick;
-  const double SickWell = Before * (1 - StaysSick) * Seen.Well;
-  const double SickSick = Before * StaysSick * Seen.Sick;
-  const double All = WellWell + WellSick + SickWell + SickSick;
-  const double Half = (WellSick + SickWell) / 2;
-  this->Begins += WellSick / All;
-  this->Ends += SickWell / All;
-  this->WellSeconds += toSeconds(Passed) * (WellWell + Half) / All;
-  this->SickSeconds += toSeconds(Passed) * (SickSick + Half) / All;
-  fade(this->Begins, this->WellSeconds);
-  fade(this->Ends, this->SickSeconds);
+  const double BecomesUnhealthy = this->predict(0, Passed);
+  const double StaysUnhealthy = this->predict(1, Passed);
+  const double HealthyToHealthy =
+      (1 - Before) * (1 - BecomesUnhealthy) * Seen.Healthy;
+  const double HealthyToUnhealthy =
+      (1 - Before) * BecomesUnhealthy * Seen.Unhealthy;
+  const double UnhealthyToHealthy =
+      Before * (1 - StaysUnhealthy) * Seen.Healthy;
+  const double UnhealthyToUnhealthy = Before * StaysUnhealthy * Seen.Unhealthy;
+  const double All = HealthyToHealthy + HealthyToUnhealthy +
+                     UnhealthyToHealthy + UnhealthyToUnhealthy;
+  const double Half = (HealthyToUnhealthy + UnhealthyToHealthy) / 2;
+  this->Onsets += HealthyToUnhealthy / All;
+  this->Recoveries += UnhealthyToHealthy / All;
+  this->HealthySeconds += toSeconds(Passed) * (HealthyToHealthy + Half) / All;
+  this->UnhealthySeconds +=
+      toSeconds(Passed) * (UnhealthyToUnhealthy + Half) / All;
+  decay(this->Onsets, this->HealthySeconds);
+  decay(this->Recoveries, this->UnhealthySeconds);
 }
 
 } // namespace canvaswick
--- a/lib/Health/Tuning.cpp
+++ b/lib/Health/Tuning.cpp
@@ -22,7 +22,7 @@
   HealthTuning Tuning;
   Tuning.MinSources = 3;
   Tuning.HallBound = 0.6;
-  Tuning.LongestHold = fromSeconds(30);
+  Tuning.MaxRemovalTime = fromSeconds(30);
   return Tuning;
 }
 
@@ -34,24 +34,24 @@
     Tuning.ReturnThreshold = 5;
     Tuning.SourceBound = 0.4;
     Tuning.HallBound = 0.7;
-    Tuning.SlowPerSecond = 5;
-    Tuning.FirstHold = fromSeconds(4);
+    Tuning.MaxSlowEvidencePerSecond = 5;
+    Tuning.InitialRemovalTime = fromSeconds(4);
     Tuning.ReportInterval = fromMillis(500);
     return Tuning;
   case Weighing::Balanced:
     Tuning.Threshold = 14;
     Tuning.ReturnThreshold = 6;
     Tuning.SourceBound = 0.4;
-    Tuning.SlowPerSecond = 4;
-    Tuning.FirstHold = fromSeconds(5);
+    Tuning.MaxSlowEvidencePerSecond = 4;
+    Tuning.InitialRemovalTime = fromSeconds(5);
     Tuning.ReportInterval = fromSeconds(1);
     return Tuning;
   case Weighing::FalseEjections:
     Tuning.Threshold = 18;
     Tuning.ReturnThreshold = 8;
     Tuning.SourceBound = 0.34;
-    Tuning.SlowPerSecond = 4;
-    Tuning.FirstHold = fromSeconds(5);
+    Tuning.MaxSlowEvidencePerSecond = 4;
+    Tuning.InitialRemovalTime = fromSeconds(5);
     Tuning.ReportInterval = fromSeconds(1);
     return Tuning;
   }
--- a/unittests/Health/ChoiceSpeedTest.cpp
+++ b/unittests/Health/ChoiceSpeedTest.cpp
@@ -54,15 +54,15 @@
   double Sum = 0;
   const auto Began = std::chrono::steady_clock::now();
   for (int Round = 0; Round < Choices; ++Round) {
-    std::vector<double> Worths;
+    std::vector<double> Utilities;
     for (size_t I = 0; I < Servers; ++I)
-      Worths.push_back(Policy
-                           .getNewRequestProbabilities(
-                               I, fromMillis(200), Now + fromMillis(600),
-                               Now + fromSeconds(2), Now)
-                           .InTime);
+      Utilities.push_back(Policy
+                              .getNewRequestProbabilities(
+                                  I, fromMillis(200), Now + fromMillis(600),
+                                  Now + fromSeconds(2), Now)
+                              .InTime);
     for (const ServerShare &Each :
-         Policy.getSharesByUtility(Worths, FailureCost::High, Now))
+         Policy.getSharesByUtility(Utilities, FailureCost::High, Now))
       Sum += Each.Share;
   }
   const std::chrono::duration<double, std::micro> Took =
--- a/unittests/Health/CoverageSimulation.h
+++ b/unittests/Health/CoverageSimulation.h
@@ -45,7 +45,7 @@
 
 /// What the senders saw.
 struct CoverageOutcome {
-  size_t WindowsJudged = 0;
+  size_t WindowsEvaluated = 0;
   /// The least part of the sound servers that was reached in one.
   double MinReachedFraction = 1;
 };
@@ -54,7 +54,7 @@
 public:
   explicit CoverageSimulation(const CoverageScenario &Given)
       : Scenario(Given), Random(Given.Seed), Policy(makeSetup(Given)),
-        SickUntil(Given.Servers, Begin), ReachedAt(Given.Servers) {}
+        UnhealthyUntil(Given.Servers, Begin), ReachedAt(Given.Servers) {}
 
   CoverageOutcome run() {
     for (int Ms = 0; Ms < this->Scenario.LengthMs; Ms += 10) {
@@ -63,7 +63,7 @@
       this->changeHealth();
       this->send();
       if (Ms > 6000 && Ms % 100 == 0)
-        this->judge();
+        this->evaluate();
     }
     return this->Outcome;
   }
@@ -101,25 +101,25 @@
     }
   }
 
-  bool isSick(size_t Server) const {
-    return this->SickUntil[Server] > this->Now;
+  bool isUnhealthy(size_t Server) const {
+    return this->UnhealthyUntil[Server] > this->Now;
   }
 
   /// Keeps the wanted part sick; each falls sick by chance.
   void changeHealth() {
-    size_t Sick = 0;
+    size_t Unhealthy = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I)
-      Sick += this->isSick(I) ? 1 : 0;
+      Unhealthy += this->isUnhealthy(I) ? 1 : 0;
     const auto Wanted =
         static_cast<size_t>(this->Scenario.UnhealthyFraction *
                                 static_cast<double>(this->Scenario.Servers) +
                             0.5);
     std::uniform_int_distribution<size_t> Any(0, this->Scenario.Servers - 1);
     std::uniform_real_distribution<double> Length(0.5, 1.5);
-    for (; Sick < Wanted; ++Sick) {
+    for (; Unhealthy < Wanted; ++Unhealthy) {
       const size_t Server = Any(this->Random);
-      if (!this->isSick(Server))
-        this->SickUntil[Server] =
+      if (!this->isUnhealthy(Server))
+        this->UnhealthyUntil[Server] =
             this->Now + fromMillis(static_cast<int64_t>(
                             Length(this->Random) * this->Scenario.EpisodeMs));
     }
@@ -136,7 +136,7 @@
       Sent Request;
       Request.At = this->Now;
       Request.Server = Pick(this->Random);
-      Request.IsServed = !this->isSick(Request.Server);
+      Request.IsServed = !this->isUnhealthy(Request.Server);
       Request.Ends = this->Now + (Request.IsServed ? TypicalTime : Timeout);
       Request.Number = this->Policy.getInFlight().begin(
           {Request.Server, this->Now, TypicalTime});
@@ -147,7 +147,7 @@
   }
 
   /// Looks at the two seconds before, as who sends would.
-  void judge() {
+  void evaluate() {
     while (!this->Requests.empty() && this->Requests.front().HasEnded &&
            this->Requests.front().At < this->Now - Window)
       this->Requests.pop_front();
@@ -159,32 +159,33 @@
       ++All;
       Unserved += Each.IsServed ? 0 : 1;
     }
-    const double Part = static_cast<double>(Unserved) /
-                        static_cast<double>(std::max<size_t>(1, All));
-    if (Part <= 0.1 || Part >= 0.5)
+    const double UnservedFraction =
+        static_cast<double>(Unserved) /
+        static_cast<double>(std::max<size_t>(1, All));
+    if (UnservedFraction <= 0.1 || UnservedFraction >= 0.5)
       return;
-    size_t Sound = 0;
+    size_t Healthy = 0;
     size_t Reached = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I) {
       // Two seconds after it is well, and all the window.
-      if (this->SickUntil[I] + Window > this->Now - Window)
+      if (this->UnhealthyUntil[I] + Window > this->Now - Window)
         continue;
-      ++Sound;
+      ++Healthy;
       Reached += this->ReachedAt[I] >= this->Now - Window ? 1 : 0;
     }
-    if (Sound < 3 || Reached == 0)
+    if (Healthy < 3 || Reached == 0)
       return;
-    ++this->Outcome.WindowsJudged;
+    ++this->Outcome.WindowsEvaluated;
     this->Outcome.MinReachedFraction =
         std::min(this->Outcome.MinReachedFraction,
-                 static_cast<double>(Reached) / static_cast<double>(Sound));
+                 static_cast<double>(Reached) / static_cast<double>(Healthy));
   }
 
   static constexpr TimePoint Begin = TimePoint{} + fromSeconds(1000);
   const CoverageScenario &Scenario;
   std::mt19937_64 Random;
   MarkovPolicy Policy;
-  std::vector<TimePoint> SickUntil;
+  std::vector<TimePoint> UnhealthyUntil;
   std::vector<TimePoint> ReachedAt;
   std::deque<Sent> Requests;
   TimePoint Now = Begin;
--- a/unittests/Health/FloorCoverageTest.cpp
+++ b/unittests/Health/FloorCoverageTest.cpp
@@ -22,21 +22,21 @@
 using namespace canvaswick;
 
 TEST_CASE("seven in ten sound servers are reached while many requests fail") {
-  size_t Judged = 0;
+  size_t Evaluated = 0;
   for (const size_t Servers : {12, 22, 40, 120})
-    for (const double Sick : {0.1, 0.2, 0.3, 0.45})
+    for (const double Unhealthy : {0.1, 0.2, 0.3, 0.45})
       for (uint64_t Seed = 1; Seed <= 3; ++Seed) {
         CoverageScenario Scenario;
         Scenario.Servers = Servers;
-        Scenario.UnhealthyFraction = Sick;
+        Scenario.UnhealthyFraction = Unhealthy;
         Scenario.Seed = Seed;
         Scenario.RequestsPerServer = Servers > 100 ? 2 : 4;
         const CoverageOutcome Outcome = CoverageSimulation(Scenario).run();
-        Judged += Outcome.WindowsJudged;
+        Evaluated += Outcome.WindowsEvaluated;
         CAPTURE(Servers);
-        CAPTURE(Sick);
+        CAPTURE(Unhealthy);
         CAPTURE(Seed);
         CHECK(Outcome.MinReachedFraction >= 0.7);
       }
-  CHECK(Judged > 100);
+  CHECK(Evaluated > 100);
 }
--- a/unittests/Health/FloorGuardTest.cpp
+++ b/unittests/Health/FloorGuardTest.cpp
@@ -18,54 +18,56 @@
 
 using namespace canvaswick;
 
-static std::vector<ShareWish> drawWishes() {
+static std::vector<DesiredShare> drawDesiredShares() {
   const int Count = *rc::gen::inRange(0, 12);
-  std::vector<ShareWish> Wishes;
+  std::vector<DesiredShare> DesiredShares;
   for (int I = 0; I < Count; ++I) {
-    ShareWish Wish;
-    Wish.Share = *rc::gen::element(0.0, 0.04, 0.15, 0.4, 1.0);
-    Wish.Score = *rc::gen::inRange(0, 30);
-    Wish.Slots = *rc::gen::inRange(1, 6);
-    Wish.IsLeaving = *rc::gen::inRange(0, 4) == 0;
-    Wish.Scope = *rc::gen::element(EvidenceScope::Fleet, EvidenceScope::Hall,
-                                   EvidenceScope::Own);
-    Wish.WasReduced = *rc::gen::arbitrary<bool>();
-    Wishes.push_back(Wish);
+    DesiredShare Desired;
+    Desired.Share = *rc::gen::element(0.0, 0.04, 0.15, 0.4, 1.0);
+    Desired.Score = *rc::gen::inRange(0, 30);
+    Desired.Slots = *rc::gen::inRange(1, 6);
+    Desired.IsLeaving = *rc::gen::inRange(0, 4) == 0;
+    Desired.Scope = *rc::gen::element(EvidenceScope::Fleet, EvidenceScope::Hall,
+                                      EvidenceScope::Local);
+    Desired.WasReduced = *rc::gen::arbitrary<bool>();
+    DesiredShares.push_back(Desired);
   }
-  return Wishes;
+  return DesiredShares;
 }
 
 TEST_CASE("reducing shares never takes usable slots below the floor") {
   CHECK(rc::check([] {
-    const std::vector<ShareWish> Wishes = drawWishes();
+    const std::vector<DesiredShare> DesiredShares = drawDesiredShares();
     const int Floor = *rc::gen::inRange(0, 101);
-    const std::vector<ShareGrant> Grants = applyFloor(Wishes, Floor);
+    const std::vector<GrantedShare> GrantedShares =
+        applyFloor(DesiredShares, Floor);
     double All = 0;
     double NotLeaving = 0;
-    for (const ShareWish &Wish : Wishes) {
-      All += Wish.Slots;
-      NotLeaving += Wish.IsLeaving ? 0 : Wish.Slots;
+    for (const DesiredShare &Desired : DesiredShares) {
+      All += Desired.Slots;
+      NotLeaving += Desired.IsLeaving ? 0 : Desired.Slots;
     }
     // What leaves is not ours to keep: then nothing may be reduced at all.
     const double Bound = std::min(NotLeaving, All * Floor / 100);
-    RC_ASSERT(countUsableSlots(Wishes, Grants) >= Bound - 1e-9);
-    for (size_t I = 0; I < Wishes.size(); ++I) {
-      RC_ASSERT(!Wishes[I].IsLeaving || Grants[I].Share == 0);
-      RC_ASSERT(Grants[I].Share >= Wishes[I].Share || Wishes[I].IsLeaving);
+    RC_ASSERT(countUsableSlots(DesiredShares, GrantedShares) >= Bound - 1e-9);
+    for (size_t I = 0; I < DesiredShares.size(); ++I) {
+      RC_ASSERT(!DesiredShares[I].IsLeaving || GrantedShares[I].Share == 0);
+      RC_ASSERT(GrantedShares[I].Share >= DesiredShares[I].Share ||
+                DesiredShares[I].IsLeaving);
     }
   }));
 }
 
 TEST_CASE("the worst go first and the rest are kept, and it says so") {
-  std::vector<ShareWish> Wishes(4);
-  Wishes[0].Share = Wishes[1].Share = Wishes[2].Share = 0;
-  Wishes[0].Score = 10;
-  Wishes[1].Score = 30;
-  Wishes[2].Score = 20;
-  const std::vector<ShareGrant> Grants = applyFloor(Wishes, 50);
-  CHECK(Grants[1].Share == 0);
-  CHECK(Grants[2].Share == 0);
-  CHECK(Grants[0].Share == 1);
-  CHECK(Grants[0].IsKeptByFloor);
-  CHECK(!Grants[3].IsKeptByFloor);
+  std::vector<DesiredShare> DesiredShares(4);
+  DesiredShares[0].Share = DesiredShares[1].Share = DesiredShares[2].Share = 0;
+  DesiredShares[0].Score = 10;
+  DesiredShares[1].Score = 30;
+  DesiredShares[2].Score = 20;
+  const std::vector<GrantedShare> GrantedShares = applyFloor(DesiredShares, 50);
+  CHECK(GrantedShares[1].Share == 0);
+  CHECK(GrantedShares[2].Share == 0);
+  CHECK(GrantedShares[0].Share == 1);
+  CHECK(GrantedShares[0].IsKeptByFloor);
+  CHECK(!GrantedShares[3].IsKeptByFloor);
 }
--- a/unittests/Health/LatencyDistributionTest.cpp
+++ b/unittests/Health/LatencyDistributionTest.cpp
@@ -51,8 +51,8 @@
     for (const uint16_t Percent : Percents)
       Times.add(Percent / 100.0);
     double Before = 1;
-    for (double Pace = 0; Pace < 50; Pace += 0.1) {
-      const double Now = Times.getSurvival(Pace);
+    for (double Ratio = 0; Ratio < 50; Ratio += 0.1) {
+      const double Now = Times.getSurvival(Ratio);
       RC_ASSERT(Now <= Before + 1e-9);
       RC_ASSERT(Now >= LatencyDistribution::MinSurvival);
       Before = Now;
--- a/unittests/Health/MarkovPolicyTest.cpp
+++ b/unittests/Health/MarkovPolicyTest.cpp
@@ -31,7 +31,7 @@
 }
 
 /// Lets every server answer well now and then for some seconds.
-static TimePoint makeAllWell(MarkovPolicy &Policy, size_t Servers) {
+static TimePoint makeAllHealthy(MarkovPolicy &Policy, size_t Servers) {
   TimePoint Now = Start;
   for (int Round = 0; Round < 20; ++Round, Now += fromMillis(250))
     for (size_t I = 0; I < Servers; ++I)
@@ -41,7 +41,7 @@
 
 TEST_CASE("one failure takes most of a well server's traffic") {
   MarkovPolicy Policy = makePolicy(4);
-  const TimePoint Now = makeAllWell(Policy, 4);
+  const TimePoint Now = makeAllHealthy(Policy, 4);
   const double Before = Policy.getShare(0, FailureCost::High, Now);
   CHECK(Before > 0.5);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
@@ -57,15 +57,15 @@
 }
 
 TEST_CASE("a peer's observation counts like an own outcome") {
-  MarkovPolicy Own = makePolicy(3);
-  MarkovPolicy Told = makePolicy(3);
-  Own.recordOutcome(1, RequestOutcome::Failed, Start);
-  Told.applyObservation(1, RequestOutcome::Failed, Start);
-  CHECK(Own.getUnhealthyProbability(1, Start) ==
-        doctest::Approx(Told.getUnhealthyProbability(1, Start)));
-  CHECK(Told.drainObservations().empty());
-  CHECK(Own.drainObservations().size() == 1);
-  CHECK(Own.drainObservations().empty());
+  MarkovPolicy Local = makePolicy(3);
+  MarkovPolicy Peer = makePolicy(3);
+  Local.recordOutcome(1, RequestOutcome::Failed, Start);
+  Peer.applyObservation(1, RequestOutcome::Failed, Start);
+  CHECK(Local.getUnhealthyProbability(1, Start) ==
+        doctest::Approx(Peer.getUnhealthyProbability(1, Start)));
+  CHECK(Peer.drainObservations().empty());
+  CHECK(Local.drainObservations().size() == 1);
+  CHECK(Local.drainObservations().empty());
 }
 
 TEST_CASE("what is known loses its worth within seconds") {
@@ -83,7 +83,7 @@
 
 TEST_CASE("a server that this daemon does not reach is left alone") {
   MarkovPolicy Policy = makePolicy(3);
-  const TimePoint Now = makeAllWell(Policy, 3);
+  const TimePoint Now = makeAllHealthy(Policy, 3);
   Policy.drainObservations();
   Policy.recordOutcome(0, RequestOutcome::Unreachable, Now);
   CHECK(Policy.getShare(0, FailureCost::High, Now) < 0.01);
@@ -102,7 +102,7 @@
 
 TEST_CASE("while a tenth of the requests fail the floor's servers are used") {
   MarkovPolicy Policy = makePolicy(10);
-  TimePoint Now = makeAllWell(Policy, 10);
+  TimePoint Now = makeAllHealthy(Policy, 10);
   // Failures everywhere, at servers that nothing speaks against.
   for (size_t I = 0; I < 10; ++I) {
     Policy.recordOutcome(I, RequestOutcome::Failed, Now);
@@ -130,8 +130,8 @@
 // seconds, 9.9 to 11 of all.
 TEST_CASE("what fails at servers of which little is known counts too") {
   constexpr size_t Count = 40;
-  constexpr size_t Hot = 6;
-  constexpr size_t Doubtful = 30;
+  constexpr size_t Busy = 6;
+  constexpr size_t Uncertain = 30;
   MarkovPolicy Policy = makePolicy(Count);
   // Servers are sick for three quarters of a second in five, by turns. What was
   // known of each has faded since.
@@ -147,7 +147,7 @@
   CHECK(Policy.getUnhealthyProbability(0, Now) < 0.4);
   const auto SendToHot = [&](int Times, RequestOutcome Outcome) {
     for (int I = 0; I < Times; ++I)
-      for (size_t Server = 0; Server < Hot; ++Server)
+      for (size_t Server = 0; Server < Busy; ++Server)
         Policy.recordOutcome(Server, Outcome, Now);
   };
   SendToHot(25, RequestOutcome::Good);
@@ -155,7 +155,7 @@
     SendToHot(1, RequestOutcome::Failed);
     SendToHot(4, RequestOutcome::Good);
   }
-  for (size_t Server = Hot; Server < Doubtful; ++Server)
+  for (size_t Server = Busy; Server < Uncertain; ++Server)
     Policy.recordOutcome(
         Server, Server % 8 < 5 ? RequestOutcome::Failed : RequestOutcome::Good,
         Now);
@@ -170,7 +170,7 @@
 
 TEST_CASE("what can run once only tests no server that has failed") {
   MarkovPolicy Policy = makePolicy(4);
-  TimePoint Now = makeAllWell(Policy, 4);
+  TimePoint Now = makeAllHealthy(Policy, 4);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
   // By now it may be well again, and nobody has used it for a while.
@@ -185,7 +185,7 @@
 
 TEST_CASE("when a failure came decides how much it says") {
   MarkovPolicy Policy = makePolicy(3);
-  const TimePoint Now = makeAllWell(Policy, 3);
+  const TimePoint Now = makeAllHealthy(Policy, 3);
   Policy.recordOutcome(0, RequestOutcome::FailedEarly, Now);
   CHECK(Policy.getUnhealthyProbability(0, Now) > 0.8);
   // Well servers fail one in a hundred after their work.
@@ -201,7 +201,7 @@
 
 TEST_CASE("a refusal says little where all servers refuse") {
   MarkovPolicy One = makePolicy(6);
-  const TimePoint Now = makeAllWell(One, 6);
+  const TimePoint Now = makeAllHealthy(One, 6);
   MarkovPolicy All = One;
   for (int I = 0; I < 3; ++I)
     One.recordOutcome(0, RequestOutcome::Shed, Now);
@@ -276,9 +276,9 @@
         Policy.recordOutcome(Server, Outcome, Now);
       else
         Policy.applyObservation(Server, Outcome, Now);
-      for (const FailureCost Care :
+      for (const FailureCost Cost :
            {FailureCost::Low, FailureCost::Medium, FailureCost::High})
-        for (const double Share : Policy.getShares(Care, Now))
+        for (const double Share : Policy.getShares(Cost, Now))
           RC_ASSERT(Share >= 0 && Share <= 1);
       RC_ASSERT(Policy.getUnhealthyProbability(Server, Now) > 0);
       RC_ASSERT(Policy.getUnhealthyProbability(Server, Now) < 1);
@@ -288,7 +288,7 @@
 
 TEST_CASE("a request that stays out speaks against its server at once") {
   MarkovPolicy Policy = makePolicy(2);
-  const TimePoint Now = makeAllWell(Policy, 2);
+  const TimePoint Now = makeAllHealthy(Policy, 2);
   const double Before = Policy.getUnhealthyProbability(0, Now);
   const uint64_t Number = Policy.getInFlight().begin({0, Now, fromMillis(200)});
   CHECK(Policy.getUnhealthyProbability(0, Now) == doctest::Approx(Before));
@@ -302,7 +302,7 @@
 
 TEST_CASE("silence where many wait says less than at an idle server") {
   MarkovPolicy Policy = makePolicy(2);
-  const TimePoint Now = makeAllWell(Policy, 2);
+  const TimePoint Now = makeAllHealthy(Policy, 2);
   Policy.getInFlight().begin({0, Now, fromMillis(200)});
   Policy.getInFlight().begin({1, Now, fromMillis(600)});
   const TimePoint Later = Now + fromMillis(700);
@@ -312,7 +312,7 @@
 
 TEST_CASE("several requests that stay out at one server say more than one") {
   MarkovPolicy Policy = makePolicy(2);
-  const TimePoint Now = makeAllWell(Policy, 2);
+  const TimePoint Now = makeAllHealthy(Policy, 2);
   Policy.getInFlight().begin({0, Now, fromMillis(200)});
   Policy.getInFlight().replacePeer("p", 1, {{0, Now, fromMillis(200)}},
                                    Now + fromMillis(100));
@@ -324,7 +324,7 @@
 
 TEST_CASE("what was said while a request was out is not counted again") {
   MarkovPolicy Policy = makePolicy(1);
-  TimePoint Now = makeAllWell(Policy, 1);
+  TimePoint Now = makeAllHealthy(Policy, 1);
   const uint64_t Number = Policy.getInFlight().begin({0, Now, fromMillis(200)});
   Now += fromMillis(1000);
   const double WhileOut = Policy.getUnhealthyProbability(0, Now);
@@ -345,7 +345,7 @@
 
 TEST_CASE("what is expected at a server decides over its share") {
   MarkovPolicy Policy = makePolicy(3);
-  const TimePoint Now = makeAllWell(Policy, 3);
+  const TimePoint Now = makeAllHealthy(Policy, 3);
   const auto Shares =
       Policy.getSharesByUtility({0.95, 0.85, 0.0}, FailureCost::High, Now);
   CHECK(Shares[0].Share == doctest::Approx(1));
@@ -360,25 +360,25 @@
 
 TEST_CASE("the chance of an answer falls with silence and with load") {
   MarkovPolicy Policy = makePolicy(2);
-  const TimePoint Now = makeAllWell(Policy, 2);
+  const TimePoint Now = makeAllHealthy(Policy, 2);
   const Duration TypicalTime = fromMillis(200);
-  const TimePoint Aim = Now + fromMillis(600);
-  const auto GetChance = [&](size_t Server, Duration Time, TimePoint Until,
-                             TimePoint At) {
+  const TimePoint Objective = Now + fromMillis(600);
+  const auto GetProbability = [&](size_t Server, Duration Time, TimePoint Until,
+                                  TimePoint At) {
     return Policy
         .getNewRequestProbabilities(Server, Time, Until, At + fromSeconds(2),
                                     At)
         .InTime;
   };
-  const double New = GetChance(0, TypicalTime, Aim, Now);
+  const double New = GetProbability(0, TypicalTime, Objective, Now);
   CHECK(New > 0.9);
-  CHECK(GetChance(0, 3 * TypicalTime, Aim, Now) < New - 0.3);
-  CHECK(GetChance(0, TypicalTime, Now, Now) == 0);
-  const InFlightRequest Out{0, Now, TypicalTime};
-  Policy.getInFlight().begin(Out);
+  CHECK(GetProbability(0, 3 * TypicalTime, Objective, Now) < New - 0.3);
+  CHECK(GetProbability(0, TypicalTime, Now, Now) == 0);
+  const InFlightRequest Request{0, Now, TypicalTime};
+  Policy.getInFlight().begin(Request);
   const TimePoint Later = Now + fromMillis(450);
-  CHECK(Policy.getAnswerProbability(Out, Aim, Later) <
-        Policy.getAnswerProbability(Out, Aim, Now + fromMillis(150)));
-  CHECK(Policy.getAnswerProbability(Out, Aim, Later) <
-        GetChance(1, TypicalTime, Later + fromMillis(600), Later));
+  CHECK(Policy.getAnswerProbability(Request, Objective, Later) <
+        Policy.getAnswerProbability(Request, Objective, Now + fromMillis(150)));
+  CHECK(Policy.getAnswerProbability(Request, Objective, Later) <
+        GetProbability(1, TypicalTime, Later + fromMillis(600), Later));
 }
--- a/unittests/Health/PooledPolicyTest.cpp
+++ b/unittests/Health/PooledPolicyTest.cpp
@@ -60,22 +60,23 @@
 
 } // namespace
 
-static void checkFloor(const PooledPolicy &Policy, const Capacity &Known) {
+static void checkFloor(const PooledPolicy &Policy, const Capacity &Expected) {
   double Usable = 0;
-  for (size_t I = 0; I < Known.Slots.size(); ++I) {
-    if (Known.IsLeaving[I])
+  for (size_t I = 0; I < Expected.Slots.size(); ++I) {
+    if (Expected.IsLeaving[I])
       RC_ASSERT(Policy.getShare(I) == 0);
-    Usable += Known.Slots[I] * Policy.getShare(I);
+    Usable += Expected.Slots[I] * Policy.getShare(I);
   }
-  RC_ASSERT(Usable >= Known.getBound() - 1e-9);
+  RC_ASSERT(Usable >= Expected.getBound() - 1e-9);
 }
 
-static EvidenceSummary drawDigest(const PolicySetup &Setup, uint64_t Sequence) {
-  EvidenceSummary Digest;
-  Digest.Service = "s";
-  Digest.Owner = *rc::gen::element<std::string>("o1", "o2");
-  Digest.Rank = Digest.Owner == "o1" ? 0 : 1;
-  Digest.Sequence = Sequence;
+static EvidenceSummary drawSummary(const PolicySetup &Setup,
+                                   uint64_t Sequence) {
+  EvidenceSummary Summary;
+  Summary.Service = "s";
+  Summary.Owner = *rc::gen::element<std::string>("o1", "o2");
+  Summary.Rank = Summary.Owner == "o1" ? 0 : 1;
+  Summary.Sequence = Sequence;
   for (const PolicyServer &Server : Setup.Servers) {
     if (*rc::gen::arbitrary<bool>())
       continue;
@@ -84,9 +85,9 @@
     Entry.Share = *rc::gen::element(0.0, 0.04, 0.4, 1.0);
     Entry.Score = *rc::gen::inRange(0, 40);
     Entry.IsHallOnly = *rc::gen::arbitrary<bool>();
-    Digest.Servers.push_back(Entry);
+    Summary.Servers.push_back(Entry);
   }
-  return Digest;
+  return Summary;
 }
 
 static RequestOutcome drawOutcome() {
@@ -97,27 +98,27 @@
 
 TEST_CASE("the floor holds at every instant, whatever arrives") {
   CHECK(rc::check([] {
-    Capacity Known;
+    Capacity Expected;
     const int Count = *rc::gen::inRange(1, 8);
     for (int I = 0; I < Count; ++I)
-      Known.Slots.push_back(*rc::gen::inRange(1, 5));
-    Known.IsLeaving.assign(Known.Slots.size(), false);
-    Known.Floor = *rc::gen::inRange(0, 101);
-    const PolicySetup Setup = makeSetup(Known.Slots, Known.Floor);
+      Expected.Slots.push_back(*rc::gen::inRange(1, 5));
+    Expected.IsLeaving.assign(Expected.Slots.size(), false);
+    Expected.Floor = *rc::gen::inRange(0, 101);
+    const PolicySetup Setup = makeSetup(Expected.Slots, Expected.Floor);
     PooledPolicy Policy(Setup);
     TimePoint Now = TimePoint{} + fromSeconds(100);
     const int Steps = *rc::gen::inRange(1, 120);
     for (int I = 0; I < Steps; ++I) {
-      const size_t Server = *rc::gen::inRange<size_t>(0, Known.Slots.size());
+      const size_t Server = *rc::gen::inRange<size_t>(0, Expected.Slots.size());
       Now += fromMillis(*rc::gen::inRange(0, 2000));
       switch (*rc::gen::inRange(0, 6)) {
       case 0:
-        Known.IsLeaving[Server] = !Known.IsLeaving[Server];
-        Policy.setLeaving(Server, Known.IsLeaving[Server], Now);
+        Expected.IsLeaving[Server] = !Expected.IsLeaving[Server];
+        Policy.setLeaving(Server, Expected.IsLeaving[Server], Now);
         break;
       case 1:
         Policy.applySummary(
-            drawDigest(Setup, *rc::gen::inRange<uint64_t>(1, 50)), Now);
+            drawSummary(Setup, *rc::gen::inRange<uint64_t>(1, 50)), Now);
         break;
       case 2:
         Policy.advance(Now);
@@ -129,7 +130,7 @@
         Policy.recordOutcome(Server, drawOutcome(), Now);
         break;
       }
-      checkFloor(Policy, Known);
+      checkFloor(Policy, Expected);
     }
   }));
 }
@@ -159,9 +160,9 @@
 static double getShareOf(EvidencePool &Pool, int Server,
                          const std::string &Hall) {
   const ServerId Id = getServerId("s", fmt::format("{}", Server));
-  for (const ServerSummary &Digest : Pool.buildSummary(Hall).Servers)
-    if (Digest.Server == Id)
-      return Digest.Share;
+  for (const ServerSummary &Summary : Pool.buildSummary(Hall).Servers)
+    if (Summary.Server == Id)
+      return Summary.Share;
   return 1;
 }
 
@@ -172,13 +173,13 @@
     const int Steps = *rc::gen::inRange(1, 60);
     for (int I = 1; I <= Steps; ++I) {
       Now += fromMillis(*rc::gen::inRange(0, 1000));
-      std::vector<ServerEvidence> Seen;
+      std::vector<ServerEvidence> Evidence;
       for (int S = 0; S < 10; ++S)
         if (*rc::gen::inRange(0, 3) == 0)
-          Seen.push_back({getServerId("s", fmt::format("{}", S)),
-                          {0, 0, *rc::gen::inRange<uint32_t>(1, 100)}});
+          Evidence.push_back({getServerId("s", fmt::format("{}", S)),
+                              {0, 0, *rc::gen::inRange<uint32_t>(1, 100)}});
       Pool.mergeReport(
-          makeReport("one", "a", static_cast<uint64_t>(I), std::move(Seen)),
+          makeReport("one", "a", static_cast<uint64_t>(I), std::move(Evidence)),
           Now);
       Pool.advance(Now);
       for (int S = 0; S < 10; ++S)
@@ -190,10 +191,10 @@
 TEST_CASE("several sources remove a sick server for all") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
-  const ServerId Sick = getServerId("s", "4");
+  const ServerId Unhealthy = getServerId("s", "4");
   for (int I = 0; I < 6; ++I)
     Pool.mergeReport(makeReport(fmt::format("d{}", I), I % 2 ? "a" : "b", 1,
-                                {{Sick, {0, 0, 3}}}),
+                                {{Unhealthy, {0, 0, 3}}}),
                      Now);
   Pool.advance(Now);
   CHECK(getShareOf(Pool, 4, "a") == 0);
@@ -204,13 +205,15 @@
 TEST_CASE("what one hall sees removes a server for that hall only") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
-  const ServerId Cut = getServerId("s", "4");
+  const ServerId Unreachable = getServerId("s", "4");
   for (int I = 0; I < 6; ++I)
     Pool.mergeReport(
-        makeReport(fmt::format("b{}", I), "b", 1, {{Cut, {8, 0, 0}}}), Now);
+        makeReport(fmt::format("b{}", I), "b", 1, {{Unreachable, {8, 0, 0}}}),
+        Now);
   for (int I = 0; I < 6; ++I)
     Pool.mergeReport(
-        makeReport(fmt::format("a{}", I), "a", 1, {{Cut, {0, 0, 3}}}), Now);
+        makeReport(fmt::format("a{}", I), "a", 1, {{Unreachable, {0, 0, 3}}}),
+        Now);
   Pool.advance(Now);
   CHECK(getShareOf(Pool, 4, "a") == 0);
   CHECK(getShareOf(Pool, 4, "b") == 1);
@@ -294,8 +297,8 @@
   Pool.advance(Now);
   Pool.advance(Now + fromSeconds(1));
   // Three failures are not enough by themselves for this to be certain.
-  const double Once = 3 * 4.0;
-  CHECK(Once > getTuning(Weighing::Detection).Threshold);
+  const double ThreeFailures = 3 * 4.0;
+  CHECK(ThreeFailures > getTuning(Weighing::Detection).Threshold);
   CHECK(Pool.buildSummary("a").Servers.size() <= 1);
 }
 
@@ -326,7 +329,7 @@
       Tracker.advance(Now, Rules);
     }
   };
-  const auto MeasureAway = [&] {
+  const auto MeasureRemoval = [&] {
     const TimePoint Since = Now;
     while (Tracker.getShare(0) == 0) {
       Now += fromMillis(100);
@@ -335,9 +338,9 @@
     return Now - Since;
   };
   Fail();
-  const Duration First = MeasureAway();
+  const Duration First = MeasureRemoval();
   Fail();
-  const Duration Second = MeasureAway();
+  const Duration Second = MeasureRemoval();
   CHECK(Second > First * 1.5);
   double Last = 0;
   for (int I = 0; I < 100 && Tracker.getShare(0) < 1; ++I) {
--- a/unittests/Health/RetryTimingTest.cpp
+++ b/unittests/Health/RetryTimingTest.cpp
@@ -27,9 +27,9 @@
 static LatencyDistribution makeTimes() {
   LatencyDistribution Times;
   std::mt19937 Random(7);
-  std::lognormal_distribution<double> Pace(0, 0.45);
+  std::lognormal_distribution<double> Ratio(0, 0.45);
   for (int I = 0; I < 1500; ++I)
-    Times.add(Pace(Random));
+    Times.add(Ratio(Random));
   return Times;
 }
 
@@ -54,15 +54,15 @@
                              toSeconds(Attempt.TypicalTime));
   };
   // A sick server leaves four in ten without an answer.
-  const auto Sick = [&](Duration Elapsed) {
+  const auto Unhealthy = [&](Duration Elapsed) {
     return 0.4 + 0.6 * Survival(Elapsed);
   };
   const Duration Then = Attempt.Elapsed + Span;
-  const double SickMass =
-      Attempt.UnhealthyProbability * Sick(Then) / Sick(Attempt.Elapsed);
-  const double WellMass = (1 - Attempt.UnhealthyProbability) * Survival(Then) /
-                          Survival(Attempt.Elapsed);
-  Attempt.UnhealthyProbability = SickMass / (SickMass + WellMass);
+  const double UnhealthyMass = Attempt.UnhealthyProbability * Unhealthy(Then) /
+                               Unhealthy(Attempt.Elapsed);
+  const double HealthyMass = (1 - Attempt.UnhealthyProbability) *
+                             Survival(Then) / Survival(Attempt.Elapsed);
+  Attempt.UnhealthyProbability = UnhealthyMass / (UnhealthyMass + HealthyMass);
   Attempt.Elapsed = Then;
   Attempt.TimeToObjective -= Span;
   Attempt.TimeToDeadline -= Span;
@@ -71,13 +71,14 @@
 
 /// What waiting until Leave and then leaving is worth, or waiting to the end if
 /// Leave is the deadline, added up in steps of 5 ms.
-static double getWorthOfLeavingAt(UnansweredAttempt Attempt, Duration Leave,
-                                  const LatencyDistribution &Times) {
+static double computeUtilityOfRetryAt(UnansweredAttempt Attempt,
+                                      Duration RetryAt,
+                                      const LatencyDistribution &Times) {
   constexpr Duration Step = fromMillis(5);
   const UnansweredAttempt First = Attempt;
-  double Silent = 1;
-  double Worth = 0;
-  for (Duration At{}; At < Leave; At += Step) {
+  double NoAnswer = 1;
+  double Utility = 0;
+  for (Duration At{}; At < RetryAt; At += Step) {
     const UnansweredAttempt Next = wait(Attempt, Step, Times);
     const auto Survival = [&](const UnansweredAttempt &Each) {
       return Times.getSurvival(toSeconds(Each.Elapsed) /
@@ -89,15 +90,15 @@
         (1 - Attempt.UnhealthyProbability) * (1 - After / Before) +
         Attempt.UnhealthyProbability * 0.6 * (Before - After) /
             (0.4 + 0.6 * Before);
-    Worth += Silent * Answered *
-             (Attempt.TimeToObjective > Duration::zero() ? 1 : LateUtility);
-    Silent *= 1 - Answered;
+    Utility += NoAnswer * Answered *
+               (Attempt.TimeToObjective > Duration::zero() ? 1 : LateUtility);
+    NoAnswer *= 1 - Answered;
     Attempt = Next;
   }
-  if (Leave >= First.TimeToDeadline)
-    return Worth;
-  return Worth + Silent * (computeAlternativeUtility(Attempt, Times, {}) -
-                           Attempt.RetryCost);
+  if (RetryAt >= First.TimeToDeadline)
+    return Utility;
+  return Utility + NoAnswer * (computeAlternativeUtility(Attempt, Times, {}) -
+                               Attempt.RetryCost);
 }
 
 /// Returns the best moment to leave at and what it is worth.
@@ -105,16 +106,16 @@
                                             const LatencyDistribution &Times) {
   std::pair<Duration, double> Best{Duration::zero(), -1};
   for (Duration At{}; At <= Attempt.TimeToDeadline; At += fromMillis(25)) {
-    const double Worth = getWorthOfLeavingAt(Attempt, At, Times);
-    if (Worth > Best.second)
-      Best = {At, Worth};
+    const double Utility = computeUtilityOfRetryAt(Attempt, At, Times);
+    if (Utility > Best.second)
+      Best = {At, Utility};
   }
   return Best;
 }
 
 /// Returns when the decision leaves, asked all the time, or the deadline.
-static Duration findDecided(const UnansweredAttempt &Attempt,
-                            const LatencyDistribution &Times) {
+static Duration findChosenTime(const UnansweredAttempt &Attempt,
+                               const LatencyDistribution &Times) {
   for (Duration At{}; At < Attempt.TimeToDeadline; At += fromMillis(5))
     if (shouldRetryElsewhere(wait(Attempt, At, Times), Times))
       return At;
@@ -134,9 +135,9 @@
     Attempt.TimeToDeadline = fromMillis(*rc::gen::inRange(300, 3000));
     Attempt.RetryCost = *rc::gen::inRange(0, 20) / 100.0;
     const double Best = findBest(Attempt, Times).second;
-    const double Decided =
-        getWorthOfLeavingAt(Attempt, findDecided(Attempt, Times), Times);
-    RC_ASSERT(Decided >= Best - 0.01);
+    const double Chosen =
+        computeUtilityOfRetryAt(Attempt, findChosenTime(Attempt, Times), Times);
+    RC_ASSERT(Chosen >= Best - 0.01);
   }));
 }
 
@@ -144,30 +145,30 @@
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.05;
-  const Duration Left = findDecided(Attempt, Times);
+  const Duration ChosenTime = findChosenTime(Attempt, Times);
   // At the median nothing speaks for leaving.
-  CHECK(Left > fromMillis(100));
+  CHECK(ChosenTime > fromMillis(100));
   // Nine in ten answers elsewhere still come within the objective.
-  CHECK(Left < fromMillis(650));
+  CHECK(ChosenTime < fromMillis(650));
 }
 
 TEST_CASE("a server that is surely sick is left sooner than a well one") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.99;
-  const Duration OfSick = findDecided(Attempt, Times);
+  const Duration ChosenIfUnhealthy = findChosenTime(Attempt, Times);
   Attempt.UnhealthyProbability = 0.05;
-  CHECK(OfSick < findDecided(Attempt, Times));
+  CHECK(ChosenIfUnhealthy < findChosenTime(Attempt, Times));
 }
 
 TEST_CASE("it follows other times and objectives by itself") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.05;
-  const Duration Left = Attempt.Elapsed + findDecided(Attempt, Times);
+  const Duration ChosenTime = Attempt.Elapsed + findChosenTime(Attempt, Times);
   Attempt.TimeToObjective *= 3;
   Attempt.TimeToDeadline *= 3;
-  CHECK(Attempt.Elapsed + findDecided(Attempt, Times) > Left);
+  CHECK(Attempt.Elapsed + findChosenTime(Attempt, Times) > ChosenTime);
 }
 
 TEST_CASE("past the objective one that hangs is still left before the end") {
@@ -185,7 +186,7 @@
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.AlternativeAnswerProbability = 0;
-  CHECK(findDecided(Attempt, Times) == Attempt.TimeToDeadline);
+  CHECK(findChosenTime(Attempt, Times) == Attempt.TimeToDeadline);
   Attempt = makeAttempt();
   Attempt.TimeToDeadline = Duration::zero();
   CHECK_FALSE(shouldRetryElsewhere(Attempt, Times));
