--- a/include/canvaswick/Health/Evidence.h
+++ b/include/canvaswick/Health/Evidence.h
@@ -1,4 +1,4 @@
-//===- Evidence.h - Messages by which daemons pool evidence -----*- C++ -*-===//
+//===- Evidence.h - Messages that pool health evidence ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A daemon reports what its requests showed to the owners of a service's
-/// pool; an owner sends back a digest of what all reports together show.
+/// Declares the messages by which daemons pool evidence about backend servers.
+/// A daemon reports its request outcomes to the owners of a service's evidence
+/// pool. An owner answers with a summary of all reports.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,53 +24,56 @@
 
 namespace canvaswick {
 
-/// Names a backend server in messages: a hash of "service/server", the same in
-/// every version of the settings.
+/// Identifies a backend server in messages. It is a hash of "service/server"
+/// and is the same in every version of the settings.
 using ServerId = uint32_t;
 
-/// Returns the id of a server.
+/// Returns the identifier of a server.
 ServerId getServerId(const std::string &Service, const std::string &Server);
 
-/// Counts about one server since the source's last report.
+/// Outcome counts of one server since the source's previous report.
 struct ServerEvidence {
   ServerId Server = 0;
   OutcomeCounts Counts;
 };
 
-/// What one daemon saw of one service since its last report.
+/// The outcomes that one daemon observed for one service since its previous
+/// report.
 struct EvidenceReport {
   std::string Service;
   std::string Source;
   std::string Hall;
-  /// Grows with each report of the source, so that a report that arrives
-  /// twice counts once.
+  /// Increases with each report of the source, so that duplicate reports are
+  /// ignored.
   uint64_t Sequence = 0;
-  /// Good requests to servers that are not named below.
+  /// Good requests to servers that are not listed in Servers.
   uint32_t OtherGood = 0;
-  /// Distinct servers that the source used in the last window.
+  /// Number of distinct servers that the source used in the last 30 s.
   uint32_t UsedServers = 0;
   std::vector<ServerEvidence> Servers;
 };
 
-/// What the pool thinks of one server, for the daemons of one hall.
+/// The pool's result for one server, for the daemons of one hall.
 struct ServerSummary {
   ServerId Server = 0;
-  /// Part of its fair share that the server should get, from 0 to 1.
+  /// Fraction of its fair share that the server should get, from 0 to 1.
   double Share = 1;
-  /// The evidence against it in nats, and how many sources it came from.
+  /// Evidence against the server in nats, and the number of sources that
+  /// contributed to it.
   double Score = 0;
   uint32_t Sources = 0;
-  /// Whether the evidence is from the reader's hall alone.
+  /// Whether the share is reduced by evidence of the recipient's hall alone.
   bool IsHallOnly = false;
 };
 
-/// What the pool of one owner thinks, for the daemons of one hall. Servers that
-/// are not named are not suspect.
+/// The results of one owner's pool for the daemons of one hall. It has no
+/// evidence against servers that are not listed.
 struct EvidenceSummary {
   std::string Service;
   std::string Owner;
-  /// The owner's place among the owners, as it sees it. Of several digests the
-  /// one of the lowest rank holds, so that all daemons follow one of them.
+  /// The position of the owner among the owners of the pool, as the owner sees
+  /// it. A daemon that has summaries of several owners follows the one with the
+  /// lowest rank, so that all daemons follow the same owner.
   uint32_t Rank = 0;
   uint64_t Sequence = 0;
   std::vector<ServerSummary> Servers;
--- a/include/canvaswick/Health/EvidencePool.h
+++ b/include/canvaswick/Health/EvidencePool.h
@@ -1,5 +1,4 @@
-//===- EvidencePool.h - The pool of evidence about one service, kept by its
-// owner -*- C++ -*-===//
+//===- EvidencePool.h - Pooled evidence of one service ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,10 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Takes reports from all daemons, bounds what one source and one hall can do,
-/// doubts a source that sees most of its servers fail, and makes digests. An
-/// owner decides nothing for others: each daemon applies the digest under its
-/// own floor.
+/// Declares the evidence pool that an owner keeps for one service. It merges
+/// the reports of all daemons, limits the evidence that one source or one hall
+/// can contribute, ignores failures reported by a source that sees most of its
+/// servers fail, and builds summaries. Summaries are advisory: each daemon
+/// applies them subject to its own floor.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,48 +29,54 @@
 
 namespace canvaswick {
 
-/// What a pool must know of a server.
+/// The configuration of a server that the pool needs.
 struct PooledServer {
   ServerId Id = 0;
   int Slots = 1;
   bool operator==(const PooledServer &) const = default;
 };
 
-/// Evidence about the servers of one service from every daemon.
+/// Evidence about the servers of one service from all daemons. Not thread-safe.
 class EvidencePool {
 public:
-  /// Owner is the name of the daemon that keeps the pool. Digests are numbered
-  /// from FirstSequence, so that a new owner is not taken for its own past.
+  /// Creates the pool of the daemon Owner. Summaries are numbered from
+  /// FirstSequence, so that daemons do not take those of a restarted owner for
+  /// old ones.
   EvidencePool(std::string Service, std::string Owner, HealthTuning Tuning,
                std::vector<PooledServer> Servers, int FloorPercent,
                uint64_t FirstSequence);
 
-  /// Takes over what an earlier version of the pool knows.
+  /// Copies the state of the pool of an earlier version of the settings, for
+  /// the servers that are in both.
   void adopt(const EvidencePool &Other);
 
-  /// Takes a report once. Unknown servers and old reports are left out.
+  /// Merges a report. Ignores duplicate and outdated reports and unknown
+  /// servers.
   void mergeReport(const EvidenceReport &Report, TimePoint Now);
 
-  /// Moves the verdicts on. Call at least every second.
+  /// Removes and readmits servers according to the evidence. Must be called at
+  /// least once per second.
   void advance(TimePoint Now);
 
-  /// Returns the digest for a hall, with every server that is suspect.
+  /// Returns a summary for a hall that lists every suspect server.
   EvidenceSummary buildSummary(const std::string &Hall);
 
-  /// Sets this owner's place among the owners.
+  /// Sets the position of this owner among the owners.
   void setRank(uint32_t Rank) { this->Rank = Rank; }
 
-  /// Notes that all daemons of a hall were sent what there is to say now.
+  /// Records that the current state was sent to all daemons of a hall.
   void recordSent(const std::string &Hall);
 
-  /// Returns whether a digest differs in substance from the last one for the
-  /// hall, so that it should be sent at once.
+  /// Returns whether the shares or the set of suspect servers have changed
+  /// since the last summary sent to a hall, so that a new one should be sent at
+  /// once.
   bool hasUpdates(const std::string &Hall) const;
 
-  /// Returns whether anything is suspect, so that digests must be repeated.
+  /// Returns whether any server is suspect, so that summaries must be sent
+  /// periodically.
   bool hasSuspects() const;
 
-  /// Returns the daemons of a hall that have reported since.
+  /// Returns the daemons of a hall whose last report arrived at or after Since.
   std::vector<std::string> getSources(const std::string &Hall,
                                       TimePoint Since) const;
 
@@ -80,14 +86,15 @@
   /// Returns the servers in the order of the settings.
   const std::vector<PooledServer> &getServers() const { return this->Servers; }
 
-  /// Returns the floor it keeps to, in percent of all slots.
+  /// Returns the operators' floor in percent of all slots.
   int getFloorPercent() const { return this->FloorPercent; }
 
-  /// Returns whether a source's evidence is taken.
+  /// Returns whether failures that a source reports are accepted. An unknown
+  /// source is credible.
   bool isCredible(const std::string &Source, TimePoint Now) const;
 
 private:
-  /// What a source saw of late of a server that failed it.
+  /// Recent outcomes that a source reported for a server with failures.
   struct SeenServer {
     DecayingCount Good;
     DecayingCount Bad;
@@ -99,7 +106,8 @@
     TimePoint LastReport{};
     std::unordered_map<size_t, SeenServer> Seen;
   };
-  /// What one source or hall has contributed against one server.
+  /// Evidence in nats that one source or hall has recently contributed against
+  /// one server.
   struct Contribution {
     DecayingCount Accepted;
   };
--- a/include/canvaswick/Health/FloorGuard.h
+++ b/include/canvaswick/Health/FloorGuard.h
@@ -1,4 +1,4 @@
-//===- FloorGuard.h - Keeps removals above the operators' floor -*- C++ -*-===//
+//===- FloorGuard.h - Enforces the operators' floor -------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The last step of every decision about shares. Whatever the evidence says,
-/// the slots that stay in use never fall below the floor because of it.
+/// Declares the last step of every decision about shares: it limits reductions
+/// so that the slots that remain in use do not fall below the operators' floor.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,38 +21,44 @@
 
 namespace canvaswick {
 
-/// Whose evidence it is, widest first.
+/// The daemons whose evidence applies, widest scope first.
 enum class EvidenceScope : uint8_t { Fleet, Hall, Local };
 
-/// What the evidence wants for one server.
+/// The share that the evidence suggests for one server.
 struct DesiredShare {
-  /// Wanted part of the fair share, from 0 to 1.
+  /// Desired fraction of the fair share, from 0 to 1.
   double Share = 1;
-  /// How strong the evidence is; the worst go first.
+  /// Strength of the evidence in nats. Within a scope, and with equal shares,
+  /// the server with the highest score is reduced first.
   double Score = 0;
   int Slots = 1;
-  /// Leaving or drained: no new work, whatever the floor says.
+  /// Whether the server is leaving or drained. It gets no new requests,
+  /// whatever the floor is.
   bool IsLeaving = false;
-  /// Who shares the evidence. What more daemons agree on goes first, so that
-  /// they do not spend the floor on different servers.
+  /// The daemons that share the evidence. Servers with evidence of a wider
+  /// scope are reduced first, so that daemons do not use up the floor on
+  /// different servers.
   EvidenceScope Scope = EvidenceScope::Local;
-  /// Whether the last decision reduced it, so that ties do not flip.
+  /// Whether the previous decision reduced the server. Such servers go first,
+  /// so that decisions do not alternate between equal servers.
   bool WasReduced = false;
 };
 
-/// What one server is given.
+/// The share that one server gets.
 struct GrantedShare {
   double Share = 1;
-  /// The evidence wanted less, and the floor kept it.
+  /// Whether the evidence suggests a lower share that the floor does not allow.
   bool IsKeptByFloor = false;
 };
 
-/// Returns the shares to use. Reduces the worst first while the slots in use,
-/// weighed by share, stay at or above FloorPercent of all configured slots.
+/// Returns the shares to use. Reduces the servers with the strongest evidence
+/// first, as long as the slots in use, weighted by share, stay at or above
+/// FloorPercent of all configured slots.
 std::vector<GrantedShare>
 applyFloor(const std::vector<DesiredShare> &DesiredShares, int FloorPercent);
 
-/// Returns the slots in use, weighed by share, of servers that do not leave.
+/// Returns the slots in use, weighted by share, of servers that are not
+/// leaving.
 double countUsableSlots(const std::vector<DesiredShare> &DesiredShares,
                         const std::vector<GrantedShare> &GrantedShares);
 
--- a/include/canvaswick/Health/HealthPolicy.h
+++ b/include/canvaswick/Health/HealthPolicy.h
@@ -1,4 +1,4 @@
-//===- HealthPolicy.h - Who gets traffic: the policies ----------*- C++ -*-===//
+//===- HealthPolicy.h - Policies for server shares --------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One policy object per daemon and service turns outcomes and digests into the
-/// share of traffic of each backend server. Three policies stand side by side
-/// so that the bench compares them on the same ground.
+/// Declares the policies that turn outcomes and evidence summaries into the
+/// share of requests of each backend server. There is one policy object per
+/// daemon and service. The three policies have the same interface, so that a
+/// simulation can compare them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -31,29 +32,29 @@
 
 namespace canvaswick {
 
-/// What a policy must know of a server.
+/// The configuration of a server that a policy needs.
 struct PolicyServer {
   ServerId Id = 0;
   int Slots = 1;
 };
 
-/// What a policy must know of its service and daemon.
+/// The configuration of the service and the daemon that a policy needs.
 struct PolicySetup {
   std::string Service;
   std::string Source;
   std::string Hall;
   Weighing Preference = Weighing::Balanced;
   int FloorPercent = 0;
-  /// A server that comes back from leaving may be slow for this long.
+  /// Time for which a server may be slow after it stops leaving.
   Duration ColdStart{};
-  /// Reports are numbered from here, so that a daemon that starts anew is not
-  /// taken for its own past.
+  /// First sequence number of reports, so that owners do not take those of a
+  /// restarted daemon for old ones.
   uint64_t FirstSequence = 0;
   std::vector<PolicyServer> Servers;
   PolicySwitches Switches;
 };
 
-/// Why a server has the share it has.
+/// The reason for the share of a server.
 enum class ShareReason : uint8_t {
   Healthy,
   LocalEvidence,
@@ -61,30 +62,30 @@
   FleetEvidence,
   Leaving,
   KeptByFloor,
-  /// The server asked for rest.
+  /// The server asked for backoff.
   Resting,
-  /// The server named a limit.
+  /// The server announced a request limit.
   Limited,
 };
 
-/// Returns the name of a reason as reports print it.
+/// Returns the name of a reason as it appears in reports.
 const char *getName(ShareReason Reason);
 
-/// The explanation of one server's share, for operators.
+/// Explains the share of one server to operators.
 struct ShareExplanation {
   double Share = 1;
   ShareReason Reason = ShareReason::Healthy;
-  /// What the evidence wanted before the floor.
+  /// The share that the evidence suggests, before the floor is applied.
   double WantedShare = 1;
   double LocalScore = 0;
   double PoolScore = 0;
   uint32_t PoolSources = 0;
-  /// When the share last changed.
+  /// Time of the last change of the share.
   TimePoint Since{};
   OutcomeCounts LocalCounts;
 };
 
-/// Removes nothing: what happens without any policy.
+/// Never removes a server. Serves as the reference without a health policy.
 class NonePolicy {
 public:
   explicit NonePolicy(PolicySetup Setup);
@@ -97,8 +98,9 @@
   std::vector<bool> Leaving;
 };
 
-/// The common default: each daemon alone removes a server after five failures
-/// in a row, for 30 s times the number of removals, at most 10 % of servers.
+/// The common outlier ejection: each daemon on its own removes a server after
+/// five consecutive failures, for 30 s times the number of its removals, and
+/// removes at most 10 % of the servers (but at least one).
 class BaselinePolicy {
 public:
   explicit BaselinePolicy(PolicySetup Setup);
@@ -120,8 +122,8 @@
   std::vector<ServerState> Servers;
 };
 
-/// Ours: own evidence, pooled evidence of the hall and of the fleet, and the
-/// operators' floor.
+/// Combines local evidence, pooled evidence of the hall and of the fleet, and
+/// the operators' floor. Not thread-safe.
 class PooledPolicy {
 public:
   explicit PooledPolicy(PolicySetup Setup);
@@ -130,17 +132,19 @@
   void advance(TimePoint Now);
   double getShare(size_t Server) const;
 
-  /// Returns a report if one is due. Sending it is the caller's work; a report
-  /// that is lost is not sent again.
+  /// Returns a report if one is due. The caller sends it; a lost report is not
+  /// sent again.
   std::optional<EvidenceReport> makeReport(TimePoint Now);
 
-  /// Takes an owner's digest. Older ones than the last are left out.
+  /// Applies a summary of an owner. Ignores summaries that are older than the
+  /// last one of the same owner.
   void applySummary(const EvidenceSummary &Summary, TimePoint Now);
 
-  /// Takes over the evidence of an earlier version of the service.
+  /// Copies the evidence of the policy of an earlier version of the settings,
+  /// for the servers that are in both.
   void adopt(const PooledPolicy &Other, TimePoint Now);
 
-  /// Returns why a server has its share.
+  /// Returns the reason for the share of a server.
   ShareExplanation explain(size_t Server) const;
 
 private:
@@ -183,34 +187,35 @@
   uint64_t ReportSequence = 0;
   TimePoint LastReport{};
   bool HasUnreportedBad = false;
-  /// The last outcomes of this daemon, oldest first: server, and whether bad.
+  /// The last outcomes of this daemon, oldest first: the server and whether the
+  /// outcome was not good.
   std::deque<std::pair<size_t, bool>> Recent;
 };
 
 /// Any of the policies.
 using HealthPolicy = std::variant<NonePolicy, BaselinePolicy, PooledPolicy>;
 
-/// The policies by name.
+/// Identifies a policy.
 enum class PolicyKind : uint8_t { None, Baseline, Pooled };
 
-/// Returns the name of a policy as the bench takes it.
+/// Returns the name of a policy as it appears on the command line.
 const char *getName(PolicyKind Kind);
 
-/// Returns the policy called Name, or nothing.
+/// Returns the policy called Name, or nothing if there is none.
 std::optional<PolicyKind> findPolicyKind(const std::string &Name);
 
-/// Makes a policy.
+/// Creates a policy.
 HealthPolicy makeHealthPolicy(PolicyKind Kind, PolicySetup Setup);
 
-/// Forwards one outcome to whichever policy it is.
+/// Forwards an outcome to the policy.
 void recordOutcome(HealthPolicy &Policy, size_t Server, RequestOutcome Outcome,
                    TimePoint Now);
 
-/// Marks a server as leaving or not.
+/// Marks a server as leaving or not leaving.
 void setLeaving(HealthPolicy &Policy, size_t Server, bool IsLeaving,
                 TimePoint Now);
 
-/// Moves a policy on in time.
+/// Advances the state of the policy to Now.
 void advancePolicy(HealthPolicy &Policy, TimePoint Now);
 
 /// Returns the share of a server.
--- a/include/canvaswick/Health/InFlightTable.h
+++ b/include/canvaswick/Health/InFlightTable.h
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Which requests the daemons of one hall have in flight at the servers of one
-/// service. Each daemon tells its peers all that it has out, so that a message
-/// that is lost or overtaken does no lasting harm.
+/// Declares the table of requests that the daemons of one hall have in flight
+/// at the servers of one service. Each daemon sends its peers the complete list
+/// of its requests, so that the table recovers from lost and reordered
+/// messages.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,15 +27,16 @@
 
 namespace canvaswick {
 
-/// One request at a server, by the clock of the daemon that keeps the table.
+/// A request in flight at a server. Times are those of the local clock.
 struct InFlightRequest {
   size_t Server = 0;
   TimePoint Began{};
-  /// The usual time of its kind at the server's load; zero: not known.
+  /// Typical time of such a request at the server's load, or zero if it is
+  /// unknown.
   Duration TypicalTime{};
 };
 
-/// One request at a server, as daemons tell it to each other.
+/// A request in flight as daemons report it to each other.
 struct InFlightReport {
   ServerId Server = 0;
   int AgeMs = 0;
@@ -43,34 +45,35 @@
   bool operator==(const InFlightReport &) const = default;
 };
 
-/// Requests in flight at the servers of one service. Not thread-safe.
+/// The requests in flight at the servers of one service. Not thread-safe.
 class InFlightTable {
 public:
   explicit InFlightTable(size_t Servers);
 
-  /// Adds a request of this daemon. Returns its number.
+  /// Adds a request of this daemon and returns its number.
   uint64_t begin(const InFlightRequest &Request);
 
-  /// Takes a request of this daemon out.
+  /// Removes a request of this daemon. Does nothing if the number is unknown.
   void end(uint64_t Number);
 
-  /// Takes all that a peer has out, in place of what it told before. Left out
-  /// if an earlier message with a higher sequence has come.
+  /// Replaces all requests of a peer. Ignores the message if one with the same
+  /// or a higher sequence number has arrived.
   void replacePeer(const std::string &Daemon, uint64_t Sequence,
                    const std::vector<InFlightRequest> &Requests, TimePoint Now);
 
-  /// Takes what a server's answer told of its load: requests that ran or
-  /// waited there, from all halls.
+  /// Records the load that a server reported in an answer: the number of
+  /// requests of all halls that it was processing or had queued.
   void recordReportedLoad(size_t Server, int Load, TimePoint Now);
 
-  /// Takes what another hall tells of the requests at a server of its own.
+  /// Records the load of a server that another hall reported.
   void recordRemoteLoad(size_t Server, double Load, TimePoint Now);
 
-  /// Returns the requests at a server: those of the hall, and what its last
-  /// answer showed of others.
+  /// Returns the number of requests at a server: those of this hall, and an
+  /// estimate of those of other halls from the last reported load.
   double getLoad(size_t Server, TimePoint Now) const;
 
-  /// Calls Visit with each request at a server that the hall knows of.
+  /// Calls Visit with each known request of this hall at a server. Skips
+  /// requests of peers that have not sent an update for PeerTimeout.
   template <typename VisitorT>
   void visit(size_t Server, TimePoint Now, const VisitorT &Visit) const {
     for (const Entry &Each : this->ByServer[Server])
@@ -79,12 +82,12 @@
         Visit(Each.Request);
   }
 
-  /// Returns what this daemon has out.
+  /// Returns the requests in flight of this daemon.
   std::vector<InFlightRequest> getLocalRequests() const;
 
-  /// Takes over what peers have out, from another table than this one. Matches
-  /// holds for each server of Other its index here, or -1. This daemon's own
-  /// requests end where they began.
+  /// Copies the requests of peers from the table of an earlier version of the
+  /// settings. Matches holds for each server of Other its index in this table,
+  /// or -1. Requests of this daemon remain in the table in which they began.
   void adopt(const InFlightTable &Other, const std::vector<int> &Matches);
 
 private:
@@ -93,14 +96,14 @@
   struct Peer {
     uint64_t Sequence = 0;
     TimePoint ReceivedAt{};
-    /// Where its requests are.
+    /// The server of each request of the peer.
     std::vector<size_t> Servers;
   };
   struct Entry {
     InFlightRequest Request;
-    /// Which of Peers told it, or LocalSource.
+    /// Index in Peers of the daemon that sent the request, or LocalSource.
     size_t Source = LocalSource;
-    /// Of this daemon's own.
+    /// Number of a request of this daemon; 0 for a request of a peer.
     uint64_t Number = 0;
   };
   struct RemoteLoad {
@@ -108,21 +111,21 @@
     TimePoint At{};
   };
 
-  /// A peer with requests out says so again within a quarter of a second; after
-  /// this long without a word it is gone or out of reach, and its requests with
-  /// it. Two messages may be lost.
+  /// A peer with requests in flight sends an update at least every 250 ms.
+  /// After this time without one, it is taken to be stopped or unreachable and
+  /// its requests are ignored. This tolerates the loss of two messages.
   static constexpr Duration PeerTimeout = fromMillis(700);
 
   size_t findPeer(const std::string &Daemon);
   size_t countKnown(size_t Server, TimePoint Now) const;
 
   std::vector<std::vector<Entry>> ByServer;
-  /// Where this daemon's own are, by number.
+  /// The server of each request of this daemon, by number.
   std::map<uint64_t, size_t> ServerOfLocal;
   std::vector<Peer> Peers;
-  /// Their indexes, by name.
+  /// Indexes into Peers, by daemon name.
   std::map<std::string, size_t> PeerOfName;
-  /// What answers showed beyond what the hall knew of.
+  /// Requests of other halls at each server, derived from reported loads.
   std::vector<RemoteLoad> RemoteLoads;
   uint64_t NextNumber = 1;
 };
--- a/include/canvaswick/Health/LatencyDistribution.h
+++ b/include/canvaswick/Health/LatencyDistribution.h
@@ -1,4 +1,4 @@
-//===- LatencyDistribution.h - How long good answers take -------*- C++ -*-===//
+//===- LatencyDistribution.h - Distribution of answer times -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Learns how the times of good answers spread about what is usual, so that a
-/// request that is still out can be judged at any moment: what part of the good
-/// answers takes longer than it has been out already.
+/// Declares the distribution of the times of good answers relative to the
+/// typical time. For a request in flight, it gives the fraction of good answers
+/// that take longer than the request has already been in flight.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,21 +21,24 @@
 
 namespace canvaswick {
 
-/// The spread of the answer times of one service. A pace is a time divided by
-/// the usual time of its route at the server's load. Not thread-safe.
+/// The distribution of latency ratios of one service. A latency ratio is the
+/// time of an answer divided by the typical time of its route at the server's
+/// load. Not thread-safe.
 class LatencyDistribution {
 public:
-  /// Begins with what is usual for services at large.
+  /// Starts with a weak prior that fits services in general.
   LatencyDistribution();
 
-  /// Adds the pace of one good answer, above 0.
+  /// Adds the latency ratio of one good answer. Ignores ratios that are not
+  /// positive.
   void add(double Ratio);
 
-  /// Returns the part of good answers that take longer than Pace: from 1 for
-  /// none at all down to MinSurvival.
+  /// Returns the fraction of good answers with a higher latency ratio. It
+  /// decreases from 1 at ratio 0 to MinSurvival.
   double getSurvival(double Ratio) const;
 
-  /// Some good answers take longer than any that were seen.
+  /// Lower bound of the survival function. Some good answers take longer than
+  /// any observed one.
   static constexpr double MinSurvival = 0.004;
 
 private:
@@ -44,7 +47,8 @@
   void updateSuffixCounts();
 
   std::array<double, BinCount> Bins{};
-  /// For each bin the answers in it and in all longer ones; a last 0.
+  /// For each bin, the number of answers in this bin and all higher ones. The
+  /// last element is 0.
   std::array<double, BinCount + 1> SuffixCounts{};
 };
 
--- a/include/canvaswick/Health/LatencyTable.h
+++ b/include/canvaswick/Health/LatencyTable.h
@@ -1,4 +1,4 @@
-//===- LatencyTable.h - Usual times of a service's routes ----- -*- C++ -*-===//
+//===- LatencyTable.h - Typical times of routes -----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A service's routes differ in how long their requests take: what is late on
-/// one is usual on another, and what fails at once on one takes as long as a
-/// good answer on another.
+/// Declares the typical answer times of a service by route. The routes of a
+/// service differ in how long their requests take: a time that is slow on one
+/// route is typical of another, and an immediate failure on one route takes as
+/// long as a good answer on another.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,31 +25,34 @@
 
 namespace canvaswick {
 
-/// The answer times of a service, as a whole and by route. Until a route has
-/// shown enough answers, the service's time stands for it. Not thread-safe.
+/// The answer times of a service, in total and by route. Until a route has
+/// enough samples, the times of the service apply to it. Not thread-safe.
 class LatencyTable {
 public:
-  /// Fixed is the operators' own bound on slowness, or zero.
+  /// Creates an empty table. FixedThreshold is the slow threshold that
+  /// operators configured, or zero to derive it from the median.
   explicit LatencyTable(Duration FixedThreshold);
 
   /// Adds the time of one complete answer.
   void add(const std::string &Route, Duration Latency, TimePoint Now);
 
-  /// Returns the usual time of a route, or zero while nothing is known.
+  /// Returns the median time of a route, or zero without samples.
   Duration getMedian(const std::string &Route) const;
 
-  /// Returns the usual time of a route. Until enough answers were seen it is
-  /// taken from the objective that operators set, zero if they set none.
+  /// Returns the typical time of a route. Without enough samples, derives it
+  /// from the configured objective; returns zero if there is none.
   Duration getTypicalTime(const std::string &Route, Duration Objective) const;
 
   /// Returns the time after which an answer on a route counts as slow.
   Duration getSlowThreshold(const std::string &Route) const;
 
-  /// Returns what kind of failure one after Took is. Failed: the route's usual
-  /// time is not known, or too short to tell.
+  /// Classifies a failure that came after Took. Returns Failed if the typical
+  /// time of the route is unknown or too short to distinguish early failures
+  /// from late ones.
   RequestOutcome classifyFailure(const std::string &Route, Duration Took) const;
 
-  /// Takes over what Other learned of routes that were used of late.
+  /// Copies the samples of Other, except for routes that have not been used for
+  /// 10 minutes.
   void adopt(const LatencyTable &Other, TimePoint Now);
 
 private:
--- a/include/canvaswick/Health/LatencyTracker.h
+++ b/include/canvaswick/Health/LatencyTracker.h
@@ -1,4 +1,4 @@
-//===- LatencyTracker.h - The usual time of a service -----------*- C++ -*-===//
+//===- LatencyTracker.h - Running median of answer times --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Estimates the median answer time over all servers of a service and from it
-/// the time after which an answer counts as slow.
+/// Declares an estimator of the median answer time over all servers of a
+/// service, and of the time after which an answer counts as slow.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,13 +19,15 @@
 
 namespace canvaswick {
 
-/// A running median of the answer times of one service or route.
+/// A running median of the answer times of one service or route. Not
+/// thread-safe.
 class LatencyTracker {
 public:
-  /// Fixed is the operators' own bound, or zero to follow the median.
+  /// Creates a tracker. FixedThreshold is the slow threshold that operators
+  /// configured, or zero to derive it from the median.
   explicit LatencyTracker(Duration FixedThreshold);
 
-  /// Changes the operators' bound and keeps what was learned.
+  /// Changes the configured threshold and keeps the median.
   void setFixedThreshold(Duration FixedThreshold) {
     this->FixedThreshold = FixedThreshold;
   }
@@ -36,16 +38,16 @@
   /// Returns the time after which an answer counts as slow.
   Duration getSlowThreshold() const;
 
-  /// Returns whether enough answers were seen to rely on the median.
+  /// Returns whether there are enough samples to rely on the median.
   bool hasEnoughSamples() const;
 
-  /// Returns the median, or zero while there is none.
+  /// Returns the median, or zero without samples.
   Duration getMedian() const;
 
 private:
   Duration FixedThreshold;
   double MedianSeconds = 0;
-  /// By which part of itself the median moves next.
+  /// Relative step of the median for the next sample.
   double Step = 0.3;
   bool WasAbove = false;
   int Samples = 0;
--- a/include/canvaswick/Health/MarkovPolicy.h
+++ b/include/canvaswick/Health/MarkovPolicy.h
@@ -1,4 +1,4 @@
-//===- MarkovPolicy.h - Sick spells of some seconds -------------*- C++ -*-===//
+//===- MarkovPolicy.h - Policy for short failure episodes -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Backend servers that fall sick for a few seconds at a time and get well
-/// again by themselves. Each daemon keeps, for each server, the probability
-/// that it is in such a spell: it drifts towards the usual share of sick
-/// servers as time passes and moves with every outcome, its own and those that
-/// other daemons tell it.
+/// Declares the policy for backend servers that become unhealthy for a few
+/// seconds and recover by themselves. For each server, a daemon estimates the
+/// probability that it is unhealthy with a two-state hidden Markov model. The
+/// probability drifts towards its stationary value with time and is updated by
+/// each outcome that this daemon or one of its peers observes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,32 +29,35 @@
 
 namespace canvaswick {
 
-/// One outcome as daemons tell it to each other.
+/// One outcome as daemons report it to each other.
 struct Observation {
   ServerId Server = 0;
   RequestOutcome Outcome = RequestOutcome::Good;
-  /// Requests that ran or waited at the server, by its answer; -1: not told.
+  /// Number of requests that the server was processing or had queued, as
+  /// reported in its answer, or -1 if unknown.
   int Load = -1;
-  /// How long the request took, in percent of what is usual for its kind at
-  /// the server's load; -1: what is usual is not known.
+  /// Latency ratio of the request: its time in percent of the typical time of
+  /// such a request at the server's load, or -1 if the typical time is unknown.
   int LatencyRatioPercent = -1;
 
   bool operator==(const Observation &) const = default;
 };
 
-/// How likely a server is in a spell, as a daemon near it sees it.
+/// The state of a server as a daemon estimates it: one of the server's hall for
+/// other halls, or a peer for a daemon that has just started.
 struct HealthEstimate {
   ServerId Server = 0;
-  /// Probability in thousandths.
+  /// Unhealthy probability in thousandths.
   int PerMille = 0;
-  /// Requests at the server, in tenths.
+  /// Number of requests at the server, in tenths.
   int LoadTenths = 0;
 
   bool operator==(const HealthEstimate &) const = default;
 };
 
-/// How many requests of a service a hall sent of late to servers that nothing
-/// speaks against, and how many of them failed. In tenths of a request, fading.
+/// Recent requests of a hall to the servers of a service that it does not
+/// consider unhealthy, and how many of them failed. The counts are in tenths of
+/// a request and decay exponentially.
 struct HallFailureRate {
   ServerId Service = 0;
   int All = 0;
@@ -63,129 +66,134 @@
   bool operator==(const HallFailureRate &) const = default;
 };
 
-/// What a request has to lose at a sick server.
+/// The cost of a failure of a request at an unhealthy server.
 enum class FailureCost : uint8_t {
-  /// It may be sent again, and sending it far away costs more than a failure.
+  /// The request is repeatable, and sending it to a remote hall costs more than
+  /// a failure.
   Low,
-  /// It may be sent again: it goes unserved only if that fails too.
+  /// The request is repeatable; it is lost only if the retry fails, too.
   Medium,
-  /// A failure after it was sent is final.
+  /// A failure after the request was sent is final.
   High,
 };
 
-/// What a server gets of requests of one kind.
+/// The share of a server in the requests of one failure cost.
 struct ServerShare {
   double Share = 0;
-  /// Whether it would be less, were the server not to be tested.
+  /// Whether the share is raised so that the server gets a test request.
   bool IsTest = false;
 };
 
-/// The probabilities that a request is answered in time, and at all.
+/// The probabilities that a request is answered within its objective, and that
+/// it is answered at all.
 struct AnswerProbabilities {
   double InTime = 0;
   double AtAll = 0;
 };
 
-/// Decides shares from outcomes and observations of peers. Not thread-safe.
+/// Computes shares from local outcomes and observations of peers. Not
+/// thread-safe.
 class MarkovPolicy {
 public:
   explicit MarkovPolicy(PolicySetup Setup);
 
-  /// Takes an outcome that this daemon saw. What peers should know of it waits
-  /// in drainObservations. Load is what the answer told of the server's, or -1;
-  /// for LatencyRatioPercent see Observation.
+  /// Records an outcome that this daemon observed, and queues it for
+  /// drainObservations if peers should know of it. Load is the load that the
+  /// answer reported, or -1. For LatencyRatioPercent see Observation.
   void recordOutcome(size_t Server, RequestOutcome Outcome, TimePoint Now,
                      int Load = -1, int LatencyRatioPercent = -1);
 
-  /// Takes an outcome that a peer of this hall saw.
+  /// Applies an outcome that a peer of this hall observed.
   void applyObservation(size_t Server, RequestOutcome Outcome, TimePoint Now,
                         int LatencyRatioPercent = -1);
 
-  /// The requests that the hall has in flight: what is still out after the
-  /// usual time speaks against its server.
+  /// Returns the requests in flight of this hall. A request that has no answer
+  /// after its typical time is evidence against its server.
   InFlightTable &getInFlight() { return this->InFlight; }
   const InFlightTable &getInFlight() const { return this->InFlight; }
 
-  /// Returns how the times of good answers spread.
+  /// Returns the distribution of the latency ratios of good answers.
   const LatencyDistribution &getLatencyDistribution() const {
     return this->Times;
   }
 
-  /// Takes what a daemon near the server thinks of it, in place of what was
-  /// known here. Load is the requests it knows of at the server.
+  /// Replaces the state of a server by the estimate of a daemon of the server's
+  /// hall. Load is the number of requests at the server that this daemon knows
+  /// of.
   void applyRemoteEstimate(size_t Server, double UnhealthyProbability,
                            TimePoint Now, double Load = 0);
 
-  /// Takes what a peer of this hall thinks of a server, if this daemon knows
-  /// nothing of it: it has just started.
+  /// Applies the estimate of a peer of this hall if this daemon has no
+  /// information about the server, because it has just started.
   void applySameHallEstimate(size_t Server, double UnhealthyProbability,
                              TimePoint Now);
 
-  /// Returns whether anyone of this hall has used a server.
+  /// Returns whether a daemon of this hall has used a server.
   bool isUsed(size_t Server) const;
 
-  /// Returns the index of a server, or -1.
+  /// Returns the index of a server, or -1 if it is unknown.
   int findServer(ServerId Id) const;
 
-  /// Returns this hall's rate. Its Service is left for the caller to name.
+  /// Returns the failure rate of this hall. The caller sets its Service.
   HallFailureRate getFailureRate(TimePoint Now) const;
 
-  /// Takes another hall's rate.
+  /// Replaces the failure rate of another hall.
   void applyFailureRate(const std::string &Hall, const HallFailureRate &Rate,
                         TimePoint Now);
 
-  /// Notes that a request was sent to a server.
+  /// Records that a request was sent to a server.
   void recordUse(size_t Server, TimePoint Now);
 
-  /// Marks a server as leaving or not.
+  /// Marks a server as leaving or not leaving.
   void setLeaving(size_t Server, bool IsLeaving, TimePoint Now);
 
-  /// Does nothing: shares follow the time they are asked at. Here because all
-  /// policies are moved on alike.
+  /// Does nothing, since shares are computed for the time of each call. Callers
+  /// advance all policies in the same way.
   void advance(TimePoint Now);
 
-  /// Returns the part of its fair share that a server gets from requests of
-  /// this caution.
+  /// Returns the fraction of its fair share that a server gets from requests of
+  /// a failure cost.
   double getShare(size_t Server, FailureCost Cost, TimePoint Now) const;
 
-  /// Returns the shares of all servers at once. Those that the floor keeps are
-  /// tested while it is near.
+  /// Returns the shares of all servers. While many requests fail, the servers
+  /// that the floor keeps in use get test requests.
   std::vector<double> getShares(FailureCost Cost, TimePoint Now) const;
 
-  /// Returns the shares of all servers, the best one's being 1, where Worths
-  /// holds what a request may expect at each of them, from 0 to 1. The same
-  /// tests and bounds apply.
+  /// Returns the shares of all servers, relative to the highest one. Utilities
+  /// holds the expected utility of a request at each server, from 0 to 1. Test
+  /// requests and the floor apply as in getShares.
   std::vector<ServerShare>
   getSharesByUtility(const std::vector<double> &Utilities, FailureCost Cost,
                      TimePoint Now) const;
 
-  /// Returns the probability that a server is in a spell, by what has ended
-  /// there and by what is still out.
+  /// Returns the probability that a server is unhealthy, given its past
+  /// outcomes and its requests in flight.
   double getUnhealthyProbability(size_t Server, TimePoint Now) const;
 
-  /// Returns the probability that a request is answered before Until, if it is
-  /// still out at Now.
+  /// Returns the probability that a request in flight is answered before Until,
+  /// given that it has no answer at Now.
   double getAnswerProbability(const InFlightRequest &Request, TimePoint Until,
                               TimePoint Now) const;
 
-  /// Returns what a request may expect that begins now at a server, where its
-  /// usual time is Usual; zero: not known.
+  /// Returns the answer probabilities of a request that begins now. TypicalTime
+  /// is its typical time at the server, or zero if unknown.
   AnswerProbabilities getNewRequestProbabilities(size_t Server,
                                                  Duration TypicalTime,
                                                  TimePoint Objective,
                                                  TimePoint Deadline,
                                                  TimePoint Now) const;
 
-  /// Returns the chance that a server answers a request at all.
+  /// Returns the probability that a server answers a request.
   double getSuccessProbability(size_t Server, TimePoint Now) const;
 
-  /// Returns what peers should know and forgets it.
+  /// Returns and clears the observations to send to peers.
   std::vector<Observation> drainObservations();
 
-  /// Takes over what was known of the servers that are in both.
+  /// Copies the state of the policy of an earlier version of the settings, for
+  /// the servers that are in both.
   void adopt(const MarkovPolicy &Other, TimePoint Now);
 
-  /// Returns why a server has its share.
+  /// Returns the reason for the share of a server.
   ShareExplanation explain(size_t Server, TimePoint Now) const;
 
 private:
@@ -195,17 +203,17 @@
     double UnhealthyProbability = 0;
     TimePoint At{};
     bool IsLeaving = false;
-    /// When this daemon or one of its hall last used it.
+    /// Time of the last use by a daemon of this hall.
     TimePoint UsedAt{};
-    /// When the server's own hall last told what it thinks of it.
+    /// Time of the last estimate from the server's hall.
     TimePoint EstimatedAt{};
-    /// This daemon does not reach the server until then.
+    /// Time until which this daemon takes the server to be unreachable.
     TimePoint UnreachableUntil{};
     int UnreachableInRow = 0;
     OutcomeCounts Counts;
   };
 
-  /// Returns whether the server's own hall told of it of late.
+  /// Returns whether a recent estimate from the server's hall exists.
   bool hasRecentEstimate(size_t Server, TimePoint Now) const;
   std::vector<double> computeUtilities(TimePoint Now) const;
   double getProbabilityFromOutcomes(size_t Server, TimePoint Now) const;
@@ -233,13 +241,14 @@
   InFlightTable InFlight;
   LatencyDistribution Times;
   TransitionRates Rates;
-  /// Outcomes of late at servers that look well, own and peers' of this hall.
+  /// Recent outcomes at servers that appear healthy, of this daemon and its
+  /// peers in this hall: all, and those that left a request unserved.
   DecayingCount RecentAll;
   DecayingCount RecentBad;
-  /// Outcomes of late at all servers, and how many of them were refusals.
+  /// Recent outcomes at all servers, and the refused requests among them.
   DecayingCount RecentOutcomes;
   DecayingCount RecentShed;
-  /// The rates of other halls, and when they came.
+  /// Failure rates of other halls and the times of their arrival.
   std::map<std::string, std::pair<HallFailureRate, TimePoint>> HallRates;
 };
 
--- a/include/canvaswick/Health/Outcome.h
+++ b/include/canvaswick/Health/Outcome.h
@@ -1,5 +1,4 @@
-//===- Outcome.h - What one request tells about a backend server -*- C++
-//-*-===//
+//===- Outcome.h - Outcomes of requests -------------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The outcomes that the data path reports and the counts that daemons
+/// Declares the outcomes that the data path reports and the counts that daemons
 /// exchange.
 ///
 //===----------------------------------------------------------------------===//
@@ -23,41 +22,43 @@
 
 namespace canvaswick {
 
-/// What one request showed. Shed and Canceled say nothing about health: an
-/// overloaded backend server is not a sick one, and a caller that left proves
-/// nothing.
+/// The outcome of one request. OutcomeCounts ignores Shed and Canceled: an
+/// overloaded backend server is not unhealthy, and a caller that disconnects
+/// says nothing about the server.
 enum class RequestOutcome : uint8_t {
   Good,
   Slow,
   Failed,
   Shed,
   Canceled,
-  /// No connection came about.
+  /// The connection could not be established.
   Unreachable,
-  /// Given up on without an answer.
+  /// The daemon gave up waiting for an answer.
   Overdue,
-  /// Failed long before its kind of request usually ends: the server did not
-  /// work on it.
+  /// The request failed long before requests of its kind usually end, so that
+  /// the server did no work on it.
   FailedEarly,
-  /// Failed when its kind of request usually ends, or later.
+  /// The request failed at about the time at which requests of its kind usually
+  /// end, or later.
   FailedAfterWork,
 };
 
-/// The outcomes there are, for those who draw or decode one.
+/// Number of outcomes.
 inline constexpr int OutcomeCount =
     static_cast<int>(RequestOutcome::FailedAfterWork) + 1;
 
-/// Returns whether a request was sent and failed, whenever that was.
+/// Returns whether a request was sent and failed, whatever the time of the
+/// failure.
 constexpr bool isFailure(RequestOutcome Outcome) {
   return Outcome == RequestOutcome::Failed ||
          Outcome == RequestOutcome::FailedEarly ||
          Outcome == RequestOutcome::FailedAfterWork;
 }
 
-/// Returns the name of an outcome as reports print it.
+/// Returns the name of an outcome as it appears in reports.
 const char *getName(RequestOutcome Outcome);
 
-/// How many requests ended how.
+/// Numbers of requests by outcome.
 struct OutcomeCounts {
   uint32_t Good = 0;
   uint32_t Slow = 0;
@@ -78,10 +79,10 @@
   }
 };
 
-/// A count that halves every HalfLife, so that it speaks of the recent past.
+/// A count that decays exponentially, so that it reflects the recent past.
 class DecayingCount {
 public:
-  /// Returns the count at Now. HalfLife is the same in every call.
+  /// Returns the count at Now. All calls must pass the same HalfLife.
   double get(TimePoint Now, Duration HalfLife) const {
     if (this->Value == 0)
       return 0;
--- a/include/canvaswick/Health/RetryTiming.h
+++ b/include/canvaswick/Health/RetryTiming.h
@@ -1,4 +1,4 @@
-//===- RetryTiming.h - When a silent attempt is left ------------*- C++ -*-===//
+//===- RetryTiming.h - When to retry elsewhere ------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,12 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A repeatable request whose server is silent may be sent elsewhere. Leaving
-/// early costs a repeat for answers that would have come; leaving late costs
-/// the objective. To wait a little longer and leave then is worth nearly as
-/// much as to leave now while the objective is far, so each request waits until
-/// that is no longer so, or until its server is likely enough sick.
+/// Declares the decision when a repeatable request that has no answer yet is
+/// sent to another server. An early retry is wasted on requests that would have
+/// been answered; a late one misses the objective. As long as the objective is
+/// far, waiting a little and then retrying has nearly the same utility as
+/// retrying now. A request therefore waits until this no longer holds, or until
+/// its server is unhealthy with sufficient probability.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,45 +24,49 @@
 
 namespace canvaswick {
 
-/// What a late answer is worth against one in time. By the operators' sheets
-/// between a tenth and a half.
+/// Utility of an answer after the objective, relative to one within it. The
+/// operators' estimates range from 0.1 to 0.5.
 inline constexpr double LateUtility = 0.3;
 
-/// One attempt that is out, and what it could be left for.
+/// An attempt without an answer and its best alternative.
 struct UnansweredAttempt {
-  /// How long it has been out, and the usual time of its kind at its server's
-  /// load.
+  /// Time since the attempt was sent, and typical time of such a request at the
+  /// load of its server.
   Duration Elapsed{};
   Duration TypicalTime{};
-  /// How likely its server is sick, its silence counted.
+  /// Probability that the server is unhealthy, given that it has not answered
+  /// yet.
   double UnhealthyProbability = 0;
-  /// The chance that the best other server answers at all, and how long that
-  /// usually takes there.
+  /// Probability that the best other server answers, and the typical time of
+  /// such a request there.
   double AlternativeAnswerProbability = 0;
   Duration AlternativeTypicalTime{};
-  /// How long until an answer is late, and until it is of no use.
+  /// Remaining time to the objective, and to the deadline after which an answer
+  /// has no use.
   Duration TimeToObjective{};
   Duration TimeToDeadline{};
-  /// What a repeat must bring beside, in timely answers: others may need it
-  /// more.
+  /// Minimum gain in utility that justifies a retry. It accounts for other
+  /// requests that need the limited number of retries.
   double RetryCost = 0;
 };
 
-/// Returns what an attempt elsewhere is worth that begins so much later.
+/// Returns the expected utility of an attempt at the other server that starts
+/// after Later.
 double computeAlternativeUtility(const UnansweredAttempt &Attempt,
                                  const LatencyDistribution &Times,
                                  Duration Later);
 
-/// Returns what waiting is worth if the attempt is left at the best moment from
-/// now on but not at once, or never.
+/// Returns the expected utility of waiting, if the request is retried at the
+/// best later time or not at all.
 double computeWaitingUtility(const UnansweredAttempt &Attempt,
                              const LatencyDistribution &Times);
 
-/// Returns whether the attempt is better left now than at any later time.
+/// Returns whether a retry now has a higher utility than a retry at any later
+/// time.
 bool shouldRetryElsewhere(const UnansweredAttempt &Attempt,
                           const LatencyDistribution &Times);
 
-/// Returns the price of a repeat where this part of the allowance is used.
+/// Returns the cost of a retry if UsedFraction of the retry limit is in use.
 double computeRetryCost(double UsedFraction);
 
 } // namespace canvaswick
--- a/include/canvaswick/Health/ScopeTracker.h
+++ b/include/canvaswick/Health/ScopeTracker.h
@@ -1,5 +1,4 @@
-//===- ScopeTracker.h - Sequential evidence about the servers of one service in
-// one scope -*- C++ -*-===//
+//===- ScopeTracker.h - Sequential test of a service's servers --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,11 +7,12 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A scope is who the evidence comes from: this daemon alone, all daemons of a
-/// hall, or all daemons. For each server the tracker keeps a cumulative sum of
-/// log likelihood ratios (CUSUM) of "sick" against "as good as its peers",
-/// removes a server when the sum passes the threshold, and lets it back in by
-/// small measured steps.
+/// Declares a sequential test that detects unhealthy servers. A scope is the
+/// set of daemons whose evidence is combined: this daemon, all daemons of a
+/// hall, or the fleet. For each server the tracker keeps a cumulative sum
+/// (CUSUM) of log likelihood ratios of "unhealthy" against "as good as its
+/// peers". It removes a server when the sum exceeds a threshold and readmits it
+/// in steps.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,54 +26,56 @@
 
 namespace canvaswick {
 
-/// Where a server stands in a scope.
+/// The state of a server in a scope.
 enum class HealthPhase : uint8_t { Serving, Removed, Returning };
 
-/// Returns the name of a phase as reports print it.
+/// Returns the name of a phase as it appears in reports.
 const char *getName(HealthPhase Phase);
 
-/// What a scope must heed when it removes servers.
+/// Constraints on the removal of servers.
 struct RemovalRules {
-  /// Which servers may be removed now. Empty: all.
+  /// Which servers may be removed now. Empty if all may be.
   std::vector<bool> MayRemove;
-  /// How many sources testify against each server. Empty: do not ask.
+  /// Number of sources with evidence against each server. Empty if no minimum
+  /// applies.
   std::vector<int> Sources;
-  /// Slots of each server; 0 for one that is leaving or that others removed.
+  /// Slots of each server; 0 for servers that are leaving or that another scope
+  /// has removed.
   std::vector<int> Slots;
-  /// Slots that must stay in use.
+  /// Number of slots that must stay in use.
   double FloorSlots = 0;
 };
 
-/// Evidence about the servers of one service from one scope.
+/// Evidence about the servers of one service in one scope. Not thread-safe.
 class ScopeTracker {
 public:
   ScopeTracker(HealthTuning Tuning, size_t ServerCount);
 
-  /// Adds counts about one server. PositiveLimit bounds how much evidence
-  /// against the server is taken; pass infinity for no bound. Returns how much
-  /// evidence against it was taken, in nats.
+  /// Adds counts of one server. PositiveLimit bounds the evidence against the
+  /// server that is accepted; pass infinity for no bound. Returns the accepted
+  /// evidence against the server in nats.
   double addCounts(size_t Server, const OutcomeCounts &Given,
                    double PositiveLimit, TimePoint Now);
 
-  /// Adds good requests to servers that were not named one by one: each server
-  /// for which IsNamed is false is credited with an equal part.
+  /// Adds good requests to servers that a report does not list. Each server for
+  /// which IsNamed is false is credited with an equal part.
   void addOtherGood(uint32_t Good, const std::vector<bool> &IsNamed,
                     TimePoint Now);
 
-  /// Moves servers between phases. Call at least every second. The worst are
-  /// removed first; one that the floor keeps goes on being judged by what its
-  /// requests show.
+  /// Moves servers between phases. Must be called at least once per second.
+  /// Removes the servers with the highest scores first. A server that the floor
+  /// keeps in use remains subject to evaluation.
   void advance(TimePoint Now, const RemovalRules &Rules);
 
-  /// Lets a server back in by the usual steps, beginning with the first that
-  /// gives at least Share.
+  /// Starts the stepwise return of a server with the first step whose share is
+  /// at least Share.
   void beginReturn(size_t Server, double Share, TimePoint Now);
 
-  /// Takes over what another tracker knows of one of its servers.
+  /// Copies the state of a server from another tracker.
   void adopt(size_t Server, const ScopeTracker &Other, size_t OtherServer);
 
-  /// Returns the part of its fair share, from 0 to 1, that the scope would
-  /// give a server.
+  /// Returns the fraction of its fair share, from 0 to 1, that a server gets in
+  /// this scope.
   double getShare(size_t Server) const;
 
   /// Returns the evidence against a server in nats.
@@ -81,11 +83,12 @@
 
   HealthPhase getPhase(size_t Server) const;
 
-  /// Returns whether successes of a server should be reported at once: there
-  /// is evidence against it, or it is on its way back.
+  /// Returns whether good outcomes of a server should be reported at once,
+  /// because there is evidence against it or because it is returning.
   bool isSuspect(size_t Server) const;
 
-  /// Returns whether removals wait because too many servers look sick at once.
+  /// Returns whether removals are suspended because too many servers appear
+  /// unhealthy at the same time.
   bool areRemovalsSuspended() const;
 
   size_t countServers() const { return this->Servers.size(); }
@@ -108,7 +111,7 @@
     bool WasRemovedForSlowness = false;
   };
 
-  /// Usual share of slow and failed requests among servers that look healthy.
+  /// Typical rates of slow and failed requests at servers that appear healthy.
   struct TypicalRates {
     double Slow;
     double Failed;
--- a/include/canvaswick/Health/TransitionRates.h
+++ b/include/canvaswick/Health/TransitionRates.h
@@ -1,4 +1,4 @@
-//===- TransitionRates.h - How often spells begin and end -------*- C++ -*-===//
+//===- TransitionRates.h - Transition rates of servers ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Learns, for one service, how often its servers fall sick and how long that
-/// lasts, from the same model that judges each of them: expected counts of
-/// changes and expected time in each state, both fading.
+/// Declares the estimator of how often the servers of a service become
+/// unhealthy and how long they stay so. It uses the same two-state model as the
+/// estimate of each server: expected numbers of transitions and expected times
+/// in each state, both with exponential forgetting.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,37 +21,39 @@
 
 namespace canvaswick {
 
-/// How likely an outcome is at a sick and at a well server.
+/// Likelihood of an outcome at an unhealthy and at a healthy server.
 struct Likelihood {
   double Unhealthy;
   double Healthy;
 };
 
-/// The rates at which a service's servers change between well and sick. Not
-/// thread-safe.
+/// The rates of transitions of a service's servers between healthy and
+/// unhealthy. Not thread-safe.
 class TransitionRates {
 public:
-  /// Returns the part of the servers that are sick at any time.
+  /// Returns the stationary probability of the unhealthy state, which is the
+  /// long-term fraction of unhealthy servers.
   double getStationaryProbability() const;
 
-  /// Returns how fast what is known of a server loses its worth: after this
-  /// time all but 1/e of it is gone.
+  /// Returns the time constant of the model: after this time, the weight of an
+  /// earlier estimate has decayed to 1/e.
   Duration getTimeConstant() const;
 
-  /// Returns the probability of sickness after Passed, if it was Before.
+  /// Returns the unhealthy probability at a time Passed after it was Before,
+  /// without further outcomes.
   double predict(double Before, Duration Passed) const;
 
-  /// Learns from one outcome at a server that was sick with the probability
-  /// Before when the last one came, Passed ago.
+  /// Updates the rates by one outcome of a server that was unhealthy with the
+  /// probability Before at its previous outcome, a time Passed ago.
   void learn(double Before, Duration Passed, const Likelihood &Seen);
 
 private:
   double getOnsetRate() const;
   double getRecoveryRate() const;
 
-  // The prior: a server falls sick once in ten seconds and is so for four. It
-  // counts like half a minute of one server's life, so that what a service does
-  // outweighs it within seconds.
+  // The prior: a server becomes unhealthy once in 10 s and stays so for about 4
+  // s. Its weight is that of 30 s of observing one server, so that the outcomes
+  // of a service outweigh it within seconds.
   double Onsets = 3;
   double HealthySeconds = 30;
   double Recoveries = 3;
--- a/include/canvaswick/Health/Tuning.h
+++ b/include/canvaswick/Health/Tuning.h
@@ -1,4 +1,4 @@
-//===- Tuning.h - The numbers behind the one weighing setting ---*- C++ -*-===//
+//===- Tuning.h - Parameters of the evidence weighing presets ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Operators choose a preset; these are the values it stands for. Every number
-/// was chosen with canvaswick-policy-bench; see docs/design/health.md.
+/// Declares the parameters that stand behind each preset that operators can
+/// choose. docs/design/health.md describes their selection with
+/// canvaswick-policy-bench.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,30 +21,33 @@
 
 namespace canvaswick {
 
-/// How quickly evidence removes a backend server and how it comes back.
+/// Parameters of the removal and the return of backend servers.
 struct HealthTuning {
-  /// Evidence, in nats of log likelihood ratio, that removes a server.
+  /// Evidence in nats of log likelihood ratio that removes a server.
   double Threshold = 0;
-  /// The same for a server that is still being let back in.
+  /// Evidence in nats that removes a returning server again.
   double ReturnThreshold = 0;
-  /// Sources that must have contributed before others believe them.
+  /// Minimum number of sources with evidence against a server before it is
+  /// removed for other daemons.
   int MinSources = 1;
-  /// Largest part of Threshold that one source may contribute.
+  /// Maximum contribution of one source, as a fraction of Threshold.
   double SourceBound = 1;
-  /// Largest part of Threshold that one hall may contribute to all halls.
+  /// Maximum contribution of one hall to the evidence of the fleet, as a
+  /// fraction of Threshold.
   double HallBound = 1;
-  /// Largest evidence in one second from slow answers. A queue that builds up
-  /// and empties again makes many at once; sickness lasts.
+  /// Maximum evidence in nats per second from slow answers. A queue that builds
+  /// up and drains causes many slow answers at once, while an unhealthy server
+  /// stays slow.
   double MaxSlowEvidencePerSecond = 0;
-  /// First time a removed server is left alone. Doubles each time it fails
-  /// again soon after.
+  /// Duration of the first removal of a server, and the maximum duration. The
+  /// duration doubles each time the server fails again soon afterwards.
   Duration InitialRemovalTime{};
   Duration MaxRemovalTime{};
-  /// How often evidence is reported while there is any.
+  /// Interval of reports while there is evidence to report.
   Duration ReportInterval{};
 };
 
-/// Returns the values of a preset.
+/// Returns the parameters of a preset.
 HealthTuning getTuning(Weighing Preference);
 
 } // namespace canvaswick
--- a/lib/Health/AdoptStates.h
+++ b/lib/Health/AdoptStates.h
@@ -1,4 +1,4 @@
-//===- AdoptStates.h - Servers in two versions of a service -----*- C++ -*-===//
+//===- AdoptStates.h - Copies server states between policies ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What the policies share when a new version of a service takes over the
-/// evidence of the one before. Private to this library.
+/// Defines a helper for policies that take over the state of the policy of an
+/// earlier version of the settings. Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,8 +22,8 @@
 
 namespace canvaswick {
 
-/// Takes over the state of each server that is in both, all but its Config, and
-/// calls Adopted with its new and its old index.
+/// Copies the state of each server that is in both versions, except for its
+/// Config, and calls Adopted with its new and its old index.
 template <typename StateT, typename VisitorT>
 void adoptStates(std::vector<StateT> &New, const std::vector<StateT> &Old,
                  const std::map<ServerId, size_t> &IndexOfOld,
--- a/lib/Health/EvidencePool.cpp
+++ b/lib/Health/EvidencePool.cpp
@@ -1,5 +1,4 @@
-//===- EvidencePool.cpp - The pool of evidence about one service, kept by its
-// owner -===//
+//===- EvidencePool.cpp - Pooled evidence of one service ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One tracker for the fleet and one for each hall, fed with bounded evidence.
+/// Implements the pool with one tracker for the fleet and one for each hall.
+/// The evidence that reaches the trackers is bounded by source and by hall.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,29 +27,33 @@
   return static_cast<ServerId>(hashText(Service + "/" + Server));
 }
 
-/// What a source or hall contributed is forgotten with this half-life.
+/// Half-life of the recorded contributions of sources and halls.
 static constexpr Duration ContributionHalfLife = fromSeconds(10);
 
-/// A contribution below this no longer counts as a source's testimony.
+/// Minimum contribution, in nats, with which a source counts as having evidence
+/// against a server.
 static constexpr double MinSourceEvidence = 0.5;
 
-/// What a source saw at its servers is forgotten with this half-life.
+/// Half-life of the outcomes that a source reported.
 static constexpr Duration SeenHalfLife = fromSeconds(10);
 
-/// Below this many bad outcomes a server is forgotten as one that failed.
+/// A server with fewer bad outcomes than this is no longer recorded as one that
+/// failed for the source.
 static constexpr double MinBadSeen = 0.1;
 
-/// A server fails a source that gets this part of bad outcomes there. It is the
-/// least that a sick server fails (ScopeTracker); a single slow answer among
-/// good ones stays below. With any bad outcome counted, one at the only sound
-/// server of four kept three sick ones in use for 30 s (unit test "one stray
-/// answer at the sound server does not keep sick ones").
+/// A server fails for a source if at least this fraction of its outcomes there
+/// are bad. The value is the minimum failure rate of an unhealthy server (see
+/// ScopeTracker); a single slow answer among good ones stays below it. When any
+/// bad outcome counted, one at the only healthy server of four kept three
+/// unhealthy servers in use for 30 s (unit test "one slow answer of a healthy
+/// server does not keep unhealthy ones").
 static constexpr double MinFailingFraction = 0.25;
 
-/// A source that sees more than this part of its servers fail is doubted.
+/// A source that sees more than this fraction of its servers fail is not
+/// credible.
 static constexpr double MaxFailingFraction = 0.75;
 
-/// A source that is silent for this long is forgotten.
+/// A source without reports for this long is forgotten.
 static constexpr Duration SourceTimeout = fromSeconds(120);
 
 EvidencePool::EvidencePool(std::string Service, std::string Owner,
@@ -99,9 +103,9 @@
       .first->second;
 }
 
-/// Keeps what the source saw of the servers that failed it of late. A report
-/// counts the good outcomes of the servers that it does not name in one sum,
-/// which is taken to be spread evenly over them.
+/// Updates the recent outcomes of a source at the servers that failed for it. A
+/// report contains one sum of the good outcomes of all servers that it does not
+/// list; they are assumed to be spread evenly over these servers.
 void EvidencePool::recordSeen(SourceState &Source, const EvidenceReport &Report,
                               TimePoint Now) const {
   Source.UsedServers = Report.UsedServers;
@@ -160,7 +164,7 @@
   Contribution &FromSource = this->BySource[{Server, Report.Source}];
   Contribution &FromHall = this->ByHall[{Server, Report.Hall}];
   const double SourceLimit = Remaining(FromSource, this->Tuning.SourceBound);
-  // With one hall only there is no second one to ask.
+  // With a single hall, no other hall could confirm its evidence.
   const double HallLimit = this->Halls.size() > 1
                                ? Remaining(FromHall, this->Tuning.HallBound)
                                : std::numeric_limits<double>::infinity();
@@ -199,7 +203,8 @@
   }
 }
 
-/// Counts, for each server, the sources that testify against it now.
+/// Returns, for each server, the number of sources that currently have evidence
+/// against it. Counts only sources in Hall unless it is null.
 std::vector<int> EvidencePool::countSources(const std::string *Hall,
                                             TimePoint Now) const {
   std::vector<int> Counts(this->Servers.size(), 0);
@@ -227,7 +232,8 @@
   return Rules;
 }
 
-/// What the fleet has removed is no longer there for a hall to use.
+/// Excludes servers that the fleet has removed or reduced from the capacity
+/// that a hall can use.
 void EvidencePool::excludeFleetRemovals(RemovalRules &Rules) const {
   for (size_t I = 0; I < this->Servers.size(); ++I)
     if (this->Fleet.getShare(I) < 1)
@@ -295,8 +301,8 @@
   this->LastSentState[Hall] = this->formatState(Hall);
 }
 
-/// Returns a text that changes when a digest for the hall would say something
-/// new: another share, or another set of suspects.
+/// Returns a text that changes whenever a summary for the hall has new content:
+/// another share, or another set of suspect servers.
 std::string EvidencePool::formatState(const std::string &Hall) const {
   std::string State;
   const auto Found = this->Halls.find(Hall);
--- a/lib/Health/FloorGuard.cpp
+++ b/lib/Health/FloorGuard.cpp
@@ -1,4 +1,4 @@
-//===- FloorGuard.cpp - Keeps removals above the operators' floor ---------===//
+//===- FloorGuard.cpp - Enforces the operators' floor ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plain arithmetic over the slots; no state.
+/// Implements the floor as arithmetic over slots. There is no state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,8 @@
 
 double countUsableSlots(const std::vector<DesiredShare> &DesiredShares,
                         const std::vector<GrantedShare> &GrantedShares) {
-  assert(DesiredShares.size() == GrantedShares.size() && "one grant a wish");
+  assert(DesiredShares.size() == GrantedShares.size() &&
+         "one granted share per desired share");
   double Usable = 0;
   for (size_t I = 0; I < DesiredShares.size(); ++I)
     if (!DesiredShares[I].IsLeaving)
@@ -29,7 +30,7 @@
   return Usable;
 }
 
-/// Returns whether Left is to be reduced before Right.
+/// Returns whether Left is reduced before Right.
 static bool isWorse(const DesiredShare &Left, const DesiredShare &Right) {
   if (Left.Scope != Right.Scope)
     return Left.Scope < Right.Scope;
--- a/lib/Health/HealthPolicy.cpp
+++ b/lib/Health/HealthPolicy.cpp
@@ -1,4 +1,4 @@
-//===- HealthPolicy.cpp - Who gets traffic: dispatch over the policies ----===//
+//===- HealthPolicy.cpp - Policies for server shares ----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The variant's visitors and the two policies that ours is compared with.
+/// Implements the dispatch over the policies, and the two reference policies
+/// with which PooledPolicy is compared.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Health/InFlightTable.cpp
+++ b/lib/Health/InFlightTable.cpp
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One list for each peer, replaced as a whole.
+/// Implements the table with one list of requests for each server. An update of
+/// a peer replaces all requests of the peer.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,8 +19,8 @@
 
 namespace canvaswick {
 
-/// How long half of what an answer showed of other halls' requests is taken to
-/// last: about a request's time.
+/// Half-life of the estimated requests of other halls after an answer reported
+/// a server's load. It is about the duration of a request.
 static constexpr Duration RemoteLoadHalfLife = fromMillis(250);
 
 InFlightTable::InFlightTable(size_t Servers)
@@ -75,7 +76,7 @@
 }
 
 void InFlightTable::recordReportedLoad(size_t Server, int Load, TimePoint Now) {
-  // The request that was answered still counts in the answer's load.
+  // The reported load includes the request that was answered.
   const double Others = Load - 1 - static_cast<double>(countKnown(Server, Now));
   this->RemoteLoads[Server] = {std::max(0.0, Others), Now};
 }
--- a/lib/Health/LatencyDistribution.cpp
+++ b/lib/Health/LatencyDistribution.cpp
@@ -1,4 +1,4 @@
-//===- LatencyDistribution.cpp - How long good answers take ---------------===//
+//===- LatencyDistribution.cpp - Distribution of answer times -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A histogram over the logarithm of the pace, begun with a weak prior.
+/// Implements a histogram over the logarithm of the latency ratio that starts
+/// with a weak prior.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,30 +19,32 @@
 
 namespace canvaswick {
 
-/// The bins cover paces from 1/8 to 32, four to each doubling. What lies beyond
-/// is counted in the outermost ones.
+/// The bins cover latency ratios from 1/8 to 32, with four bins per doubling.
+/// Ratios outside this range are counted in the outermost bins.
 static constexpr double BinsPerDoubling = 4;
 static constexpr double FirstDoubling = -3;
 
-/// The prior counts like this many answers: it is outweighed within a minute
-/// by one request a second.
+/// Weight of the prior in answers. At one request per second, observed answers
+/// outweigh it within a minute.
 static constexpr double PriorAnswers = 30;
 
-/// The prior: most answers spread by this factor of e about the usual time, as
-/// work does whose parts add up; a few take any multiple of it.
+/// Parameters of the prior. Most answers are log-normally distributed around
+/// the typical time, with this standard deviation of the logarithm, as is the
+/// case for work that consists of several parts. The fraction PriorTail takes
+/// an arbitrary multiple of the typical time.
 static constexpr double PriorSpread = 0.5;
 static constexpr double PriorTail = 0.02;
 
-/// Above this many answers all counts are halved, so that the spread follows
-/// what the service does of late.
+/// Above this number of answers all counts are halved, so that the distribution
+/// follows the recent behaviour of the service.
 static constexpr double MaxAnswers = 2000;
 
-/// Returns where a pace lies, counted in bins.
+/// Returns the position of a latency ratio in units of bins.
 static double computeBinPosition(double Ratio) {
   return (std::log2(Ratio) - FirstDoubling) * BinsPerDoubling;
 }
 
-/// Returns the part of the prior's answers that take longer than a pace.
+/// Returns the fraction of the prior's answers with a higher latency ratio.
 static double computePriorSurvival(double Ratio) {
   const double Body =
       0.5 * std::erfc(std::log(Ratio) / (PriorSpread * std::sqrt(2.0)));
@@ -61,8 +64,8 @@
   this->updateSuffixCounts();
 }
 
-/// Brings Longer up to date. Choices ask a hundred times for each answer that
-/// is added.
+/// Updates SuffixCounts. It is computed for each added answer, because the
+/// choice of a server reads it about a hundred times per answer.
 void LatencyDistribution::updateSuffixCounts() {
   for (size_t I = BinCount; I > 0; --I)
     this->SuffixCounts[I - 1] = this->SuffixCounts[I] + this->Bins[I - 1];
--- a/lib/Health/LatencyTable.cpp
+++ b/lib/Health/LatencyTable.cpp
@@ -1,4 +1,4 @@
-//===- LatencyTable.cpp - Usual times of a service's routes ---------------===//
+//===- LatencyTable.cpp - Typical times of routes -------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One tracker a route; one for the service until a route knows its own.
+/// Implements the table with one tracker per route. A tracker of the whole
+/// service applies to routes without enough samples.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,18 +16,21 @@
 
 namespace canvaswick {
 
-/// A failure in less than this part of the usual time came without the work.
+/// A failure within this fraction of the typical time came before the server
+/// did the work.
 static constexpr double EarlyFraction = 0.25;
 
-/// Where good answers take no longer than this, a failure's time says nothing.
+/// If good answers take no longer than this, the time of a failure does not
+/// show whether the server did the work.
 static constexpr Duration MinTypicalTime = fromMillis(20);
 
-/// A route without an answer for this long is forgotten when the service is
-/// rebuilt. Operators add and drop routes all day.
+/// Routes without an answer for this long are dropped when a new version of the
+/// settings takes over the table, because operators add and remove routes
+/// frequently.
 static constexpr Duration RouteTimeout = fromSeconds(600);
 
-/// Before anything is known, the usual time as a part of the objective:
-/// operators leave room for about two times the work.
+/// Typical time as a fraction of the objective, used without enough samples.
+/// Operators set objectives with room for about two more times the work.
 static constexpr double TypicalFractionOfObjective = 0.33;
 
 LatencyTable::LatencyTable(Duration FixedThreshold)
--- a/lib/Health/LatencyTracker.cpp
+++ b/lib/Health/LatencyTracker.cpp
@@ -1,4 +1,4 @@
-//===- LatencyTracker.cpp - The usual time of a service -------------------===//
+//===- LatencyTracker.cpp - Running median of answer times ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A stochastic approximation of the median: each sample moves the estimate a
-/// small step towards its side, first quickly and then slowly.
+/// Implements a stochastic approximation of the median. Each sample moves the
+/// estimate towards itself by a step that shrinks as the estimate converges.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,21 +18,22 @@
 
 namespace canvaswick {
 
-/// How many times the median counts as slow.
+/// An answer is slow if it takes more than this multiple of the median.
 static constexpr double SlowFactor = 4;
 
-/// Times below this are never slow.
+/// Lower bound of the slow threshold that is derived from the median.
 static constexpr Duration MinSlowThreshold = fromMillis(20);
 
-/// While nothing is known, nothing is slow before this.
+/// Slow threshold without enough samples.
 static constexpr Duration InitialSlowThreshold = fromSeconds(10);
 
-/// Samples before the median is relied on.
+/// Number of samples before the median is used.
 static constexpr int MinSamples = 10;
 
-/// The median moves by a step, as a part of itself, towards each sample. The
-/// step grows while samples lie on one side of it and shrinks when they change
-/// sides: a first sample that was far off is left behind within ten.
+/// Bounds and factors of the relative step by which the median moves towards
+/// each sample. The step grows while consecutive samples are on the same side
+/// of the median and shrinks when they change sides. If the first sample is an
+/// outlier, the estimate recovers within ten samples.
 static constexpr double MaxStep = 1;
 static constexpr double MinStep = 0.03;
 static constexpr double StepGrowth = 1.5;
--- a/lib/Health/MarkovPolicy.cpp
+++ b/lib/Health/MarkovPolicy.cpp
@@ -1,4 +1,4 @@
-//===- MarkovPolicy.cpp - Sick spells of some seconds ---------------------===//
+//===- MarkovPolicy.cpp - Policy for short failure episodes ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A hidden Markov model of two states for each server, filtered forward. What
-/// follows for shares is in SpellShares.cpp.
+/// Implements the forward filter of a two-state hidden Markov model for each
+/// server. MarkovShares.cpp computes the shares from it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,53 +21,55 @@
 
 namespace canvaswick {
 
-//===-- The model of spells -----------------------------------------------===//
+//===-- Model of failure episodes -----------------------------------------===//
 
-/// Sickness never leaves this range, so that one outcome can still move it.
+/// Bounds of the unhealthy probability. They ensure that a single outcome can
+/// still change it noticeably.
 static constexpr double MinUnhealthyProbability = 0.005;
 static constexpr double MaxUnhealthyProbability = 0.995;
 
-/// Parts of one in Observation::LatencyRatioPercent.
+/// Scale of Observation::LatencyRatioPercent.
 static constexpr int PercentScale = 100;
 
-//===-- Whether the floor is near -----------------------------------------===//
+//===-- Detection of widespread failures ----------------------------------===//
 
-/// Half-life of the count of recent outcomes. It gives them the weight of about
-/// two seconds, over which the floor is judged.
+/// Half-life of the counts of recent outcomes. It corresponds to a window of
+/// about two seconds, over which the floor is evaluated.
 static constexpr Duration RecentHalfLife = fromSeconds(1.4);
 
-/// Outcomes at servers likelier sick than this do not count: they would not
-/// fail if the floor did not keep these in use. Those at servers of which
-/// little is known do: in a hall of 168 servers a third of what failed went to
-/// them, and the floor was taken to be far at 0.25 (unit test "what fails at
-/// servers of which little is known counts too").
+/// Outcomes at servers with a higher unhealthy probability do not count towards
+/// the failure rate of the hall: those servers fail only because the floor
+/// keeps them in use. Servers with little information must count, though. In a
+/// hall of 168 servers they accounted for a third of the failures, and with a
+/// limit of 0.25 the policy did not detect that the floor applied (unit test
+/// "what fails at servers of which little is known counts too").
 static constexpr double LikelyUnhealthy = 0.5;
 
-/// A request that is out for this many times its usual time counts as one that
-/// went unserved: one in a hundred good answers takes as long.
+/// A request that has been in flight for this multiple of its typical time
+/// counts as unserved. One good answer in a hundred takes as long.
 static constexpr double OverdueRatio = 3;
 
-/// Outcomes that are imagined to have gone well, so that a quiet service's
-/// first failure is not taken for a rate.
+/// Assumed additional good outcomes, so that the first failure of a service
+/// with few requests does not appear as a high failure rate.
 static constexpr double PriorGoodOutcomes = 10;
 
-/// How long another hall's rate counts.
+/// Failure rates of other halls expire after this time.
 static constexpr Duration RateTimeout = fromSeconds(2);
 
-/// A HallFailureRate counts in tenths of a request.
+/// Scale of the counts in HallFailureRate.
 static constexpr int RateScale = 10;
 
-//===-- Word of other halls
-//------------------------------------------------===//
+//===-- Estimates of other halls ------------------------------------------===//
 
-/// Without word from another hall for this long, its servers are tested as if
-/// they were near.
+/// Without an estimate from another hall for this long, its servers get test
+/// requests like those of this hall.
 static constexpr Duration EstimateTimeout = fromSeconds(2);
 
-//===-- Servers that are not reached --------------------------------------===//
+//===-- Unreachable servers -----------------------------------------------===//
 
-/// How long a server is left alone after no connection to it came about.
-/// Doubles with each failure in a row, MaxDoublings times at most.
+/// Time for which a server is avoided after a connection to it could not be
+/// established. It doubles with each consecutive failure, at most MaxDoublings
+/// times.
 static constexpr Duration InitialUnreachableTime = fromMillis(1000);
 static constexpr int MaxDoublings = 2;
 
@@ -82,16 +84,17 @@
   }
 }
 
-/// Returns the probability by what has ended, faded with time.
+/// Returns the unhealthy probability given past outcomes only, predicted for
+/// Now.
 double MarkovPolicy::getProbabilityFromOutcomes(size_t Server,
                                                 TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
   return this->Rates.predict(State.UnhealthyProbability, Now - State.At);
 }
 
-/// Returns how much likelier a request is still out at a sick server than at a
-/// well one. What it says fades with its age: the server may have got well
-/// after it came.
+/// Returns the likelihood ratio, of an unhealthy to a healthy server, that a
+/// request has no answer yet. The evidence decays with the age of the request,
+/// because the server may have recovered since the request was sent.
 double MarkovPolicy::getNoAnswerLikelihoodRatio(const InFlightRequest &Request,
                                                 TimePoint Now) const {
   const Duration Age = Now - Request.Began;
@@ -116,7 +119,7 @@
                     MaxUnhealthyProbability);
 }
 
-/// Sets what is known of a server from now on.
+/// Sets the unhealthy probability of a server at Now.
 void MarkovPolicy::setUnhealthyProbability(size_t Server,
                                            double UnhealthyProbability,
                                            TimePoint Now) {
@@ -125,16 +128,17 @@
   this->Servers[Server].At = Now;
 }
 
-/// Counts how often the service as a whole refuses.
+/// Updates the rate at which the service as a whole refuses requests.
 void MarkovPolicy::recordShed(RequestOutcome Outcome, TimePoint Now) {
   this->RecentOutcomes.add(1, Now, RecentHalfLife);
   if (Outcome == RequestOutcome::Shed)
     this->RecentShed.add(1, Now, RecentHalfLife);
 }
 
-/// Where all servers refuse, a refusal says nothing about one of them: turning
-/// away from it would send everybody to the few that were not asked of late,
-/// and overload them.
+/// Returns the fraction of recent requests that the service refused. If all
+/// servers refuse requests, a refusal is no evidence against one of them.
+/// Avoiding that server would send all requests to the few servers without
+/// recent requests and overload them.
 double MarkovPolicy::getShedRate(TimePoint Now) const {
   const double All =
       this->RecentOutcomes.get(Now, RecentHalfLife) + PriorGoodOutcomes;
@@ -156,7 +160,7 @@
     Seen.Healthy =
         std::clamp(this->getShedRate(Now), Seen.Healthy, Seen.Unhealthy);
   const ServerState &State = this->Servers[Server];
-  // Without an earlier outcome there is no step to learn from.
+  // Without an earlier outcome there is no transition to learn from.
   if (this->isOn(Mechanism::LearnedRates) && State.At != TimePoint{})
     this->Rates.learn(State.UnhealthyProbability, Now - State.At, Seen);
   const double Unhealthy = Before * Seen.Unhealthy;
@@ -164,20 +168,22 @@
   this->setUnhealthyProbability(Server, Unhealthy / (Unhealthy + Healthy), Now);
 }
 
-/// Counts outcomes at servers that are likelier well than sick.
+/// Counts outcomes at servers that are more likely healthy than unhealthy.
 void MarkovPolicy::recordRecent(size_t Server, RequestOutcome Outcome,
                                 TimePoint Now) {
-  // What is still out there would have counted against it before it failed.
+  // Uses past outcomes only. A request that now fails raised the probability
+  // while it was in flight, so that its failure would not be counted.
   if (this->getProbabilityFromOutcomes(Server, Now) > LikelyUnhealthy)
     return;
   this->RecentAll.add(1, Now, RecentHalfLife);
-  // A late answer is served all the same; one that is overdue hardly ever.
+  // A slow answer still serves the request, while one that is overdue rarely
+  // arrives at all.
   if (isFailure(Outcome) || Outcome == RequestOutcome::Overdue)
     this->RecentBad.add(1, Now, RecentHalfLife);
 }
 
-/// Keeps track of whether this daemon reaches the server at all, which says
-/// little about what others reach.
+/// Tracks whether this daemon can reach the server. This says little about
+/// whether other daemons can.
 void MarkovPolicy::recordReachability(ServerState &State,
                                       RequestOutcome Outcome, TimePoint Now) {
   if (Outcome != RequestOutcome::Unreachable) {
@@ -201,7 +207,7 @@
   this->recordRecent(Server, Outcome, Now);
   this->recordUse(Server, Now);
   this->update(Server, Outcome, LatencyRatioPercent, Now);
-  // What this daemon does not reach, others may.
+  // Other daemons may be able to reach the server.
   if (Outcome != RequestOutcome::Unreachable)
     this->UnsentObservations.push_back(
         {State.Config.Id, Outcome, Load, LatencyRatioPercent});
@@ -229,11 +235,11 @@
 void MarkovPolicy::applySameHallEstimate(size_t Server,
                                          double UnhealthyProbability,
                                          TimePoint Now) {
-  // The server's own hall knows it better, and so does this daemon.
+  // Estimates of the server's own hall and local outcomes are more reliable.
   if (this->isUsed(Server) || this->hasRecentEstimate(Server, Now))
     return;
   this->setUnhealthyProbability(Server, UnhealthyProbability, Now);
-  // Peers have used it: it needs no first test from this daemon.
+  // Peers have used the server, so that this daemon need not test it first.
   this->recordUse(Server, Now);
 }
 
@@ -257,8 +263,8 @@
 
 void MarkovPolicy::advance(TimePoint) {}
 
-/// Counts the requests that are out for so long that they hardly ever get an
-/// answer: they have not failed yet, and will.
+/// Returns the number of requests that have been in flight for so long that an
+/// answer is unlikely. They have not failed yet, but are expected to.
 double MarkovPolicy::countOverdue(TimePoint Now) const {
   double Overdue = 0;
   for (size_t I = 0; I < this->Servers.size(); ++I)
@@ -271,8 +277,9 @@
   return Overdue;
 }
 
-/// Returns what part of the requests of this caution goes unserved at servers
-/// that are likelier well than sick, over all halls that told of theirs.
+/// Returns the fraction of requests of a failure cost that go unserved at
+/// servers that are more likely healthy than unhealthy, over this hall and all
+/// halls with a recent failure rate.
 double MarkovPolicy::getUnservedFraction(FailureCost Cost,
                                          TimePoint Now) const {
   const double Overdue = this->countOverdue(Now);
@@ -286,11 +293,11 @@
     Bad += Rate.first.Bad / static_cast<double>(RateScale);
   }
   const double Failures = Bad / All;
-  // What may be sent again goes unserved only if it fails twice.
+  // A repeatable request goes unserved only if it fails twice.
   return Cost == FailureCost::High ? Failures : Failures * Failures;
 }
 
-/// Returns the part of good answers that take longer than until an instant.
+/// Returns the fraction of good answers that arrive after Until.
 static double getSurvivalUntil(const LatencyDistribution &Times,
                                TimePoint Began, Duration TypicalTime,
                                TimePoint Until) {
@@ -310,7 +317,7 @@
       getSurvivalUntil(this->Times, Request.Began, Request.TypicalTime, Until);
   const Likelihood NoAnswer = getNoAnswerLikelihood(SurvivalNow);
   const double Unhealthy = this->getUnhealthyProbability(Request.Server, Now);
-  // A sick server answers some requests all the same.
+  // An unhealthy server still answers some requests.
   const double AnswerProbability =
       1 - Unhealthy * getNoAnswerFraction() / NoAnswer.Unhealthy;
   return AnswerProbability * (1 - SurvivalAtEnd / SurvivalNow);
--- a/lib/Health/MarkovShares.cpp
+++ b/lib/Health/MarkovShares.cpp
@@ -1,4 +1,4 @@
-//===- MarkovShares.cpp - Shares of servers by what is known of spells ----===//
+//===- MarkovShares.cpp - Shares from unhealthy probabilities -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of MarkovPolicy that turns what is known into shares: by worth,
-/// with the floor and tests. What is known comes from MarkovPolicy.cpp.
+/// Implements the part of MarkovPolicy that computes shares from the expected
+/// utility of each server, the floor, and the need for test requests.
+/// MarkovPolicy.cpp computes the unhealthy probabilities.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,47 +22,49 @@
 
 namespace canvaswick {
 
-/// Shares are this power of what a request may expect at a server: where one in
-/// ten more fails, what may run once comes a fifth as often, what may be sent
-/// again half as often.
+/// A server's share is its utility raised to this power, by failure cost. If
+/// one request in ten more fails at a server, it gets a fifth of the requests
+/// whose failure is final and half of the repeatable ones.
 static constexpr double LowCostExponent = 4;
 static constexpr double MediumCostExponent = 8;
 static constexpr double HighCostExponent = 16;
 
-/// A server at least this likely sick is named as suspect.
+/// Servers with at least this unhealthy probability are reported as suspect.
 static constexpr double SuspectProbability = 0.4;
 
-/// The floor matters once a tenth of a service's requests go unserved; from
-/// this part of failures on it is taken to be near. What a hall counts lags
-/// behind what its callers get and lacks what was refused or left. A sound
-/// server that gets a request each second costs nothing; a sick one that is
-/// kept costs one a second.
+/// Rate of unserved requests from which the floor applies. The operators' rule
+/// applies once a tenth of a service's requests go unserved, but the counts of
+/// a hall lag behind what callers observe and lack refused and abandoned
+/// requests. A low limit costs little: keeping a healthy server in use with one
+/// request per second costs nothing, and an unhealthy one costs one request per
+/// second.
 static constexpr double FloorFailureRate = 0.03;
 
-/// Share of a server whose test is due, as a part of the best one's: about as
-/// much, so that its next request comes soon.
+/// Share of a server that is due for a test request, relative to the best
+/// server. It is high enough for the server to get its next request soon.
 static constexpr double TestShare = 0.6;
 
-/// While the floor is near, a server that it keeps is tested once nobody of its
-/// hall has used it for this long.
+/// While the floor applies, a server that it keeps in use gets a test request
+/// if no daemon of this hall has used it for this long.
 static constexpr Duration FloorTestAfter = fromMillis(1000);
 
-/// A server that its hall has not used is tested unless it is likelier sick
-/// than usual by more than this.
+/// A server that this hall has never used gets a test request unless its
+/// unhealthy probability exceeds the stationary one by more than this.
 static constexpr double UnusedServerMargin = 0.02;
 
-/// Servers kept beyond the floor, for those that leave or fall sick meanwhile.
+/// Servers kept in use in addition to the floor, to compensate for servers that
+/// leave or become unhealthy meanwhile.
 static constexpr double ExtraKeptServers = 0.5;
 
-/// At any time, a server that nobody of its hall has used for TestAfter is
-/// tested, by a request that may be sent again.
+/// A server that no daemon of this hall has used for this long gets a test
+/// request that is repeatable, whether or not the floor applies.
 static constexpr Duration TestAfter = fromSeconds(2);
 
-/// Part that is left of its share meanwhile.
+/// Factor on the share of a server that this daemon cannot reach.
 static constexpr double UnreachableFactor = 0.01;
 
-/// The servers least likely sick stay in use up to the floor, leaving ones not
-/// counted.
+/// Returns which servers the floor keeps in use: those with the lowest
+/// unhealthy probabilities, without leaving servers.
 std::vector<bool> MarkovPolicy::findKeptByFloor(TimePoint Now) const {
   std::vector<size_t> Order;
   std::vector<double> Probabilities(this->Servers.size());
@@ -82,17 +85,19 @@
   return Kept;
 }
 
-/// Returns whether a server's next request should come soon: nobody of its hall
-/// uses it, and either the floor keeps it in use or it may be well again. Seven
-/// in ten tests of servers that had failed four seconds before failed again, so
-/// a request whose failure is final tests only what nobody has ever used.
+/// Returns whether a server should get a test request soon. This holds for a
+/// server that no daemon of this hall uses if either the floor keeps it in use
+/// or it may have recovered. Of the test requests to servers that had failed
+/// four seconds earlier, seven in ten failed again. Requests whose failure is
+/// final therefore test only servers that have never been used.
 bool MarkovPolicy::isTestDue(size_t Server, FailureCost Cost,
                              bool IsKeptByFloor, TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
-  // The daemons near a server look after it.
+  // The daemons of the server's own hall test it.
   if (this->hasRecentEstimate(Server, Now))
     return false;
-  // One test at a time: what is in flight there will tell.
+  // One test at a time: the outcome of the request in flight will show the
+  // server's state.
   if (this->InFlight.getLoad(Server, Now) >= 1)
     return false;
   if (!this->isUsed(Server))
@@ -104,7 +109,7 @@
           this->isOn(Mechanism::Tests));
 }
 
-/// Returns how steeply shares fall for requests of a caution.
+/// Returns the exponent of the shares for a failure cost.
 static double getShareExponent(FailureCost Cost) {
   switch (Cost) {
   case FailureCost::Low:
@@ -114,14 +119,14 @@
   case FailureCost::High:
     return HighCostExponent;
   }
-  assert(false && "caution without a power");
+  assert(false && "failure cost without an exponent");
   return HighCostExponent;
 }
 
 std::vector<ServerShare>
 MarkovPolicy::getSharesByUtility(const std::vector<double> &Utilities,
                                  FailureCost Cost, TimePoint Now) const {
-  assert(Utilities.size() == this->Servers.size() && "one worth a server");
+  assert(Utilities.size() == this->Servers.size() && "one utility per server");
   const double Exponent = getShareExponent(Cost);
   std::vector<ServerShare> Shares(this->Servers.size());
   double Best = 0;
@@ -137,12 +142,12 @@
   for (size_t I = 0; I < Shares.size(); ++I) {
     if (this->Servers[I].IsLeaving)
       continue;
-    // Only how they compare matters: the best one's share is the whole.
+    // Only ratios of shares matter. They are normalized to the highest share.
     Shares[I].Share = Best > 0 ? Shares[I].Share / Best : 1;
     if (this->isTestDue(I, Cost, FloorApplies && Kept[I], Now) &&
         Shares[I].Share < TestShare)
       Shares[I] = {TestShare, true};
-    // Nothing that does not arrive helps the floor.
+    // A server that cannot be reached does not contribute to the floor.
     if (Now < this->Servers[I].UnreachableUntil)
       Shares[I].Share *= UnreachableFactor;
   }
@@ -183,7 +188,8 @@
   Explanation.Since = State.At;
   if (State.IsLeaving)
     Explanation.Reason = ShareReason::Leaving;
-  // Any test raises a share, also one that is not the floor's doing.
+  // Every test request raises a share, including one that does not result from
+  // the floor.
   else if (Granted.IsTest)
     Explanation.Reason = ShareReason::KeptByFloor;
   else if (Explanation.LocalScore >= SuspectProbability)
--- a/lib/Health/Outcome.cpp
+++ b/lib/Health/Outcome.cpp
@@ -1,4 +1,4 @@
-//===- Outcome.cpp - Names of the outcomes --------------------------------===//
+//===- Outcome.cpp - Names of outcomes ------------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Holds the table that reports print.
+/// Defines the names of outcomes that appear in reports.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Health/OutcomeLikelihood.cpp
+++ b/lib/Health/OutcomeLikelihood.cpp
@@ -1,4 +1,4 @@
-//===- OutcomeLikelihood.cpp - What an outcome says of a server -----------===//
+//===- OutcomeLikelihood.cpp - Likelihoods of outcomes --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Fitted to logged outcomes; see docs/design/decisions.md.
+/// Defines the likelihoods, which are fitted to logged outcomes; see
+/// docs/design/decisions.md.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,9 +18,9 @@
 
 namespace canvaswick {
 
-/// An early failure says most: at the usual time it is mostly an ordinary
-/// error. A refusal has other causes too; a connection that does not come about
-/// may be this daemon's own fault.
+/// An early failure is the strongest evidence; a failure at the typical time is
+/// mostly an ordinary error. A refusal has other causes as well, and a failure
+/// to connect may be due to this daemon.
 Likelihood getLikelihood(RequestOutcome Outcome) {
   switch (Outcome) {
   case RequestOutcome::Good:
@@ -45,8 +46,9 @@
   return {1, 1};
 }
 
-/// Part of a sick server's requests that get no answer at all. Between the
-/// kinds of sickness: some answer nothing, others fail at once.
+/// Fraction of requests that an unhealthy server never answers. It lies between
+/// those of the kinds of failure: some unhealthy servers answer nothing, others
+/// fail immediately.
 static constexpr double NoAnswerFraction = 0.4;
 
 double getNoAnswerFraction() { return NoAnswerFraction; }
--- a/lib/Health/OutcomeLikelihood.h
+++ b/lib/Health/OutcomeLikelihood.h
@@ -1,4 +1,4 @@
-//===- OutcomeLikelihood.h - What an outcome says of a server ---*- C++ -*-===//
+//===- OutcomeLikelihood.h - Likelihoods of outcomes ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The figures by which MarkovPolicy takes an outcome as evidence. Private to
-/// this library.
+/// Declares the likelihoods with which MarkovPolicy evaluates outcomes as
+/// evidence. Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,17 +20,18 @@
 
 namespace canvaswick {
 
-/// Returns how likely an outcome is.
+/// Returns the likelihood of an outcome.
 Likelihood getLikelihood(RequestOutcome Outcome);
 
-/// Returns how likely a request has no answer yet. Survival is the part of good
-/// answers that take longer still.
+/// Returns the likelihood that a request has no answer yet. Survival is the
+/// fraction of good answers that take longer.
 Likelihood getNoAnswerLikelihood(double Survival);
 
-/// Returns the part of a sick server's requests that get no answer at all.
+/// Returns the fraction of requests that an unhealthy server never answers.
 double getNoAnswerFraction();
 
-/// Returns the part of a sick server's requests that get no good answer.
+/// Returns the fraction of requests to which an unhealthy server gives no good
+/// answer.
 double getFailureFraction();
 
 } // namespace canvaswick
--- a/lib/Health/PooledPolicy.cpp
+++ b/lib/Health/PooledPolicy.cpp
@@ -1,5 +1,4 @@
-//===- PooledPolicy.cpp - Our policy: own and pooled evidence under the floor
-//-===//
+//===- PooledPolicy.cpp - Policy with local and pooled evidence -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Combines three scopes by the lowest share and then applies the floor. The
-/// shares are made anew after every piece of evidence that can change them.
+/// Implements the policy that combines three scopes by the lowest share and
+/// then applies the floor. Shares are recomputed after each piece of evidence
+/// that can change them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,23 +22,25 @@
 
 namespace canvaswick {
 
-/// How long an owner's digest holds without being repeated.
+/// Summaries expire after this time.
 static constexpr Duration SummaryTimeout = fromSeconds(10);
 
-/// Over which time used and failing servers are counted.
+/// Window for counting the servers that this daemon uses.
 static constexpr Duration UseWindow = fromSeconds(30);
 
-/// A daemon of whose other requests more than this part fail doubts itself.
+/// If more than this fraction of this daemon's recent requests to other servers
+/// failed, the cause may be the daemon itself.
 static constexpr double MaxFailingFraction = 0.25;
 
-/// Its last outcomes by which it judges that, and how many must be of others.
+/// Number of recent outcomes on which this is based, and the minimum number of
+/// those at other servers.
 static constexpr size_t MaxRecentOutcomes = 12;
 static constexpr size_t MinOtherOutcomes = 3;
 
-/// How often at least while the pool suspects a server.
+/// Maximum interval of reports while the pool suspects a server.
 static constexpr Duration SuspectReportInterval = fromSeconds(4);
 
-/// How often totals are reported while nothing is wrong.
+/// Interval of reports without failures and suspects.
 static constexpr Duration IdleReportInterval = fromSeconds(10);
 
 PooledPolicy::PooledPolicy(PolicySetup Setup)
@@ -58,7 +60,7 @@
   if (Outcome == RequestOutcome::Shed || Outcome == RequestOutcome::Canceled)
     return;
   ServerState &State = this->Servers[Server];
-  // A cold server is expected to be slow.
+  // A server is expected to be slow after a cold start.
   if (Outcome == RequestOutcome::Slow && Now < State.ColdUntil)
     return;
   this->recordRecent(Server, Outcome);
@@ -72,7 +74,8 @@
   }
   OutcomeCounts One;
   One.add(Outcome);
-  // What may be this daemon's own fault is no evidence against the server.
+  // Failures that this daemon may have caused are no evidence against the
+  // server.
   const double Limit = this->isServerSpecific(Server)
                            ? std::numeric_limits<double>::infinity()
                            : 0;
@@ -95,8 +98,9 @@
     this->Recent.pop_front();
 }
 
-/// Returns whether what this daemon saw is about this server and not about the
-/// daemon itself: its last requests to other servers went well.
+/// Returns whether the failures that this daemon observed are specific to a
+/// server and not caused by the daemon itself, because its recent requests to
+/// other servers succeeded.
 bool PooledPolicy::isServerSpecific(size_t Server) const {
   size_t Others = 0;
   size_t Bad = 0;
@@ -116,7 +120,7 @@
   double All = 0;
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     const ServerState &State = this->Servers[I];
-    // A server that has just answered well is not removed for its past.
+    // A server whose last outcome was good is not removed for earlier ones.
     Rules.MayRemove.push_back(State.WasLastBad && this->isServerSpecific(I));
     const ServerSummary *Summary = this->findSummary(I);
     const bool IsUsable = !State.IsLeaving && (!Summary || Summary->Share >= 1);
@@ -132,7 +136,7 @@
     if (!View.IsCurrent || Now - View.At <= SummaryTimeout)
       continue;
     View.IsCurrent = false;
-    // Nobody speaks for these servers any more: let them back by steps.
+    // No owner reports on these servers any more, so that they return in steps.
     for (const ServerSummary &Summary : View.Servers) {
       const auto Found = this->IndexOfServer.find(Summary.Server);
       if (Found != this->IndexOfServer.end() && Summary.Share < 1 &&
@@ -149,8 +153,8 @@
   this->updateShares(Now);
 }
 
-/// Returns the view to follow: of those that say anything, the one of the
-/// owner that ranks first.
+/// Returns the summary to follow: of those that list any server, the one of the
+/// owner with the lowest rank.
 const PooledPolicy::OwnerView *PooledPolicy::findLeadingView() const {
   const OwnerView *Leading = nullptr;
   for (const auto &[Owner, View] : this->Views) {
@@ -228,7 +232,7 @@
   for (const ServerState &State : this->Servers) {
     if (!State.IsPoolSuspect)
       continue;
-    // The answer repeats the digest, which ends otherwise.
+    // The owner's answer renews the summary, which would expire otherwise.
     if (State.Unreported.Good > 0 || Since >= SuspectReportInterval)
       return Since >= this->Tuning.ReportInterval;
   }
@@ -256,7 +260,8 @@
   }
   this->HasUnreportedBad = false;
   this->LastReport = Now;
-  // Quiet services of a quiet daemon say nothing at all.
+  // A daemon that neither uses the service nor follows a summary sends no
+  // reports.
   if (Report.UsedServers == 0 && !this->findLeadingView())
     return std::nullopt;
   Report.Sequence = ++this->ReportSequence;
--- a/lib/Health/RetryTiming.cpp
+++ b/lib/Health/RetryTiming.cpp
@@ -1,4 +1,4 @@
-//===- RetryTiming.cpp - When a silent attempt is left --------------------===//
+//===- RetryTiming.cpp - When to retry elsewhere --------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Optimal stopping by dynamic programming, backwards from the deadline. The
-/// attempt's server is well or sick; a sick one leaves a part of its requests
-/// without an answer.
+/// Implements an optimal stopping problem by dynamic programming, backwards
+/// from the deadline. The server of the attempt is healthy or unhealthy; an
+/// unhealthy one never answers a part of its requests.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,27 +21,27 @@
 
 namespace canvaswick {
 
-/// Moments at which the attempt may be left. They lie closer together the
-/// sooner they are, since what comes later is looked at again.
+/// Number of candidate times for a retry. Early ones are closer together, since
+/// the decision is repeated before the later ones.
 static constexpr size_t MomentCount = 64;
 
-/// Returns a moment, counted from now.
+/// Returns a candidate time, relative to now.
 static Duration getMoment(size_t Index, Duration Last) {
   const double Fraction = static_cast<double>(Index) / MomentCount;
   return fromSeconds(toSeconds(Last) * Fraction * Fraction);
 }
 
-/// Where waiting brings no more than this, there is nothing to wait for: a
-/// server that hangs holds a slot, and the caller may leave.
+/// If waiting gains no more than this, the request is retried at once: a
+/// request to a hanging server occupies a slot, and the caller may disconnect.
 static constexpr double MinWaitingGain = 0.003;
 
-/// A repeat must gain this much at any time: a server works in vain if the
-/// first answer comes after all.
+/// Minimum cost of a retry: one of the servers works in vain if the first
+/// attempt is answered after all.
 static constexpr double MinRetryCost = 0.05;
 
-/// From this part of the allowance on each repeat costs more, up to what the
-/// last one does: a request that hangs and would end in nothing gains more than
-/// that even when it is late, one that is merely slow does not.
+/// From this used fraction of the retry limit on, the cost rises up to
+/// MaxRetryCost for the last retry. A request that hangs and would fail gains
+/// more than that even if the answer is late; one that is only slow does not.
 static constexpr double CostRiseStart = 0.5;
 static constexpr double MaxRetryCost = 0.2;
 
@@ -51,7 +51,7 @@
   return MinRetryCost + (MaxRetryCost - MinRetryCost) * Scarcity;
 }
 
-/// Returns the part of good answers that are there after a time.
+/// Returns the fraction of good answers that arrive within a time.
 static double computeAnsweredFraction(const LatencyDistribution &Times,
                                       Duration After, Duration TypicalTime) {
   if (After <= Duration::zero())
@@ -76,8 +76,8 @@
 
 namespace {
 
-/// The probabilities, up to a factor, that an attempt is still silent after
-/// some time.
+/// The probability, up to a constant factor, that an attempt still has no
+/// answer at a later time.
 class NoAnswerProbability {
 public:
   NoAnswerProbability(const UnansweredAttempt &Attempt,
--- a/lib/Health/ScopeTracker.cpp
+++ b/lib/Health/ScopeTracker.cpp
@@ -1,5 +1,4 @@
-//===- ScopeTracker.cpp - Sequential evidence about the servers of one service
-// in one scope -===//
+//===- ScopeTracker.cpp - Sequential test of a service's servers ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The arithmetic of the cumulative sum and the steps of coming back.
+/// Implements the cumulative sums and the stepwise return of servers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -31,49 +30,51 @@
   return getEnumName(HealthPhaseNames, Phase);
 }
 
-/// Over which time the usual shares are taken.
+/// Half-life of the counts from which typical rates are computed.
 static constexpr Duration RateHalfLife = fromSeconds(15);
 
-/// Without news, evidence fades with this half-life.
+/// Half-life of the score of a server without new outcomes.
 static constexpr Duration ScoreHalfLife = fromSeconds(60);
 
-/// What slow answers added is forgotten with this half-life: over a longer time
-/// that comes to the rate of the tuning.
+/// Half-life of the evidence that slow answers added. With a half-life of ln 2
+/// seconds, the long-term rate is limited to MaxSlowEvidencePerSecond.
 static constexpr Duration SlowHalfLife = fromSeconds(0.69);
 
-/// Requests that even a healthy server fails, or answers slowly, at least.
+/// Lower bounds of the typical rates of failed and slow requests.
 static constexpr double MinFailedRate = 0.005;
 static constexpr double MinSlowRate = 0.02;
 
-/// A sick server fails at least this share of its requests.
+/// Minimum rate of bad outcomes at an unhealthy server.
 static constexpr double MinUnhealthyRate = 0.25;
 
-/// Largest weight of one request, in nats.
+/// Maximum weight of one request, in nats.
 static constexpr double MaxWeight = 4.0;
 
-/// The part of the servers that look best, from which the usual share is taken.
+/// Fraction of the servers, those with the lowest rates, from which the typical
+/// rates are computed.
 static constexpr double HealthyFraction = 0.25;
 
-/// When more than this part looks sick at once, the cause is a common one and
-/// removing servers does not help.
+/// If more than this fraction of the servers appears unhealthy at the same
+/// time, the cause is a common one and removals do not help.
 static constexpr double MaxSuspectFraction = 0.75;
 
-/// What a suspect score is, as a part of the threshold, for that comparison.
+/// Score from which a server counts as suspect in this comparison, as a
+/// fraction of the threshold.
 static constexpr double SuspectThresholdFraction = 0.33;
 
-/// Evidence beyond this many thresholds is not added up, so that a server that
-/// could not be removed is soon believed when it gets well.
+/// Upper bound of the score, as a multiple of the threshold. It ensures that a
+/// server that could not be removed is trusted again soon after it recovers.
 static constexpr double MaxScoreFactor = 1.2;
 
-/// Evidence below this is noise that needs no extra reports.
+/// Scores below this are noise and need no additional reports.
 static constexpr double ReportScore = 5.0;
 
-/// A server that fails again within this time is held longer.
+/// A server that fails again within this time is removed for longer.
 static constexpr Duration FlapWindow = fromSeconds(300);
 
 namespace {
 
-/// One step of coming back.
+/// One step of the return of a server.
 struct ReturnStep {
   double Share;
   uint32_t GoodNeeded;
@@ -82,14 +83,15 @@
 
 } // namespace
 
-/// The first share stays below 5 %: a server on trial counts as removed.
+/// The first share is below 5 %, so that the server still counts as removed.
 static constexpr ReturnStep ReturnSteps[] = {
     {0.04, 2, fromSeconds(10)},
     {0.15, 4, fromSeconds(8)},
     {0.40, 8, fromSeconds(6)},
 };
 
-/// Holds of servers that keep failing lengthen the waits of the steps too.
+/// Maximum number of times that the wait in each step is doubled for a server
+/// that was removed repeatedly.
 static constexpr int MaxWaitDoublings = 1;
 
 ScopeTracker::ScopeTracker(HealthTuning Tuning, size_t ServerCount)
@@ -107,7 +109,8 @@
 double ScopeTracker::computeEvidenceAgainst(ServerState &State,
                                             const OutcomeCounts &Counts,
                                             TimePoint Now) const {
-  // What slow answers may add fills up again at the rate of the tuning.
+  // The budget for evidence from slow answers refills at
+  // MaxSlowEvidencePerSecond.
   const double Budget =
       std::max(0.0, this->Tuning.MaxSlowEvidencePerSecond -
                         State.SlowEvidence.get(Now, SlowHalfLife));
@@ -118,9 +121,10 @@
 }
 
 double ScopeTracker::computeEvidenceFor(const OutcomeCounts &Counts) const {
-  // A good request is neither failed nor slow: it speaks against the milder of
-  // the two kinds of sickness, so that one good answer does not wash out more
-  // than it proves.
+  // A good request is neither failed nor slow. Its weight is that for the kind
+  // of bad outcome with the lower typical rate, and not the sum over both
+  // kinds, so that one good answer does not remove more evidence than it
+  // justifies.
   const double Typical = std::min(this->Typical.Failed, this->Typical.Slow);
   const double Weight =
       std::log((1 - Typical) / (1 - std::max(MinUnhealthyRate, Typical)));
@@ -153,7 +157,8 @@
   State.Good.add(Counts.Good, Now, RateHalfLife);
   State.Slow.add(Counts.Slow, Now, RateHalfLife);
   State.Failed.add(Counts.Failed, Now, RateHalfLife);
-  // A server that failed outright may have started anew and be cold.
+  // A server that was removed for failures may have restarted and be slow after
+  // a cold start.
   if (State.Phase == HealthPhase::Returning && !State.WasRemovedForSlowness)
     Counts.Slow = 0;
   this->decayScore(State, Now);
@@ -184,8 +189,9 @@
   }
 }
 
-/// Returns the share of one kind of bad outcome among the servers that look
-/// best. Total is the good requests that were not counted server by server.
+/// Returns the rate of one kind of bad outcome among the servers with the
+/// lowest rates. Total is the number of good requests that were not counted by
+/// server.
 double ScopeTracker::computeTypicalRate(DecayingCount ServerState::*Kind,
                                         TimePoint Now, double Total,
                                         double Minimum) const {
@@ -211,7 +217,7 @@
     Bad += BadAndAll[I].first;
     All += BadAndAll[I].second;
   }
-  // A handful of requests proves no share: lean on the least one.
+  // With few requests, the rate stays close to its minimum.
   static constexpr double PriorRequests = 20;
   const double Rate = (Bad + Minimum * PriorRequests) / (All + PriorRequests);
   return std::clamp(Rate, Minimum, 0.95);
@@ -304,8 +310,9 @@
   return Usable;
 }
 
-/// Gives back servers, the least bad first, when a wider scope has used up the
-/// floor since: they are used anyway and must go on being judged.
+/// Returns servers to service, those with the lowest score first, if a wider
+/// scope has meanwhile used up the floor. Such servers are in use in any case
+/// and must remain subject to evaluation.
 void ScopeTracker::restoreToFloor(const RemovalRules &Rules) {
   double Usable = this->countUsable(Rules);
   while (Usable < Rules.FloorSlots) {
@@ -327,7 +334,8 @@
   }
 }
 
-/// Removes servers above the threshold, worst first, down to the floor.
+/// Removes servers above the threshold, those with the highest score first, as
+/// far as the floor permits.
 void ScopeTracker::removeWorst(TimePoint Now, const RemovalRules &Rules) {
   std::vector<size_t> Candidates;
   double Usable = this->countUsable(Rules);
@@ -362,7 +370,7 @@
       this->advanceReturn(State, Now);
     if (State.Phase != HealthPhase::Removed)
       continue;
-    // One that the floor kept in use may prove that it is well again.
+    // A removed server that the floor kept in use may have recovered.
     if (State.Score <= 0)
       this->beginReturn(I, 1, Now);
     else if (Now >= State.RemovedUntil)
--- a/lib/Health/TransitionRates.cpp
+++ b/lib/Health/TransitionRates.cpp
@@ -1,4 +1,4 @@
-//===- TransitionRates.cpp - How often spells begin and end ---------------===//
+//===- TransitionRates.cpp - Transition rates of servers ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One step of the expectation maximisation of a Markov chain of two states for
-/// each outcome.
+/// Implements one step of online expectation maximization for a two-state
+/// Markov chain per outcome.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,18 +19,20 @@
 
 namespace canvaswick {
 
-/// Changes a second. Slower ones do not matter while requests are in flight,
-/// faster ones cannot be followed by news that takes some tens of milliseconds.
+/// Bounds of the rates in transitions per second. Slower transitions are
+/// irrelevant within the time of a request; faster ones cannot be tracked,
+/// since observations of peers arrive after some tens of milliseconds.
 static constexpr double MinOnsetRate = 0.002;
 static constexpr double MaxOnsetRate = 0.3;
 static constexpr double MinRecoveryRate = 0.03;
 static constexpr double MaxRecoveryRate = 1;
 
-/// Between outcomes further apart a server may have changed more than once.
+/// Maximum time between two outcomes to learn from. Over a longer time, a
+/// server may have changed its state more than once.
 static constexpr Duration MaxLearningStep = fromSeconds(2);
 
-/// Above this much time in a state what was learned of it is halved, so that
-/// the rates follow the service.
+/// Above this total time in a state, in seconds, its counts are halved, so that
+/// the rates follow the recent behaviour of the service.
 static constexpr double MaxStateSeconds = 600;
 
 double TransitionRates::getOnsetRate() const {
--- a/lib/Health/Tuning.cpp
+++ b/lib/Health/Tuning.cpp
@@ -1,4 +1,4 @@
-//===- Tuning.cpp - The numbers behind the one weighing setting -----------===//
+//===- Tuning.cpp - Parameters of the weighing presets --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One row a preset.
+/// Defines the parameters of each preset.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 namespace canvaswick {
 
-/// What the three presets share.
+/// Returns the parameters with values common to the presets.
 static HealthTuning makeCommonTuning() {
   HealthTuning Tuning;
   Tuning.MinSources = 3;
@@ -55,7 +55,7 @@
     Tuning.ReportInterval = fromSeconds(1);
     return Tuning;
   }
-  assert(false && "weighing without a tuning");
+  assert(false && "weighing preset without parameters");
   return Tuning;
 }
 
--- a/unittests/Health/ChoiceSpeedTest.cpp
+++ b/unittests/Health/ChoiceSpeedTest.cpp
@@ -1,4 +1,4 @@
-//===- ChoiceSpeedTest.cpp - How long a choice takes ----------------------===//
+//===- ChoiceSpeedTest.cpp - Duration of a server choice ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Prints the time of one choice among 200 servers, with what 35 peers have in
-/// flight. Asserts no time. On an 8-core machine beside eight busy processes:
-/// 1,417 us while the requests in flight stood in one list a peer, 186 us since
-/// they stand by server.
+/// Prints the duration of one choice among 200 servers, with requests in flight
+/// of 35 peers, and asserts no limit. On an 8-core machine with eight other
+/// busy processes, it took 1,417 us with one list of requests per peer and 186
+/// us with one list per server.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -48,7 +48,7 @@
   return Policy;
 }
 
-TEST_CASE("a choice among 200 servers: its time is printed") {
+TEST_CASE("a choice among 200 servers prints its duration") {
   const MarkovPolicy Policy = makeBusyPolicy();
   const TimePoint Now = Start + fromMillis(150);
   double Sum = 0;
--- a/unittests/Health/CoverageSimulation.h
+++ b/unittests/Health/CoverageSimulation.h
@@ -1,4 +1,4 @@
-//===- CoverageSimulation.h - Who reaches a service's servers ---*- C++ -*-===//
+//===- CoverageSimulation.h - Use of healthy servers ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plays a service in virtual time: servers fall sick and leave requests
-/// without an answer, others send once-only requests by the shares that they
-/// are given. While more than a tenth and less than half of what is sent goes
-/// unserved, at least seven in ten sound servers must be reached in any two
-/// seconds.
+/// Simulates a service in virtual time. Servers become unhealthy and leave
+/// requests without an answer, while clients send non-repeatable requests
+/// according to the shares that they get. While more than a tenth and less than
+/// half of the requests go unserved, at least 70 % of the healthy servers must
+/// get a request in any two seconds.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,21 +32,24 @@
 inline constexpr Duration TypicalTime = fromMillis(250);
 inline constexpr Duration Timeout = fromSeconds(3);
 
-/// One play.
+/// Parameters of one simulation.
 struct CoverageScenario {
   size_t Servers = 12;
-  /// Part of the servers that is sick at a time, and for how long each is.
+  /// Fraction of the servers that is unhealthy at a time, and the mean duration
+  /// of failure episodes.
   double UnhealthyFraction = 0.2;
   int EpisodeMs = 3000;
+  /// Requests per second and server.
   double RequestsPerServer = 3;
   int LengthMs = 16000;
   uint64_t Seed = 1;
 };
 
-/// What the senders saw.
+/// Results from the clients' point of view.
 struct CoverageOutcome {
   size_t WindowsEvaluated = 0;
-  /// The least part of the sound servers that was reached in one.
+  /// The minimum over all evaluated windows of the fraction of healthy servers
+  /// that got a request.
   double MinReachedFraction = 1;
 };
 
@@ -105,7 +108,7 @@
     return this->UnhealthyUntil[Server] > this->Now;
   }
 
-  /// Keeps the wanted part sick; each falls sick by chance.
+  /// Keeps the configured fraction unhealthy; random servers become unhealthy.
   void changeHealth() {
     size_t Unhealthy = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I)
@@ -146,7 +149,7 @@
     }
   }
 
-  /// Looks at the two seconds before, as who sends would.
+  /// Evaluates the last two seconds from the clients' point of view.
   void evaluate() {
     while (!this->Requests.empty() && this->Requests.front().HasEnded &&
            this->Requests.front().At < this->Now - Window)
@@ -167,7 +170,8 @@
     size_t Healthy = 0;
     size_t Reached = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I) {
-      // Two seconds after it is well, and all the window.
+      // Counts a server as healthy from two seconds after its recovery, and
+      // only if this holds for the whole window.
       if (this->UnhealthyUntil[I] + Window > this->Now - Window)
         continue;
       ++Healthy;
--- a/unittests/Health/FloorCoverageTest.cpp
+++ b/unittests/Health/FloorCoverageTest.cpp
@@ -1,4 +1,4 @@
-//===- FloorCoverageTest.cpp - Sound servers stay in use ------------------===//
+//===- FloorCoverageTest.cpp - Healthy servers stay in use ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The failure that it guards against: 12 of 22 sound servers got nothing for
-/// two seconds in which 157 of 1,082 requests went unserved, by who sent them.
-/// The daemons counted 4.6 in 100 at that time, since requests that wait for an
-/// answer that will not come had not failed yet, and heeded the floor from 9 in
-/// 100 on.
+/// Guards against the following failure: 12 of 22 healthy servers got no
+/// requests for two seconds in which 157 of 1,082 requests went unserved. The
+/// daemons measured a failure rate of only 4.6 %, because requests that wait
+/// for an answer that never comes had not failed yet, and the floor applied
+/// only from 9 % on.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,8 @@
 
 using namespace canvaswick;
 
-TEST_CASE("seven in ten sound servers are reached while many requests fail") {
+TEST_CASE(
+    "70 percent of the healthy servers are used while many requests fail") {
   size_t Evaluated = 0;
   for (const size_t Servers : {12, 22, 40, 120})
     for (const double Unhealthy : {0.1, 0.2, 0.3, 0.45})
--- a/unittests/Health/FloorGuardTest.cpp
+++ b/unittests/Health/FloorGuardTest.cpp
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The property that must always hold, for every wish there can be.
+/// Checks that the floor holds for arbitrary desired shares.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -47,7 +47,8 @@
       All += Desired.Slots;
       NotLeaving += Desired.IsLeaving ? 0 : Desired.Slots;
     }
-    // What leaves is not ours to keep: then nothing may be reduced at all.
+    // Leaving servers are not subject to the floor. If they reduce the capacity
+    // below it, no other server may be reduced.
     const double Bound = std::min(NotLeaving, All * Floor / 100);
     RC_ASSERT(countUsableSlots(DesiredShares, GrantedShares) >= Bound - 1e-9);
     for (size_t I = 0; I < DesiredShares.size(); ++I) {
@@ -58,7 +59,7 @@
   }));
 }
 
-TEST_CASE("the worst go first and the rest are kept, and it says so") {
+TEST_CASE("the floor reduces the worst servers and marks those that it keeps") {
   std::vector<DesiredShare> DesiredShares(4);
   DesiredShares[0].Share = DesiredShares[1].Share = DesiredShares[2].Share = 0;
   DesiredShares[0].Score = 10;
--- a/unittests/Health/InFlightTableTest.cpp
+++ b/unittests/Health/InFlightTableTest.cpp
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Own requests, what peers tell, what is lost on the way, and what answers
-/// show of others.
+/// Tests local requests, reports of peers including lost and reordered ones,
+/// and the loads that answers report.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
   return {Server, Start, fromMillis(200)};
 }
 
-TEST_CASE("own requests and those of peers add up") {
+TEST_CASE("local requests and those of peers are added up") {
   InFlightTable Table(2);
   const uint64_t Number = Table.begin(makeRequest(0));
   Table.begin(makeRequest(1));
@@ -39,7 +39,7 @@
   CHECK(Visited == 2);
 }
 
-TEST_CASE("a message replaces all that a peer told before, never a later one") {
+TEST_CASE("a message replaces earlier ones of a peer and never later ones") {
   InFlightTable Table(1);
   Table.replacePeer("p", 2, {makeRequest(0)}, Start);
   Table.replacePeer("p", 1, {}, Start);
@@ -48,17 +48,18 @@
   CHECK(Table.getLoad(0, Start) == 0);
 }
 
-TEST_CASE("the requests of a peer that has fallen silent are forgotten") {
+TEST_CASE("requests of a peer without updates expire") {
   InFlightTable Table(1);
   Table.replacePeer("p", 1, {makeRequest(0)}, Start);
   CHECK(Table.getLoad(0, Start + fromMillis(300)) == 1);
   CHECK(Table.getLoad(0, Start + fromSeconds(1)) == 0);
 }
 
-TEST_CASE("an answer shows how many requests of other halls a server has") {
+TEST_CASE("a reported load shows the requests of other halls at a server") {
   InFlightTable Table(1);
   Table.begin(makeRequest(0));
-  // Five with the one that was answered: three are not of this hall.
+  // Five requests include the one that was answered; three are not of this
+  // hall.
   Table.recordReportedLoad(0, 5, Start);
   CHECK(Table.getLoad(0, Start) == doctest::Approx(4));
   CHECK(Table.getLoad(0, Start + fromSeconds(3)) ==
@@ -67,7 +68,7 @@
   CHECK(Table.getLoad(0, Start) == 1);
 }
 
-TEST_CASE("what peers have out is taken over by a new version of a service") {
+TEST_CASE("a new version of a service takes over the requests of peers") {
   InFlightTable Old(2);
   Old.begin(makeRequest(0));
   Old.replacePeer("p", 5, {makeRequest(0), makeRequest(1)}, Start);
--- a/unittests/Health/LatencyDistributionTest.cpp
+++ b/unittests/Health/LatencyDistributionTest.cpp
@@ -1,4 +1,4 @@
-//===- LatencyDistributionTest.cpp - Tests of the spread of answer times --===//
+//===- LatencyDistributionTest.cpp - Tests of the distribution ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What is taken to be usual before anything is known, and how it is learned.
+/// Tests the prior and how the distribution adapts to answers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 using namespace canvaswick;
 
 TEST_CASE(
-    "before anything is known half of the answers take longer than usual") {
+    "in the prior half of the answers take longer than the typical time") {
   const LatencyDistribution Times;
   CHECK(Times.getSurvival(0) == 1);
   CHECK(Times.getSurvival(1) == doctest::Approx(0.5).epsilon(0.1));
@@ -27,7 +27,7 @@
   CHECK(Times.getSurvival(1000) == LatencyDistribution::MinSurvival);
 }
 
-TEST_CASE("a service whose answers vary much is given more time") {
+TEST_CASE("a service with a wide distribution has a higher survival function") {
   LatencyDistribution Times;
   for (int I = 0; I < 500; ++I)
     Times.add(I % 5 == 0 ? 5 : 1);
@@ -35,7 +35,7 @@
   CHECK(Times.getSurvival(8) < 0.02);
 }
 
-TEST_CASE("what a service did long ago is forgotten") {
+TEST_CASE("the distribution forgets old answers") {
   LatencyDistribution Times;
   for (int I = 0; I < 1000; ++I)
     Times.add(6);
@@ -45,7 +45,7 @@
   CHECK(Times.getSurvival(4) < 0.05);
 }
 
-TEST_CASE("the longer a request is out, the fewer answers take longer still") {
+TEST_CASE("the survival function does not increase with the latency ratio") {
   CHECK(rc::check([](const std::vector<uint16_t> &Percents) {
     LatencyDistribution Times;
     for (const uint16_t Percent : Percents)
--- a/unittests/Health/LatencyTableTest.cpp
+++ b/unittests/Health/LatencyTableTest.cpp
@@ -1,10 +1,16 @@
-//===- LatencyTableTest.cpp - Usual times of a service's routes -----------===//
+//===- LatencyTableTest.cpp - Tests of typical times of routes ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
 // SPDX-License-Identifier: Apache-2.0
 //
 //===----------------------------------------------------------------------===//
+///
+/// \file
+/// Tests the typical times and slow thresholds of routes, and the
+/// classification of failures by their time.
+///
+//===----------------------------------------------------------------------===//
 
 #include "canvaswick/Health/LatencyTable.h"
 
@@ -23,7 +29,7 @@
   return Table;
 }
 
-TEST_CASE("each route has its own usual time") {
+TEST_CASE("each route has its own typical time") {
   const LatencyTable Table = makeTable();
   CHECK(toMillis(Table.getMedian("heavy")) > 200);
   CHECK(toMillis(Table.getMedian("light")) < 5);
@@ -31,7 +37,7 @@
   CHECK(Table.getSlowThreshold("light") < fromMillis(50));
 }
 
-TEST_CASE("a failure is judged by when it came") {
+TEST_CASE("a failure is classified by its time") {
   const LatencyTable Table = makeTable();
   CHECK(Table.classifyFailure("heavy", fromMillis(2)) ==
         RequestOutcome::FailedEarly);
@@ -39,14 +45,14 @@
         RequestOutcome::FailedAfterWork);
   CHECK(Table.classifyFailure("heavy", fromSeconds(3)) ==
         RequestOutcome::FailedAfterWork);
-  // Too short to tell.
+  // The typical time is too short to distinguish early failures.
   CHECK(Table.classifyFailure("light", fromMillis(1)) ==
         RequestOutcome::Failed);
-  // Not known.
+  // The typical time is unknown.
   CHECK(Table.classifyFailure("new", fromMillis(1)) == RequestOutcome::Failed);
 }
 
-TEST_CASE("what was learned is taken over, but for routes long unused") {
+TEST_CASE("samples are taken over except for routes that are no longer used") {
   LatencyTable Table(Duration::zero());
   Table.adopt(makeTable(), Start + fromSeconds(1));
   CHECK(Table.classifyFailure("heavy", fromMillis(2)) ==
@@ -57,14 +63,14 @@
         RequestOutcome::Failed);
 }
 
-TEST_CASE("operators' own bound on slowness holds on every route") {
+TEST_CASE("a configured slow threshold applies to every route") {
   LatencyTable Table(fromMillis(700));
   Table.add("heavy", fromMillis(300), Start);
   CHECK(Table.getSlowThreshold("heavy") == fromMillis(700));
   CHECK(Table.getSlowThreshold("other") == fromMillis(700));
 }
 
-TEST_CASE("a first answer that was far off is soon left behind") {
+TEST_CASE("the median recovers from an outlier as the first sample") {
   LatencyTable Table{Duration::zero()};
   Table.add("r", fromMillis(1), Start);
   for (int I = 0; I < 15; ++I)
@@ -72,14 +78,15 @@
   CHECK(toSeconds(Table.getMedian("r")) == doctest::Approx(0.2).epsilon(0.4));
 }
 
-TEST_CASE("the usual time stays near the middle of the answers") {
+TEST_CASE("the typical time stays near the median") {
   LatencyTable Table{Duration::zero()};
   for (int I = 0; I < 400; ++I)
     Table.add("r", fromMillis(100 + (I * 7919) % 200), Start);
   CHECK(toSeconds(Table.getMedian("r")) == doctest::Approx(0.2).epsilon(0.15));
 }
 
-TEST_CASE("until enough was seen the usual time follows from the objective") {
+TEST_CASE(
+    "without enough samples the typical time is derived from the objective") {
   LatencyTable Table{Duration::zero()};
   CHECK(Table.getTypicalTime("r", Duration::zero()) == Duration::zero());
   Table.add("r", fromMillis(1), Start);
--- a/unittests/Health/MarkovPolicyTest.cpp
+++ b/unittests/Health/MarkovPolicyTest.cpp
@@ -1,4 +1,4 @@
-//===- MarkovPolicyTest.cpp - Tests of the policy for short spells --------===//
+//===- MarkovPolicyTest.cpp - Tests of the failure episode policy ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What moves the probability of a spell, what follows for the shares, and what
-/// is told to peers.
+/// Tests how outcomes change the unhealthy probability and the shares, and
+/// which observations are sent to peers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +30,7 @@
   return MarkovPolicy(Setup);
 }
 
-/// Lets every server answer well now and then for some seconds.
+/// Records good outcomes of every server over five seconds.
 static TimePoint makeAllHealthy(MarkovPolicy &Policy, size_t Servers) {
   TimePoint Now = Start;
   for (int Round = 0; Round < 20; ++Round, Now += fromMillis(250))
@@ -39,24 +39,25 @@
   return Now;
 }
 
-TEST_CASE("one failure takes most of a well server's traffic") {
+TEST_CASE("one failure takes most requests from a healthy server") {
   MarkovPolicy Policy = makePolicy(4);
   const TimePoint Now = makeAllHealthy(Policy, 4);
   const double Before = Policy.getShare(0, FailureCost::High, Now);
   CHECK(Before > 0.5);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
   CHECK(Policy.getShare(0, FailureCost::High, Now) < 0.1 * Before);
-  // The failure teaches a little of how often servers fall sick at all.
+  // The failure also raises the learned onset rate slightly.
   CHECK(Policy.getShare(1, FailureCost::High, Now) ==
         doctest::Approx(Before).epsilon(0.002));
-  // What may be sent again keeps testing it, most of all what is dear far away.
+  // Repeatable requests continue to test the server, most of all those that are
+  // expensive in a remote hall.
   CHECK(Policy.getShare(0, FailureCost::Low, Now) >
         Policy.getShare(0, FailureCost::Medium, Now));
   CHECK(Policy.getShare(0, FailureCost::Medium, Now) >
         Policy.getShare(0, FailureCost::High, Now));
 }
 
-TEST_CASE("a peer's observation counts like an own outcome") {
+TEST_CASE("an observation of a peer has the same effect as a local outcome") {
   MarkovPolicy Local = makePolicy(3);
   MarkovPolicy Peer = makePolicy(3);
   Local.recordOutcome(1, RequestOutcome::Failed, Start);
@@ -68,7 +69,7 @@
   CHECK(Local.drainObservations().empty());
 }
 
-TEST_CASE("what is known loses its worth within seconds") {
+TEST_CASE("the unhealthy probability decays within seconds") {
   MarkovPolicy Policy = makePolicy(3);
   for (int I = 0; I < 5; ++I)
     Policy.recordOutcome(0, RequestOutcome::Failed, Start);
@@ -81,19 +82,19 @@
             .epsilon(0.001));
 }
 
-TEST_CASE("a server that this daemon does not reach is left alone") {
+TEST_CASE("a server that this daemon cannot reach is avoided") {
   MarkovPolicy Policy = makePolicy(3);
   const TimePoint Now = makeAllHealthy(Policy, 3);
   Policy.drainObservations();
   Policy.recordOutcome(0, RequestOutcome::Unreachable, Now);
   CHECK(Policy.getShare(0, FailureCost::High, Now) < 0.01);
-  // Others may reach it.
+  // Other daemons may be able to reach the server.
   CHECK(Policy.drainObservations().empty());
   Policy.recordOutcome(0, RequestOutcome::Good, Now + fromSeconds(2));
   CHECK(Policy.getShare(0, FailureCost::High, Now + fromSeconds(2)) > 0.3);
 }
 
-TEST_CASE("a leaving server gets nothing") {
+TEST_CASE("a leaving server gets no requests") {
   MarkovPolicy Policy = makePolicy(3);
   Policy.setLeaving(0, true, Start);
   CHECK(Policy.getShare(0, FailureCost::Medium, Start) == 0);
@@ -103,12 +104,13 @@
 TEST_CASE("while a tenth of the requests fail the floor's servers are used") {
   MarkovPolicy Policy = makePolicy(10);
   TimePoint Now = makeAllHealthy(Policy, 10);
-  // Failures everywhere, at servers that nothing speaks against.
+  // All servers fail; none is considered unhealthy before.
   for (size_t I = 0; I < 10; ++I) {
     Policy.recordOutcome(I, RequestOutcome::Failed, Now);
     Policy.recordOutcome(I, RequestOutcome::Failed, Now);
   }
-  // Two are well again. Nobody has used the others for more than a second.
+  // Two servers have recovered. The others have not been used for more than a
+  // second.
   Now += fromMillis(1100);
   for (int I = 0; I < 6; ++I) {
     Policy.recordOutcome(0, RequestOutcome::Good, Now);
@@ -120,21 +122,20 @@
   CHECK(Used >= 7);
 }
 
-// The failure. For two seconds, in which ten of a hundred warnings went
-// unserved, five of fourteen sound servers got none: a hall with many servers
-// sends most requests to the few that it has just seen well.
-// The cause. The daemons took seven in a hundred for the part that failed,
-// since they counted only what went to servers they trusted; the rest of what
-// failed went to servers that nothing was known of. Evidence: by the daemons'
-// logs 7.3 to 7.7 in 100 tries at trusted servers went badly in those
-// seconds, 9.9 to 11 of all.
+// Guards against healthy servers without requests while many requests fail: in
+// two seconds in which 10 % of the requests went unserved, 5 of 14 healthy
+// servers got none. A hall with many servers sends most requests to the few of
+// which it has recent good outcomes. The daemons counted only failures at
+// servers with a low unhealthy probability, which gave 7.3 to 7.7 %, and missed
+// those at servers with little information; over all servers, 9.9 to 11 % of
+// the attempts failed.
 TEST_CASE("what fails at servers of which little is known counts too") {
   constexpr size_t Count = 40;
   constexpr size_t Busy = 6;
   constexpr size_t Uncertain = 30;
   MarkovPolicy Policy = makePolicy(Count);
-  // Servers are sick for three quarters of a second in five, by turns. What was
-  // known of each has faded since.
+  // Servers are unhealthy in turns for 0.75 s out of every 5 s. After 15 s, the
+  // information about each of them has decayed.
   TimePoint Now = Start;
   for (size_t Round = 0; Round < 80; ++Round, Now += fromMillis(250))
     for (size_t I = 0; I < Count; ++I)
@@ -161,37 +162,38 @@
         Now);
   Now += fromMillis(1100);
   SendToHot(2, RequestOutcome::Good);
-  // Now 11 in 100 requests fail, and 7 in 100 of those to the first six.
+  // At this point 11 % of the requests fail, and 7 % of those to the first six
+  // servers.
   size_t Used = 0;
   for (const double Share : Policy.getShares(FailureCost::High, Now))
     Used += Share > 0.25 ? 1 : 0;
   CHECK(Used >= 28);
 }
 
-TEST_CASE("what can run once only tests no server that has failed") {
+TEST_CASE("non-repeatable requests do not test servers that have failed") {
   MarkovPolicy Policy = makePolicy(4);
   TimePoint Now = makeAllHealthy(Policy, 4);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
   Policy.recordOutcome(0, RequestOutcome::Failed, Now);
-  // By now it may be well again, and nobody has used it for a while.
+  // The server may have recovered by now and has not been used for a while.
   Now += fromSeconds(4);
   for (size_t I = 1; I < 4; ++I)
     Policy.recordOutcome(I, RequestOutcome::Good, Now);
   CHECK(Policy.getShare(0, FailureCost::High, Now) <
         0.2 * Policy.getShare(1, FailureCost::High, Now));
-  // What can be sent again tests it.
+  // Repeatable requests test the server.
   CHECK(Policy.getShare(0, FailureCost::Medium, Now) > 0.5);
 }
 
-TEST_CASE("when a failure came decides how much it says") {
+TEST_CASE("the weight of a failure depends on its time") {
   MarkovPolicy Policy = makePolicy(3);
   const TimePoint Now = makeAllHealthy(Policy, 3);
   Policy.recordOutcome(0, RequestOutcome::FailedEarly, Now);
   CHECK(Policy.getUnhealthyProbability(0, Now) > 0.8);
-  // Well servers fail one in a hundred after their work.
+  // Healthy servers fail one request in a hundred after doing its work.
   Policy.recordOutcome(1, RequestOutcome::FailedAfterWork, Now);
   CHECK(Policy.getUnhealthyProbability(1, Now) < 0.2);
-  // One late answer says little, several in a row do not.
+  // One slow answer is weak evidence, several consecutive ones are not.
   Policy.recordOutcome(2, RequestOutcome::Slow, Now);
   CHECK(Policy.getUnhealthyProbability(2, Now) < 0.15);
   for (int I = 0; I < 4; ++I)
@@ -199,14 +201,15 @@
   CHECK(Policy.getUnhealthyProbability(2, Now) > 0.5);
 }
 
-TEST_CASE("a refusal says little where all servers refuse") {
+TEST_CASE("a refusal has little weight if all servers refuse requests") {
   MarkovPolicy One = makePolicy(6);
   const TimePoint Now = makeAllHealthy(One, 6);
   MarkovPolicy All = One;
   for (int I = 0; I < 3; ++I)
     One.recordOutcome(0, RequestOutcome::Shed, Now);
   CHECK(One.getUnhealthyProbability(0, Now) > 0.5);
-  // Every other request to five of six is refused; one was not asked of late.
+  // Five of six servers refuse every other request; the sixth has no recent
+  // requests.
   for (int Round = 0; Round < 6; ++Round)
     for (size_t I = 0; I < 5; ++I) {
       All.recordOutcome(I, RequestOutcome::Shed, Now);
@@ -217,32 +220,33 @@
         0.5 * All.getShare(5, FailureCost::High, Now));
 }
 
-TEST_CASE("a daemon that has just started believes its hall") {
+TEST_CASE("a daemon that has just started uses the estimates of its hall") {
   MarkovPolicy New = makePolicy(3);
   New.applySameHallEstimate(0, 0.95, Start);
   New.applySameHallEstimate(1, 0.02, Start);
-  // No first test of what the hall knows to be sick.
+  // The server needs no first test, since the hall knows that it is unhealthy.
   CHECK(New.getShare(0, FailureCost::High, Start) < 0.01);
   CHECK(New.getShare(1, FailureCost::High, Start) > 0.7);
-  // What nobody has used is tested all the same.
+  // A server that no daemon has used is still tested.
   CHECK(New.getShare(2, FailureCost::High, Start) > 0.5);
-  // Another hall knows its own servers better.
+  // Another hall has better information about its own servers.
   New.applyRemoteEstimate(2, 0.03, Start);
   New.applySameHallEstimate(2, 0.95, Start);
   CHECK(New.getUnhealthyProbability(2, Start) == doctest::Approx(0.03));
-  // Its own experience counts more than any word.
+  // Local outcomes take precedence over estimates of peers.
   New.recordOutcome(1, RequestOutcome::FailedEarly, Start);
   New.applySameHallEstimate(1, 0.02, Start);
   CHECK(New.getShare(1, FailureCost::High, Start) < 0.01);
 }
 
-TEST_CASE("a server that nobody has used gets a request soon") {
+TEST_CASE("a server that has never been used gets a request soon") {
   MarkovPolicy Policy = makePolicy(2);
   Policy.recordOutcome(0, RequestOutcome::Good, Start);
   CHECK(Policy.getShare(1, FailureCost::High, Start) > 0.5);
 }
 
-TEST_CASE("another hall's word replaces what was known and is not tested") {
+TEST_CASE(
+    "the estimate of another hall replaces local state and is not tested") {
   MarkovPolicy Policy = makePolicy(3);
   for (int I = 0; I < 4; ++I)
     Policy.applyObservation(2, RequestOutcome::Failed, Start);
@@ -251,7 +255,7 @@
   CHECK(Policy.getShare(2, FailureCost::High, Start) > 0.7);
 }
 
-TEST_CASE("evidence is taken over for the servers that are in both") {
+TEST_CASE("state is taken over for servers that are in both versions") {
   MarkovPolicy Old = makePolicy(3);
   Old.recordOutcome(1, RequestOutcome::Failed, Start);
   MarkovPolicy New = makePolicy(5);
@@ -262,7 +266,7 @@
         New.getUnhealthyProbability(1, Start));
 }
 
-TEST_CASE("shares stay between nothing and all, whatever is seen") {
+TEST_CASE("shares stay between 0 and 1 for any outcomes") {
   CHECK(rc::check([] {
     MarkovPolicy Policy = makePolicy(6);
     TimePoint Now = Start;
@@ -286,13 +290,14 @@
   }));
 }
 
-TEST_CASE("a request that stays out speaks against its server at once") {
+TEST_CASE(
+    "a request without an answer is evidence against its server at once") {
   MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllHealthy(Policy, 2);
   const double Before = Policy.getUnhealthyProbability(0, Now);
   const uint64_t Number = Policy.getInFlight().begin({0, Now, fromMillis(200)});
   CHECK(Policy.getUnhealthyProbability(0, Now) == doctest::Approx(Before));
-  // A good answer may well take twice the usual time.
+  // A good answer may well take twice the typical time.
   CHECK(Policy.getUnhealthyProbability(0, Now + fromMillis(300)) < 0.2);
   CHECK(Policy.getUnhealthyProbability(0, Now + fromMillis(1000)) > 0.6);
   CHECK(Policy.getUnhealthyProbability(1, Now + fromMillis(1000)) < 0.2);
@@ -300,7 +305,7 @@
   CHECK(Policy.getUnhealthyProbability(0, Now + fromMillis(1000)) < 0.2);
 }
 
-TEST_CASE("silence where many wait says less than at an idle server") {
+TEST_CASE("a missing answer is weaker evidence at a loaded server") {
   MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllHealthy(Policy, 2);
   Policy.getInFlight().begin({0, Now, fromMillis(200)});
@@ -310,7 +315,7 @@
         2 * Policy.getUnhealthyProbability(1, Later));
 }
 
-TEST_CASE("several requests that stay out at one server say more than one") {
+TEST_CASE("several requests without an answer are stronger evidence than one") {
   MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllHealthy(Policy, 2);
   Policy.getInFlight().begin({0, Now, fromMillis(200)});
@@ -322,7 +327,7 @@
         Policy.getUnhealthyProbability(1, Later) + 0.1);
 }
 
-TEST_CASE("what was said while a request was out is not counted again") {
+TEST_CASE("an overdue request does not count again as evidence when it ends") {
   MarkovPolicy Policy = makePolicy(1);
   TimePoint Now = makeAllHealthy(Policy, 1);
   const uint64_t Number = Policy.getInFlight().begin({0, Now, fromMillis(200)});
@@ -343,7 +348,7 @@
   CHECK(Policy.getShare(1, FailureCost::High, Start) < 0.1);
 }
 
-TEST_CASE("what is expected at a server decides over its share") {
+TEST_CASE("expected utilities determine the shares") {
   MarkovPolicy Policy = makePolicy(3);
   const TimePoint Now = makeAllHealthy(Policy, 3);
   const auto Shares =
@@ -352,13 +357,13 @@
   CHECK(Shares[1].Share < 0.25);
   CHECK(Shares[1].Share > 0.1);
   CHECK(Shares[2].Share == 0);
-  // What can be sent again turns away less.
+  // Repeatable requests avoid the server less.
   CHECK(
       Policy.getSharesByUtility({0.95, 0.85, 0.0}, FailureCost::Medium, Now)[1]
           .Share > Shares[1].Share);
 }
 
-TEST_CASE("the chance of an answer falls with silence and with load") {
+TEST_CASE("the probability of an answer falls with waiting time and load") {
   MarkovPolicy Policy = makePolicy(2);
   const TimePoint Now = makeAllHealthy(Policy, 2);
   const Duration TypicalTime = fromMillis(200);
--- a/unittests/Health/PooledPolicyTest.cpp
+++ b/unittests/Health/PooledPolicyTest.cpp
@@ -1,4 +1,4 @@
-//===- PooledPolicyTest.cpp - Stateful fuzzing of the pooled policy -------===//
+//===- PooledPolicyTest.cpp - Tests of pooled evidence --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whatever evidence and digests arrive in whatever order, at every instant the
-/// slots in use stay above the floor; and what one source can do is bounded.
+/// Checks with random sequences of events that the slots in use stay above the
+/// floor for any order of evidence and summaries, and that the effect of a
+/// single source is bounded.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -41,7 +42,7 @@
 
 namespace {
 
-/// The oracle: what is configured and what leaves, nothing else.
+/// The reference model, which depends only on configured and leaving servers.
 struct Capacity {
   std::vector<int> Slots;
   std::vector<bool> IsLeaving;
@@ -166,7 +167,7 @@
   return 1;
 }
 
-TEST_CASE("one source alone cannot remove a server for others") {
+TEST_CASE("a single source cannot remove a server for other daemons") {
   CHECK(rc::check([] {
     EvidencePool Pool = makePool(0);
     TimePoint Now = TimePoint{} + fromSeconds(10);
@@ -188,7 +189,7 @@
   }));
 }
 
-TEST_CASE("several sources remove a sick server for all") {
+TEST_CASE("several sources remove an unhealthy server for all daemons") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   const ServerId Unhealthy = getServerId("s", "4");
@@ -202,7 +203,7 @@
   CHECK(getShareOf(Pool, 5, "a") == 1);
 }
 
-TEST_CASE("what one hall sees removes a server for that hall only") {
+TEST_CASE("evidence of one hall removes a server only for that hall") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   const ServerId Unreachable = getServerId("s", "4");
@@ -246,10 +247,10 @@
   CHECK(getShareOf(Pool, 3, "a") == 1);
 }
 
-TEST_CASE("one stray answer at the sound server does not keep sick ones") {
-  // A single slow answer among many good ones, before or after the others fall
-  // sick, once or every few seconds, must not make a daemon look as if all it
-  // uses failed.
+TEST_CASE("one slow answer of a healthy server does not keep unhealthy ones") {
+  // A single slow answer among many good ones, before or after the other
+  // servers become unhealthy, once or every few seconds, must not make a daemon
+  // appear as if all its servers failed.
   for (const uint64_t EveryRounds : {1000, 8}) {
     for (const uint64_t FirstRound : {1, 5}) {
       std::vector<PooledServer> Servers;
@@ -286,7 +287,7 @@
   }
 }
 
-TEST_CASE("a report that arrives twice counts once") {
+TEST_CASE("a duplicate report counts once") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   const ServerId Some = getServerId("s", "4");
@@ -296,13 +297,14 @@
           makeReport(fmt::format("d{}", I), "a", 1, {{Some, {0, 0, 1}}}), Now);
   Pool.advance(Now);
   Pool.advance(Now + fromSeconds(1));
-  // Three failures are not enough by themselves for this to be certain.
+  // Three failures reach the threshold only at the maximum weight of 4 nats
+  // each.
   const double ThreeFailures = 3 * 4.0;
   CHECK(ThreeFailures > getTuning(Weighing::Detection).Threshold);
   CHECK(Pool.buildSummary("a").Servers.size() <= 1);
 }
 
-TEST_CASE("a source that sees most servers fail is not believed") {
+TEST_CASE("a source that sees most servers fail is not credible") {
   EvidencePool Pool = makePool(0);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   for (int I = 0; I < 5; ++I) {
@@ -318,7 +320,7 @@
     CHECK(getShareOf(Pool, S, "a") == 1);
 }
 
-TEST_CASE("a removed server comes back by steps, and a flapping one slower") {
+TEST_CASE("a removed server returns in steps, and more slowly if it flaps") {
   ScopeTracker Tracker(getTuning(Weighing::Detection), 10);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   RemovalRules Rules;
@@ -352,7 +354,7 @@
   CHECK(Tracker.getShare(0) == 1);
 }
 
-TEST_CASE("everything slow at once removes nothing") {
+TEST_CASE("slow answers of all servers at once remove no server") {
   ScopeTracker Tracker(getTuning(Weighing::Detection), 8);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   RemovalRules Rules;
--- a/unittests/Health/RetryTimingTest.cpp
+++ b/unittests/Health/RetryTimingTest.cpp
@@ -1,4 +1,4 @@
-//===- RetryTimingTest.cpp - Tests of when a silent attempt is left -------===//
+//===- RetryTimingTest.cpp - Tests of when to retry elsewhere -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The decision against an oracle that tries every moment to leave at, and what
-/// it should do in cases that operators know.
+/// Compares the decision with an exhaustive search over retry times, and checks
+/// it in typical cases.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,8 @@
 
 using namespace canvaswick;
 
-/// A service whose answers spread by a factor of about 1.6.
+/// Creates the distribution of a service whose latency ratios vary by a factor
+/// of about 1.6.
 static LatencyDistribution makeTimes() {
   LatencyDistribution Times;
   std::mt19937 Random(7);
@@ -46,14 +47,14 @@
   return Attempt;
 }
 
-/// Moves an attempt on by a time in which no answer came.
+/// Returns an attempt after a further time without an answer.
 static UnansweredAttempt wait(UnansweredAttempt Attempt, Duration Span,
                               const LatencyDistribution &Times) {
   const auto Survival = [&](Duration Elapsed) {
     return Times.getSurvival(toSeconds(Elapsed) /
                              toSeconds(Attempt.TypicalTime));
   };
-  // A sick server leaves four in ten without an answer.
+  // An unhealthy server never answers 40 % of its requests.
   const auto Unhealthy = [&](Duration Elapsed) {
     return 0.4 + 0.6 * Survival(Elapsed);
   };
@@ -69,8 +70,8 @@
   return Attempt;
 }
 
-/// What waiting until Leave and then leaving is worth, or waiting to the end if
-/// Leave is the deadline, added up in steps of 5 ms.
+/// Returns the expected utility of a retry at RetryAt, or of no retry if
+/// RetryAt is the deadline, integrated in steps of 5 ms.
 static double computeUtilityOfRetryAt(UnansweredAttempt Attempt,
                                       Duration RetryAt,
                                       const LatencyDistribution &Times) {
@@ -101,7 +102,7 @@
                                Attempt.RetryCost);
 }
 
-/// Returns the best moment to leave at and what it is worth.
+/// Returns the best time of a retry and its expected utility.
 static std::pair<Duration, double> findBest(const UnansweredAttempt &Attempt,
                                             const LatencyDistribution &Times) {
   std::pair<Duration, double> Best{Duration::zero(), -1};
@@ -113,7 +114,7 @@
   return Best;
 }
 
-/// Returns when the decision leaves, asked all the time, or the deadline.
+/// Returns the first time at which the decision is to retry, or the deadline.
 static Duration findChosenTime(const UnansweredAttempt &Attempt,
                                const LatencyDistribution &Times) {
   for (Duration At{}; At < Attempt.TimeToDeadline; At += fromMillis(5))
@@ -122,7 +123,7 @@
   return Attempt.TimeToDeadline;
 }
 
-TEST_CASE("what is decided is worth what the best moment is, but for 0.01") {
+TEST_CASE("the utility of the decision is within 0.01 of the best one") {
   const LatencyDistribution Times = makeTimes();
   CHECK(rc::check([&Times] {
     UnansweredAttempt Attempt = makeAttempt();
@@ -141,18 +142,18 @@
   }));
 }
 
-TEST_CASE("one that is merely usual waits, one that hangs is left in time") {
+TEST_CASE("a typical request waits, and a hanging one is retried in time") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.05;
   const Duration ChosenTime = findChosenTime(Attempt, Times);
-  // At the median nothing speaks for leaving.
+  // At the median there is no reason to retry.
   CHECK(ChosenTime > fromMillis(100));
-  // Nine in ten answers elsewhere still come within the objective.
+  // 90 % of the answers elsewhere still arrive within the objective.
   CHECK(ChosenTime < fromMillis(650));
 }
 
-TEST_CASE("a server that is surely sick is left sooner than a well one") {
+TEST_CASE("a request to an unhealthy server is retried sooner") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.99;
@@ -161,7 +162,7 @@
   CHECK(ChosenIfUnhealthy < findChosenTime(Attempt, Times));
 }
 
-TEST_CASE("it follows other times and objectives by itself") {
+TEST_CASE("the decision adapts to other times and objectives") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.05;
@@ -171,7 +172,7 @@
   CHECK(Attempt.Elapsed + findChosenTime(Attempt, Times) > ChosenTime);
 }
 
-TEST_CASE("past the objective one that hangs is still left before the end") {
+TEST_CASE("after the objective a hanging request is still retried") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.Elapsed = fromMillis(1300);
@@ -182,7 +183,7 @@
   CHECK(shouldRetryElsewhere(Attempt, Times));
 }
 
-TEST_CASE("where nothing is better there is no reason to leave") {
+TEST_CASE("without a better alternative there is no retry") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.AlternativeAnswerProbability = 0;
@@ -192,10 +193,11 @@
   CHECK_FALSE(shouldRetryElsewhere(Attempt, Times));
 }
 
-TEST_CASE("a repeat costs more as the allowance is used up") {
+TEST_CASE("the cost of a retry rises with the used fraction of the limit") {
   CHECK(computeRetryCost(0) < computeRetryCost(0.8));
   CHECK(computeRetryCost(0.8) < computeRetryCost(1));
   CHECK(computeRetryCost(2) == computeRetryCost(1));
-  // What hangs past the objective still gains more than the last one costs.
+  // For a request that hangs after the objective, the gain still exceeds the
+  // cost of the last retry.
   CHECK(computeRetryCost(1) < LateUtility);
 }
