--- a/include/canvaswick/Health/HealthPolicy.h
+++ b/include/canvaswick/Health/HealthPolicy.h
@@ -63,7 +63,7 @@
   Leaving,
   KeptByFloor,
   /// The server asked for backoff.
-  Resting,
+  ServerBackoff,
   /// The server announced a request limit.
   Limited,
 };
--- a/lib/Health/HealthPolicy.cpp
+++ b/lib/Health/HealthPolicy.cpp
@@ -33,7 +33,7 @@
     {ShareReason::FleetEvidence, "fleet-evidence"},
     {ShareReason::Leaving, "leaving"},
     {ShareReason::KeptByFloor, "kept-by-floor"},
-    {ShareReason::Resting, "resting"},
+    {ShareReason::ServerBackoff, "resting"},
     {ShareReason::Limited, "limited"},
 }};
 
--- a/lib/Proxy/ServiceNotices.cpp
+++ b/lib/Proxy/ServiceNotices.cpp
@@ -127,7 +127,7 @@
   case NoticeKind::Leaving:
     return ShareReason::Leaving;
   case NoticeKind::Rest:
-    return ShareReason::Resting;
+    return ShareReason::ServerBackoff;
   case NoticeKind::Misread:
     break;
   }
