--- a/include/canvaswick/Operator/Commands.h
+++ b/include/canvaswick/Operator/Commands.h
@@ -37,7 +37,7 @@
   int64_t ToVersion = -1;
   bool IsCsv = false;
   /// Words after the command.
-  std::vector<std::string> Words;
+  std::vector<std::string> Arguments;
 };
 
 /// Queries that need neither the platform nor a daemon.
--- a/include/canvaswick/Settings/FleetConfig.h
+++ b/include/canvaswick/Settings/FleetConfig.h
@@ -30,7 +30,7 @@
 namespace canvaswick {
 
 /// Which error an operator would rather have. One setting, three presets.
-enum class Weighing : uint8_t { Detection, Balanced, FalseEjections };
+enum class EjectionPreference : uint8_t { Detection, Balanced, FalseEjections };
 
 /// Whether a request of a route may be run more than once.
 enum class RouteClass : uint8_t { Repeatable, Once, Download };
@@ -74,7 +74,7 @@
   std::string Name;
   std::string Region;
   int FloorPercent = 0;
-  Weighing Preference = Weighing::Balanced;
+  EjectionPreference Preference = EjectionPreference::Balanced;
   int64_t DeadlineMs = 0;
   int64_t StallMs = 0;
   int64_t SlowAfterMs = 0;
--- a/include/canvaswick/Settings/SettingTable.h
+++ b/include/canvaswick/Settings/SettingTable.h
@@ -54,7 +54,7 @@
 /// Every setting. The order is that of the table.
 enum class SettingKey : uint8_t {
   FloorPercent,
-  Weighing,
+  EjectionPreference,
   Slots,
   Connections,
   DeadlineMs,
--- a/lib/Health/LatencyDistribution.cpp
+++ b/lib/Health/LatencyDistribution.cpp
@@ -1,4 +1,4 @@
-//===- LatencyDistribution.cpp - How long good answers take ---------------===//
+//===- LatencyDistribution.cpp - Distribution of answer times -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A histogram over the logarithm of the pace, begun with a weak prior.
+/// Implements a histogram over the logarithm of the latency ratio that starts
+/// with a weak prior.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,35 +19,37 @@
 
 namespace canvaswick {
 
-/// The bins cover paces from 1/8 to 32, four to each doubling. What lies beyond
-/// is counted in the outermost ones.
+/// The bins cover latency ratios from 1/8 to 32, with four bins per doubling.
+/// Ratios outside this range are counted in the outermost bins.
 static constexpr double BinsPerDoubling = 4;
 static constexpr double FirstDoubling = -3;
 
-/// The prior counts like this many answers: it is outweighed within a minute
-/// by one request a second.
+/// Weight of the prior in answers. At one request per second, observed answers
+/// outweigh it within a minute.
 static constexpr double PriorAnswers = 30;
 
-/// The prior: most answers spread by this factor of e about the usual time, as
-/// work does whose parts add up; a few take any multiple of it.
+/// Parameters of the prior. Most answers are log-normally distributed around
+/// the typical time, with this standard deviation of the logarithm, as is the
+/// case for work that consists of several parts. The fraction PriorTail takes
+/// an arbitrary multiple of the typical time.
 static constexpr double PriorSpread = 0.5;
 static constexpr double PriorTail = 0.02;
 
-/// Above this many answers all counts are halved, so that the spread follows
-/// what the service does of late.
-static constexpr double MostAnswers = 2000;
+/// Above this number of answers all counts are halved, so that the distribution
+/// follows the recent behaviour of the service.
+static constexpr double MaxAnswers = 2000;
 
-/// Returns where a pace lies, counted in bins.
-static double getPosition(double Pace) {
-  return (std::log2(Pace) - FirstDoubling) * BinsPerDoubling;
+/// Returns the position of a latency ratio in units of bins.
+static double computeBinPosition(double Ratio) {
+  return (std::log2(Ratio) - FirstDoubling) * BinsPerDoubling;
 }
 
-/// Returns the part of the prior's answers that take longer than a pace.
-static double getPriorSurvival(double Pace) {
-  const double Common =
-      0.5 * std::erfc(std::log(Pace) / (PriorSpread * std::sqrt(2.0)));
-  const double Rare = std::min(1.0, 1 / Pace);
-  return (1 - PriorTail) * Common + PriorTail * Rare;
+/// Returns the fraction of the prior's answers with a higher latency ratio.
+static double computePriorSurvival(double Ratio) {
+  const double Body =
+      0.5 * std::erfc(std::log(Ratio) / (PriorSpread * std::sqrt(2.0)));
+  const double Tail = std::min(1.0, 1 / Ratio);
+  return (1 - PriorTail) * Body + PriorTail * Tail;
 }
 
 LatencyDistribution::LatencyDistribution() {
@@ -54,43 +57,44 @@
   for (size_t I = 0; I < BinCount; ++I) {
     const double End =
         std::exp2(FirstDoubling + static_cast<double>(I + 1) / BinsPerDoubling);
-    const double After = I + 1 < BinCount ? getPriorSurvival(End) : 0;
+    const double After = I + 1 < BinCount ? computePriorSurvival(End) : 0;
     this->Bins[I] = PriorAnswers * (Before - After);
     Before = After;
   }
-  this->sumUp();
+  this->updateSuffixCounts();
 }
 
-/// Brings Longer up to date. Choices ask a hundred times for each answer that
-/// is added.
-void LatencyDistribution::sumUp() {
+/// Updates SuffixCounts. It is computed for each added answer, because the
+/// choice of a server reads it about a hundred times per answer.
+void LatencyDistribution::updateSuffixCounts() {
   for (size_t I = BinCount; I > 0; --I)
-    this->Longer[I - 1] = this->Longer[I] + this->Bins[I - 1];
+    this->SuffixCounts[I - 1] = this->SuffixCounts[I] + this->Bins[I - 1];
 }
 
-void LatencyDistribution::add(double Pace) {
-  if (!(Pace > 0))
+void LatencyDistribution::add(double Ratio) {
+  if (!(Ratio > 0))
     return;
-  const double Position =
-      std::clamp(getPosition(Pace), 0.0, static_cast<double>(BinCount - 1));
+  const double Position = std::clamp(computeBinPosition(Ratio), 0.0,
+                                     static_cast<double>(BinCount - 1));
   this->Bins[static_cast<size_t>(Position)] += 1;
-  if (this->Longer[0] >= MostAnswers)
+  if (this->SuffixCounts[0] >= MaxAnswers)
     for (double &Count : this->Bins)
       Count /= 2;
-  this->sumUp();
+  this->updateSuffixCounts();
 }
 
-double LatencyDistribution::getSurvival(double Pace) const {
-  if (!(Pace > 0))
+double LatencyDistribution::getSurvival(double Ratio) const {
+  if (!(Ratio > 0))
     return 1;
-  const double Position = getPosition(Pace);
+  const double Position = computeBinPosition(Ratio);
   if (Position <= 0)
     return 1;
   const auto Bin = static_cast<size_t>(Position);
   if (Bin >= BinCount)
     return MinSurvival;
   const double Passed = this->Bins[Bin] * (Position - static_cast<double>(Bin));
-  return std::max(MinSurvival, (this->Longer[Bin] - Passed) / this->Longer[0]);
+  return std::max(MinSurvival,
+                  (this->SuffixCounts[Bin] - Passed) / this->SuffixCounts[0]);
 }
 
 } // namespace canvaswick
--- a/lib/Health/ScopeTracker.cpp
+++ b/lib/Health/ScopeTracker.cpp
@@ -1,5 +1,4 @@
-//===- ScopeTracker.cpp - Sequential evidence about the servers of one service
-// in one scope -===//
+//===- ScopeTracker.cpp - Sequential test of a service's servers ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The arithmetic of the cumulative sum and the steps of coming back.
+/// Implements the cumulative sums and the stepwise return of servers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -31,49 +30,51 @@
   return getEnumName(HealthPhaseNames, Phase);
 }
 
-/// Over which time the usual shares are taken.
-static constexpr Duration UsualHalfLife = fromSeconds(15);
+/// Half-life of the counts from which typical rates are computed.
+static constexpr Duration RateHalfLife = fromSeconds(15);
 
-/// Without news, evidence fades with this half-life.
+/// Half-life of the score of a server without new outcomes.
 static constexpr Duration ScoreHalfLife = fromSeconds(60);
 
-/// What slow answers added is forgotten with this half-life: over a longer time
-/// that comes to the rate of the tuning.
+/// Half-life of the evidence that slow answers added. With a half-life of ln 2
+/// seconds, the long-term rate is limited to MaxSlowEvidencePerSecond.
 static constexpr Duration SlowHalfLife = fromSeconds(0.69);
 
-/// Requests that even a healthy server fails, or answers slowly, at least.
-static constexpr double LeastUsualFailed = 0.005;
-static constexpr double LeastUsualSlow = 0.02;
+/// Lower bounds of the typical rates of failed and slow requests.
+static constexpr double MinFailedRate = 0.005;
+static constexpr double MinSlowRate = 0.02;
 
-/// A sick server fails at least this share of its requests.
-static constexpr double LeastSickShare = 0.25;
+/// Minimum rate of bad outcomes at an unhealthy server.
+static constexpr double MinUnhealthyRate = 0.25;
 
-/// Largest weight of one request, in nats.
+/// Maximum weight of one request, in nats.
 static constexpr double MaxWeight = 4.0;
 
-/// The part of the servers that look best, from which the usual share is taken.
-static constexpr double HealthyPart = 0.25;
+/// Fraction of the servers, those with the lowest rates, from which the typical
+/// rates are computed.
+static constexpr double HealthyFraction = 0.25;
 
-/// When more than this part looks sick at once, the cause is a common one and
-/// removing servers does not help.
-static constexpr double MaxSuspectPart = 0.75;
+/// If more than this fraction of the servers appears unhealthy at the same
+/// time, the cause is a common one and removals do not help.
+static constexpr double MaxSuspectFraction = 0.75;
 
-/// What a suspect score is, as a part of the threshold, for that comparison.
-static constexpr double SuspectPart = 0.33;
+/// Score from which a server counts as suspect in this comparison, as a
+/// fraction of the threshold.
+static constexpr double SuspectThresholdFraction = 0.33;
 
-/// Evidence beyond this many thresholds is not added up, so that a server that
-/// could not be removed is soon believed when it gets well.
-static constexpr double MostScore = 1.2;
+/// Upper bound of the score, as a multiple of the threshold. It ensures that a
+/// server that could not be removed is trusted again soon after it recovers.
+static constexpr double MaxScoreFactor = 1.2;
 
-/// Evidence below this is noise that needs no extra reports.
+/// Scores below this are noise and need no additional reports.
 static constexpr double ReportScore = 5.0;
 
-/// A server that fails again within this time is held longer.
-static constexpr Duration FlapMemory = fromSeconds(300);
+/// A server that fails again within this time is removed for longer.
+static constexpr Duration FlapWindow = fromSeconds(300);
 
 namespace {
 
-/// One step of coming back.
+/// One step of the return of a server.
 struct ReturnStep {
   double Share;
   uint32_t GoodNeeded;
@@ -82,51 +83,55 @@
 
 } // namespace
 
-/// The first share stays below 5 %: a server on trial counts as removed.
+/// The first share is below 5 %, so that the server still counts as removed.
 static constexpr ReturnStep ReturnSteps[] = {
     {0.04, 2, fromSeconds(10)},
     {0.15, 4, fromSeconds(8)},
     {0.40, 8, fromSeconds(6)},
 };
 
-/// Holds of servers that keep failing lengthen the waits of the steps too.
+/// Maximum number of times that the wait in each step is doubled for a server
+/// that was removed repeatedly.
 static constexpr int MaxWaitDoublings = 1;
 
 ScopeTracker::ScopeTracker(HealthTuning Tuning, size_t ServerCount)
     : Tuning(Tuning),
-      Servers(ServerCount), Usual{LeastUsualSlow, LeastUsualFailed} {}
+      Servers(ServerCount), Typical{MinSlowRate, MinFailedRate} {}
 
-static double getSickShare(double Usual) {
-  return std::max(LeastSickShare, Usual + (1 - Usual) * 0.5);
+static double getUnhealthyRate(double Typical) {
+  return std::max(MinUnhealthyRate, Typical + (1 - Typical) * 0.5);
 }
 
-static double getBadWeight(double Usual) {
-  return std::min(MaxWeight, std::log(getSickShare(Usual) / Usual));
+static double getBadWeight(double Typical) {
+  return std::min(MaxWeight, std::log(getUnhealthyRate(Typical) / Typical));
 }
 
-double ScopeTracker::computeAgainst(ServerState &State,
-                                    const OutcomeCounts &Counts,
-                                    TimePoint Now) const {
-  // What slow answers may add fills up again at the rate of the tuning.
-  const double Room = std::max(0.0, this->Tuning.SlowPerSecond -
-                                        State.SlowTaken.get(Now, SlowHalfLife));
+double ScopeTracker::computeEvidenceAgainst(ServerState &State,
+                                            const OutcomeCounts &Counts,
+                                            TimePoint Now) const {
+  // The budget for evidence from slow answers refills at
+  // MaxSlowEvidencePerSecond.
+  const double Budget =
+      std::max(0.0, this->Tuning.MaxSlowEvidencePerSecond -
+                        State.SlowEvidence.get(Now, SlowHalfLife));
   const double Slow =
-      std::min(Room, Counts.Slow * getBadWeight(this->Usual.Slow));
-  State.SlowTaken.add(Slow, Now, SlowHalfLife);
-  return Counts.Failed * getBadWeight(this->Usual.Failed) + Slow;
+      std::min(Budget, Counts.Slow * getBadWeight(this->Typical.Slow));
+  State.SlowEvidence.add(Slow, Now, SlowHalfLife);
+  return Counts.Failed * getBadWeight(this->Typical.Failed) + Slow;
 }
 
-double ScopeTracker::computeFor(const OutcomeCounts &Counts) const {
-  // A good request is neither failed nor slow: it speaks against the milder of
-  // the two kinds of sickness, so that one good answer does not wash out more
-  // than it proves.
-  const double Usual = std::min(this->Usual.Failed, this->Usual.Slow);
+double ScopeTracker::computeEvidenceFor(const OutcomeCounts &Counts) const {
+  // A good request is neither failed nor slow. Its weight is that for the kind
+  // of bad outcome with the lower typical rate, and not the sum over both
+  // kinds, so that one good answer does not remove more evidence than it
+  // justifies.
+  const double Typical = std::min(this->Typical.Failed, this->Typical.Slow);
   const double Weight =
-      std::log((1 - Usual) / (1 - std::max(LeastSickShare, Usual)));
+      std::log((1 - Typical) / (1 - std::max(MinUnhealthyRate, Typical)));
   return Counts.Good * Weight;
 }
 
-void ScopeTracker::fadeScore(ServerState &State, TimePoint Now) {
+void ScopeTracker::decayScore(ServerState &State, TimePoint Now) {
   if (Now > State.ScoreAt && State.Score > 0)
     State.Score *=
         std::exp2(-toSeconds(Now - State.ScoreAt) / toSeconds(ScoreHalfLife));
@@ -134,15 +139,14 @@
 }
 
 void ScopeTracker::addScore(ServerState &State, double Amount) {
-  const double Most = this->Tuning.Threshold * MostScore;
-  State.Score = std::clamp(State.Score + Amount, 0.0, Most);
+  const double MaxScore = this->Tuning.Threshold * MaxScoreFactor;
+  State.Score = std::clamp(State.Score + Amount, 0.0, MaxScore);
 }
 
-double ScopeTracker::getBadShare(const ServerState &State,
-                                 TimePoint Now) const {
+double ScopeTracker::getBadRate(const ServerState &State, TimePoint Now) const {
   const double Bad =
-      State.Failed.get(Now, UsualHalfLife) + State.Slow.get(Now, UsualHalfLife);
-  return Bad / (1 + Bad + State.Good.get(Now, UsualHalfLife));
+      State.Failed.get(Now, RateHalfLife) + State.Slow.get(Now, RateHalfLife);
+  return Bad / (1 + Bad + State.Good.get(Now, RateHalfLife));
 }
 
 double ScopeTracker::addCounts(size_t Server, const OutcomeCounts &Given,
@@ -150,51 +154,54 @@
   OutcomeCounts Counts = Given;
   assert(Server < this->Servers.size() && "server index out of range");
   ServerState &State = this->Servers[Server];
-  State.Good.add(Counts.Good, Now, UsualHalfLife);
-  State.Slow.add(Counts.Slow, Now, UsualHalfLife);
-  State.Failed.add(Counts.Failed, Now, UsualHalfLife);
-  // A server that failed outright may have started anew and be cold.
+  State.Good.add(Counts.Good, Now, RateHalfLife);
+  State.Slow.add(Counts.Slow, Now, RateHalfLife);
+  State.Failed.add(Counts.Failed, Now, RateHalfLife);
+  // A server that was removed for failures may have restarted and be slow after
+  // a cold start.
   if (State.Phase == HealthPhase::Returning && !State.WasRemovedForSlowness)
     Counts.Slow = 0;
-  this->fadeScore(State, Now);
-  const double Against = std::min(this->computeAgainst(State, Counts, Now),
-                                  std::max(0.0, PositiveLimit));
-  this->addScore(State, Against - this->computeFor(Counts));
+  this->decayScore(State, Now);
+  const double Against =
+      std::min(this->computeEvidenceAgainst(State, Counts, Now),
+               std::max(0.0, PositiveLimit));
+  this->addScore(State, Against - this->computeEvidenceFor(Counts));
   State.GoodInStep += Counts.Good;
   return Against;
 }
 
 void ScopeTracker::addOtherGood(uint32_t Good, const std::vector<bool> &IsNamed,
                                 TimePoint Now) {
-  this->TotalGood.add(Good, Now, UsualHalfLife);
+  this->TotalGood.add(Good, Now, RateHalfLife);
   const auto Others = std::count(IsNamed.begin(), IsNamed.end(), false);
   if (Others == 0)
     return;
   OutcomeCounts One;
   One.Good = 1;
   const double Credit =
-      this->computeFor(One) * Good / static_cast<double>(Others);
+      this->computeEvidenceFor(One) * Good / static_cast<double>(Others);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     ServerState &State = this->Servers[I];
     if (IsNamed[I] || State.Phase != HealthPhase::Serving)
       continue;
-    this->fadeScore(State, Now);
+    this->decayScore(State, Now);
     this->addScore(State, -Credit);
   }
 }
 
-/// Returns the share of one kind of bad outcome among the servers that look
-/// best. Total is the good requests that were not counted server by server.
-double ScopeTracker::getUsualShare(DecayingCount ServerState::*Kind,
-                                   TimePoint Now, double Total,
-                                   double Least) const {
+/// Returns the rate of one kind of bad outcome among the servers with the
+/// lowest rates. Total is the number of good requests that were not counted by
+/// server.
+double ScopeTracker::computeTypicalRate(DecayingCount ServerState::*Kind,
+                                        TimePoint Now, double Total,
+                                        double Minimum) const {
   std::vector<std::pair<double, double>> BadAndAll;
   const double OtherGood = Total / static_cast<double>(this->Servers.size());
   for (const ServerState &State : this->Servers) {
-    const double Bad = (State.*Kind).get(Now, UsualHalfLife);
-    const double All = OtherGood + State.Good.get(Now, UsualHalfLife) +
-                       State.Slow.get(Now, UsualHalfLife) +
-                       State.Failed.get(Now, UsualHalfLife);
+    const double Bad = (State.*Kind).get(Now, RateHalfLife);
+    const double All = OtherGood + State.Good.get(Now, RateHalfLife) +
+                       State.Slow.get(Now, RateHalfLife) +
+                       State.Failed.get(Now, RateHalfLife);
     BadAndAll.emplace_back(Bad, All);
   }
   std::sort(BadAndAll.begin(), BadAndAll.end(),
@@ -203,53 +210,54 @@
                      Right.first * (Left.second + 1);
             });
   const auto Used = static_cast<size_t>(
-      std::ceil(HealthyPart * static_cast<double>(BadAndAll.size())));
+      std::ceil(HealthyFraction * static_cast<double>(BadAndAll.size())));
   double Bad = 0;
   double All = 0;
   for (size_t I = 0; I < Used; ++I) {
     Bad += BadAndAll[I].first;
     All += BadAndAll[I].second;
   }
-  // A handful of requests proves no share: lean on the least one.
+  // With few requests, the rate stays close to its minimum.
   static constexpr double PriorRequests = 20;
-  const double Share = (Bad + Least * PriorRequests) / (All + PriorRequests);
-  return std::clamp(Share, Least, 0.95);
+  const double Rate = (Bad + Minimum * PriorRequests) / (All + PriorRequests);
+  return std::clamp(Rate, Minimum, 0.95);
 }
 
-void ScopeTracker::updateUsualShares(TimePoint Now) {
+void ScopeTracker::updateTypicalRates(TimePoint Now) {
   if (this->Servers.empty())
     return;
-  const double Total = this->TotalGood.get(Now, UsualHalfLife);
-  this->Usual.Failed =
-      this->getUsualShare(&ServerState::Failed, Now, Total, LeastUsualFailed);
-  this->Usual.Slow =
-      this->getUsualShare(&ServerState::Slow, Now, Total, LeastUsualSlow);
+  const double Total = this->TotalGood.get(Now, RateHalfLife);
+  this->Typical.Failed =
+      this->computeTypicalRate(&ServerState::Failed, Now, Total, MinFailedRate);
+  this->Typical.Slow =
+      this->computeTypicalRate(&ServerState::Slow, Now, Total, MinSlowRate);
 }
 
 bool ScopeTracker::areTooManySuspect() const {
   size_t Suspect = 0;
   for (const ServerState &State : this->Servers)
     if (State.Phase == HealthPhase::Removed ||
-        State.Score >= SuspectPart * this->Tuning.Threshold)
+        State.Score >= SuspectThresholdFraction * this->Tuning.Threshold)
       ++Suspect;
   const double Limit =
-      MaxSuspectPart * static_cast<double>(this->Servers.size());
+      MaxSuspectFraction * static_cast<double>(this->Servers.size());
   return Suspect > 1 && static_cast<double>(Suspect) > Limit;
 }
 
 void ScopeTracker::remove(ServerState &State, TimePoint Now) {
   const bool IsRecent = State.Removals > 0 &&
                         Now - State.LastRemoved <
-                            FlapMemory + State.HoldUntil - State.LastRemoved;
+                            FlapWindow + State.RemovedUntil - State.LastRemoved;
   State.Removals = IsRecent ? State.Removals + 1 : 1;
   const int Doublings = std::min(State.Removals - 1, 10);
-  const Duration Hold = std::min(this->Tuning.LongestHold,
-                                 this->Tuning.FirstHold * (1 << Doublings));
+  const Duration RemovalTime =
+      std::min(this->Tuning.MaxRemovalTime,
+               this->Tuning.InitialRemovalTime * (1 << Doublings));
   State.WasRemovedForSlowness =
-      State.Slow.get(Now, UsualHalfLife) > State.Failed.get(Now, UsualHalfLife);
+      State.Slow.get(Now, RateHalfLife) > State.Failed.get(Now, RateHalfLife);
   State.Phase = HealthPhase::Removed;
   State.LastRemoved = Now;
-  State.HoldUntil = Now + Hold;
+  State.RemovedUntil = Now + RemovalTime;
 }
 
 void ScopeTracker::beginReturn(size_t Server, double Share, TimePoint Now) {
@@ -259,7 +267,7 @@
   while (State.Step + 1 < std::size(ReturnSteps) &&
          ReturnSteps[State.Step].Share < Share)
     ++State.Step;
-  State.StepSince = Now;
+  State.StepStartedAt = Now;
   State.GoodInStep = 0;
   State.Score = 0;
   State.ScoreAt = Now;
@@ -273,12 +281,12 @@
   const ReturnStep &Step = ReturnSteps[State.Step];
   const int Doublings = std::clamp(State.Removals - 1, 0, MaxWaitDoublings);
   const bool HasWaited =
-      Now - State.StepSince >= Step.LongestWait * (1 << Doublings);
-  const bool HasProved = State.GoodInStep >= Step.GoodNeeded;
-  if (State.Score > 1 || (!HasWaited && !HasProved))
+      Now - State.StepStartedAt >= Step.LongestWait * (1 << Doublings);
+  const bool HasSucceeded = State.GoodInStep >= Step.GoodNeeded;
+  if (State.Score > 1 || (!HasWaited && !HasSucceeded))
     return;
   ++State.Step;
-  State.StepSince = Now;
+  State.StepStartedAt = Now;
   State.GoodInStep = 0;
   if (State.Step == std::size(ReturnSteps))
     State.Phase = HealthPhase::Serving;
@@ -302,30 +310,32 @@
   return Usable;
 }
 
-/// Gives back servers, the least bad first, when a wider scope has used up the
-/// floor since: they are used anyway and must go on being judged.
-void ScopeTracker::yieldToFloor(const RemovalRules &Rules) {
+/// Returns servers to service, those with the lowest score first, if a wider
+/// scope has meanwhile used up the floor. Such servers are in use in any case
+/// and must remain subject to evaluation.
+void ScopeTracker::restoreToFloor(const RemovalRules &Rules) {
   double Usable = this->countUsable(Rules);
   while (Usable < Rules.FloorSlots) {
-    ServerState *Least = nullptr;
-    size_t LeastIndex = 0;
+    ServerState *Lowest = nullptr;
+    size_t LowestIndex = 0;
     for (size_t I = 0; I < this->Servers.size(); ++I) {
       ServerState &State = this->Servers[I];
       const bool IsReduced =
           State.Phase != HealthPhase::Serving && Rules.Slots[I] > 0;
-      if (!IsReduced || (Least && Least->Score <= State.Score))
+      if (!IsReduced || (Lowest && Lowest->Score <= State.Score))
         continue;
-      Least = &State;
-      LeastIndex = I;
+      Lowest = &State;
+      LowestIndex = I;
     }
-    if (!Least)
+    if (!Lowest)
       return;
-    Usable += Rules.Slots[LeastIndex] * (1 - this->getShare(LeastIndex));
-    Least->Phase = HealthPhase::Serving;
+    Usable += Rules.Slots[LowestIndex] * (1 - this->getShare(LowestIndex));
+    Lowest->Phase = HealthPhase::Serving;
   }
 }
 
-/// Removes servers above the threshold, worst first, down to the floor.
+/// Removes servers above the threshold, those with the highest score first, as
+/// far as the floor permits.
 void ScopeTracker::removeWorst(TimePoint Now, const RemovalRules &Rules) {
   std::vector<size_t> Candidates;
   double Usable = this->countUsable(Rules);
@@ -338,8 +348,8 @@
               const ServerState &Second = this->Servers[Right];
               if (First.Score != Second.Score)
                 return First.Score > Second.Score;
-              return this->getBadShare(First, Now) >
-                     this->getBadShare(Second, Now);
+              return this->getBadRate(First, Now) >
+                     this->getBadRate(Second, Now);
             });
   for (const size_t I : Candidates) {
     if (Usable - Rules.Slots[I] < Rules.FloorSlots)
@@ -350,23 +360,23 @@
 }
 
 void ScopeTracker::advance(TimePoint Now, const RemovalRules &Rules) {
-  this->updateUsualShares(Now);
-  this->Doubted = this->areTooManySuspect();
-  this->yieldToFloor(Rules);
+  this->updateTypicalRates(Now);
+  this->RemovalsSuspended = this->areTooManySuspect();
+  this->restoreToFloor(Rules);
   for (size_t I = 0; I < this->Servers.size(); ++I) {
     ServerState &State = this->Servers[I];
-    this->fadeScore(State, Now);
+    this->decayScore(State, Now);
     if (State.Phase == HealthPhase::Returning)
       this->advanceReturn(State, Now);
     if (State.Phase != HealthPhase::Removed)
       continue;
-    // One that the floor kept in use may prove that it is well again.
+    // A removed server that the floor kept in use may have recovered.
     if (State.Score <= 0)
       this->beginReturn(I, 1, Now);
-    else if (Now >= State.HoldUntil)
+    else if (Now >= State.RemovedUntil)
       this->beginReturn(I, 0, Now);
   }
-  if (!this->Doubted)
+  if (!this->RemovalsSuspended)
     this->removeWorst(Now, Rules);
 }
 
@@ -402,6 +412,8 @@
   return State.Phase != HealthPhase::Serving || State.Score >= ReportScore;
 }
 
-bool ScopeTracker::isDoubted() const { return this->Doubted; }
+bool ScopeTracker::areRemovalsSuspended() const {
+  return this->RemovalsSuspended;
+}
 
 } // namespace canvaswick
--- a/lib/Health/Tuning.cpp
+++ b/lib/Health/Tuning.cpp
@@ -1,4 +1,4 @@
-//===- Tuning.cpp - The numbers behind the one weighing setting -----------===//
+//===- Tuning.cpp - Parameters of the weighing presets --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One row a preset.
+/// Defines the parameters of each preset.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,45 +17,45 @@
 
 namespace canvaswick {
 
-/// What the three presets share.
+/// Returns the parameters with values common to the presets.
 static HealthTuning makeCommonTuning() {
   HealthTuning Tuning;
   Tuning.MinSources = 3;
   Tuning.HallBound = 0.6;
-  Tuning.LongestHold = fromSeconds(30);
+  Tuning.MaxRemovalTime = fromSeconds(30);
   return Tuning;
 }
 
-HealthTuning getTuning(Weighing Preference) {
+HealthTuning getTuning(EjectionPreference Preference) {
   HealthTuning Tuning = makeCommonTuning();
   switch (Preference) {
-  case Weighing::Detection:
+  case EjectionPreference::Detection:
     Tuning.Threshold = 11;
     Tuning.ReturnThreshold = 5;
     Tuning.SourceBound = 0.4;
     Tuning.HallBound = 0.7;
-    Tuning.SlowPerSecond = 5;
-    Tuning.FirstHold = fromSeconds(4);
+    Tuning.MaxSlowEvidencePerSecond = 5;
+    Tuning.InitialRemovalTime = fromSeconds(4);
     Tuning.ReportInterval = fromMillis(500);
     return Tuning;
-  case Weighing::Balanced:
+  case EjectionPreference::Balanced:
     Tuning.Threshold = 14;
     Tuning.ReturnThreshold = 6;
     Tuning.SourceBound = 0.4;
-    Tuning.SlowPerSecond = 4;
-    Tuning.FirstHold = fromSeconds(5);
+    Tuning.MaxSlowEvidencePerSecond = 4;
+    Tuning.InitialRemovalTime = fromSeconds(5);
     Tuning.ReportInterval = fromSeconds(1);
     return Tuning;
-  case Weighing::FalseEjections:
+  case EjectionPreference::FalseEjections:
     Tuning.Threshold = 18;
     Tuning.ReturnThreshold = 8;
     Tuning.SourceBound = 0.34;
-    Tuning.SlowPerSecond = 4;
-    Tuning.FirstHold = fromSeconds(5);
+    Tuning.MaxSlowEvidencePerSecond = 4;
+    Tuning.InitialRemovalTime = fromSeconds(5);
     Tuning.ReportInterval = fromSeconds(1);
     return Tuning;
   }
-  assert(false && "weighing without a tuning");
+  assert(false && "weighing preset without parameters");
   return Tuning;
 }
 
--- a/lib/Operator/LogCommands.cpp
+++ b/lib/Operator/LogCommands.cpp
@@ -12,28 +12,28 @@
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Operator/Commands.h"
-#include "canvaswick/Operator/Findings.h"
+#include "canvaswick/Operator/LogTables.h"
 #include "canvaswick/Operator/LossTable.h"
 
 namespace canvaswick {
 
 Result<std::string> runRequest(const OperatorOptions &Options) {
-  if (Options.Words.size() < 2)
+  if (Options.Arguments.size() < 2)
     return makeError(ErrorKind::InvalidArgument,
                      "needs a request's id and the files to look in");
-  const std::vector<std::string> Files(Options.Words.begin() + 1,
-                                       Options.Words.end());
+  const std::vector<std::string> Files(Options.Arguments.begin() + 1,
+                                       Options.Arguments.end());
   BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Files));
-  return tellRequest(Options.Words[0], Lines);
+  return describeRequest(Options.Arguments[0], Lines);
 }
 
 /// Makes a table over the logs that the command names.
 static Result<std::string>
 tabulate(const OperatorOptions &Options,
          std::string (*Make)(const std::vector<LogLine> &)) {
-  if (Options.Words.empty())
+  if (Options.Arguments.empty())
     return makeError(ErrorKind::InvalidArgument, "needs the files to look in");
-  BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Options.Words));
+  BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Options.Arguments));
   return Make(Lines);
 }
 
@@ -46,11 +46,11 @@
 }
 
 Result<std::string> runCopies(const OperatorOptions &Options) {
-  return tabulate(Options, makeCopyTable);
+  return tabulate(Options, makeReplicaTable);
 }
 
 Result<std::string> runSuspects(const OperatorOptions &Options) {
-  return tabulate(Options, makeSuspectTable);
+  return tabulate(Options, makePoisonRequestTable);
 }
 
 } // namespace canvaswick
--- a/lib/Operator/SettingsCommands.cpp
+++ b/lib/Operator/SettingsCommands.cpp
@@ -126,7 +126,7 @@
 }
 
 Result<std::string> runEffective(const OperatorOptions &Options) {
-  if (Options.Words.size() != 1)
+  if (Options.Arguments.size() != 1)
     return makeError(ErrorKind::InvalidArgument, "expected SERVICE/SERVER");
   std::string Text;
   if (Options.File.empty()) {
@@ -138,9 +138,10 @@
                     SettingsTree::parse(Text, Options.File.empty()
                                                   ? "platform"
                                                   : Options.File));
-  const SettingNode *Node = Tree.find(SettingLevel::Server, Options.Words[0]);
+  const SettingNode *Node =
+      Tree.find(SettingLevel::Server, Options.Arguments[0]);
   if (!Node)
-    return makeError(ErrorKind::NotFound, "no server " + Options.Words[0]);
+    return makeError(ErrorKind::NotFound, "no server " + Options.Arguments[0]);
   const SettingLevels Levels = levelBit(SettingLevel::Region) |
                                levelBit(SettingLevel::Service) |
                                levelBit(SettingLevel::Server);
@@ -200,25 +201,26 @@
 /// Sets one server's state in the newest tree, anew if others publish.
 static Result<std::string> setState(const OperatorOptions &Options,
                                     const char *State) {
-  if (Options.Words.size() != 1)
+  if (Options.Arguments.size() != 1)
     return makeError(ErrorKind::InvalidArgument, "expected SERVICE/SERVER");
   BOOST_OUTCOME_TRY(Endpoint Address, parsePlatform(Options));
   PlatformClient Platform(Address, nullptr);
   ConfigPublisher Publisher(Platform);
   ConfigRequest Request = makeRequest(Options);
   Request.FileName = "platform";
-  Request.Note = fmt::format("{} {}", State, Options.Words[0]);
+  Request.Note = fmt::format("{} {}", State, Options.Arguments[0]);
   for (int Try = 0; Try < EditTries; ++Try) {
     BOOST_OUTCOME_TRY(ConfigManifest Manifest, Publisher.readManifest());
     BOOST_OUTCOME_TRY(std::string Text, Publisher.readTree(Manifest));
     BOOST_OUTCOME_TRY(Request.Text,
-                      setInTree(Text, "server " + Options.Words[0],
-                                getSettingSpec(SettingKey::State).Name, State));
+                      setTreeValue(Text, "server " + Options.Arguments[0],
+                                   getSettingSpec(SettingKey::State).Name,
+                                   State));
     Request.BaseVersion = Manifest.Version;
     Result<uint64_t> Version = Publisher.publish(Request, readCalendarMillis());
     if (Version)
-      return fmt::format("{} is {} from version {}\n", Options.Words[0], State,
-                         Version.value());
+      return fmt::format("{} is {} from version {}\n", Options.Arguments[0],
+                         State, Version.value());
     if (Version.error().Kind != ErrorKind::Conflict)
       return outcome::failure(explainUnknown(Version.error(), Request));
   }
--- a/unittests/Health/CoverageSimulation.h
+++ b/unittests/Health/CoverageSimulation.h
@@ -1,4 +1,4 @@
-//===- CoverageSimulation.h - Who reaches a service's servers ---*- C++ -*-===//
+//===- CoverageSimulation.h - Use of healthy servers ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plays a service in virtual time: servers fall sick and leave requests
-/// without an answer, others send once-only requests by the shares that they
-/// are given. While more than a tenth and less than half of what is sent goes
-/// unserved, at least seven in ten sound servers must be reached in any two
-/// seconds.
+/// Simulates a service in virtual time. Servers become unhealthy and leave
+/// requests without an answer, while clients send non-repeatable requests
+/// according to the shares that they get. While more than a tenth and less than
+/// half of the requests go unserved, at least 70 % of the healthy servers must
+/// get a request in any two seconds.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,21 +32,24 @@
 inline constexpr Duration TypicalTime = fromMillis(250);
 inline constexpr Duration Timeout = fromSeconds(3);
 
-/// One play.
+/// Parameters of one simulation.
 struct CoverageScenario {
   size_t Servers = 12;
-  /// Part of the servers that is sick at a time, and for how long each is.
+  /// Fraction of the servers that is unhealthy at a time, and the mean duration
+  /// of failure episodes.
   double UnhealthyFraction = 0.2;
   int EpisodeMs = 3000;
+  /// Requests per second and server.
   double RequestsPerServer = 3;
   int LengthMs = 16000;
   uint64_t Seed = 1;
 };
 
-/// What the senders saw.
+/// Results from the clients' point of view.
 struct CoverageOutcome {
-  size_t WindowsJudged = 0;
-  /// The least part of the sound servers that was reached in one.
+  size_t WindowsEvaluated = 0;
+  /// The minimum over all evaluated windows of the fraction of healthy servers
+  /// that got a request.
   double MinReachedFraction = 1;
 };
 
@@ -54,7 +57,7 @@
 public:
   explicit CoverageSimulation(const CoverageScenario &Given)
       : Scenario(Given), Random(Given.Seed), Policy(makeSetup(Given)),
-        SickUntil(Given.Servers, Begin), ReachedAt(Given.Servers) {}
+        UnhealthyUntil(Given.Servers, Begin), ReachedAt(Given.Servers) {}
 
   CoverageOutcome run() {
     for (int Ms = 0; Ms < this->Scenario.LengthMs; Ms += 10) {
@@ -63,7 +66,7 @@
       this->changeHealth();
       this->send();
       if (Ms > 6000 && Ms % 100 == 0)
-        this->judge();
+        this->evaluate();
     }
     return this->Outcome;
   }
@@ -101,25 +104,25 @@
     }
   }
 
-  bool isSick(size_t Server) const {
-    return this->SickUntil[Server] > this->Now;
+  bool isUnhealthy(size_t Server) const {
+    return this->UnhealthyUntil[Server] > this->Now;
   }
 
-  /// Keeps the wanted part sick; each falls sick by chance.
+  /// Keeps the configured fraction unhealthy; random servers become unhealthy.
   void changeHealth() {
-    size_t Sick = 0;
+    size_t Unhealthy = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I)
-      Sick += this->isSick(I) ? 1 : 0;
+      Unhealthy += this->isUnhealthy(I) ? 1 : 0;
     const auto Wanted =
         static_cast<size_t>(this->Scenario.UnhealthyFraction *
                                 static_cast<double>(this->Scenario.Servers) +
                             0.5);
     std::uniform_int_distribution<size_t> Any(0, this->Scenario.Servers - 1);
     std::uniform_real_distribution<double> Length(0.5, 1.5);
-    for (; Sick < Wanted; ++Sick) {
+    for (; Unhealthy < Wanted; ++Unhealthy) {
       const size_t Server = Any(this->Random);
-      if (!this->isSick(Server))
-        this->SickUntil[Server] =
+      if (!this->isUnhealthy(Server))
+        this->UnhealthyUntil[Server] =
             this->Now + fromMillis(static_cast<int64_t>(
                             Length(this->Random) * this->Scenario.EpisodeMs));
     }
@@ -136,7 +139,7 @@
       Sent Request;
       Request.At = this->Now;
       Request.Server = Pick(this->Random);
-      Request.IsServed = !this->isSick(Request.Server);
+      Request.IsServed = !this->isUnhealthy(Request.Server);
       Request.Ends = this->Now + (Request.IsServed ? TypicalTime : Timeout);
       Request.Number = this->Policy.getInFlight().begin(
           {Request.Server, this->Now, TypicalTime});
@@ -146,8 +149,8 @@
     }
   }
 
-  /// Looks at the two seconds before, as who sends would.
-  void judge() {
+  /// Evaluates the last two seconds from the clients' point of view.
+  void evaluate() {
     while (!this->Requests.empty() && this->Requests.front().HasEnded &&
            this->Requests.front().At < this->Now - Window)
       this->Requests.pop_front();
@@ -159,32 +162,34 @@
       ++All;
       Unserved += Each.IsServed ? 0 : 1;
     }
-    const double Part = static_cast<double>(Unserved) /
-                        static_cast<double>(std::max<size_t>(1, All));
-    if (Part <= 0.1 || Part >= 0.5)
+    const double UnservedFraction =
+        static_cast<double>(Unserved) /
+        static_cast<double>(std::max<size_t>(1, All));
+    if (UnservedFraction <= 0.1 || UnservedFraction >= 0.5)
       return;
-    size_t Sound = 0;
+    size_t Healthy = 0;
     size_t Reached = 0;
     for (size_t I = 0; I < this->Scenario.Servers; ++I) {
-      // Two seconds after it is well, and all the window.
-      if (this->SickUntil[I] + Window > this->Now - Window)
+      // Counts a server as healthy from two seconds after its recovery, and
+      // only if this holds for the whole window.
+      if (this->UnhealthyUntil[I] + Window > this->Now - Window)
         continue;
-      ++Sound;
+      ++Healthy;
       Reached += this->ReachedAt[I] >= this->Now - Window ? 1 : 0;
     }
-    if (Sound < 3 || Reached == 0)
+    if (Healthy < 3 || Reached == 0)
       return;
-    ++this->Outcome.WindowsJudged;
+    ++this->Outcome.WindowsEvaluated;
     this->Outcome.MinReachedFraction =
         std::min(this->Outcome.MinReachedFraction,
-                 static_cast<double>(Reached) / static_cast<double>(Sound));
+                 static_cast<double>(Reached) / static_cast<double>(Healthy));
   }
 
   static constexpr TimePoint Begin = TimePoint{} + fromSeconds(1000);
   const CoverageScenario &Scenario;
   std::mt19937_64 Random;
   MarkovPolicy Policy;
-  std::vector<TimePoint> SickUntil;
+  std::vector<TimePoint> UnhealthyUntil;
   std::vector<TimePoint> ReachedAt;
   std::deque<Sent> Requests;
   TimePoint Now = Begin;
--- a/unittests/Health/PooledPolicyTest.cpp
+++ b/unittests/Health/PooledPolicyTest.cpp
@@ -1,4 +1,4 @@
-//===- PooledPolicyTest.cpp - Stateful fuzzing of the pooled policy -------===//
+//===- PooledPolicyTest.cpp - Tests of pooled evidence --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whatever evidence and digests arrive in whatever order, at every instant the
-/// slots in use stay above the floor; and what one source can do is bounded.
+/// Checks with random sequences of events that the slots in use stay above the
+/// floor for any order of evidence and summaries, and that the effect of a
+/// single source is bounded.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,7 +34,7 @@
   Setup.Service = "s";
   Setup.Source = "d";
   Setup.Hall = "a";
-  Setup.Preference = Weighing::Detection;
+  Setup.Preference = EjectionPreference::Detection;
   Setup.FloorPercent = Floor;
   Setup.Servers = makeServers(Slots);
   return Setup;
@@ -41,7 +42,7 @@
 
 namespace {
 
-/// The oracle: what is configured and what leaves, nothing else.
+/// The reference model, which depends only on configured and leaving servers.
 struct Capacity {
   std::vector<int> Slots;
   std::vector<bool> IsLeaving;
@@ -60,22 +61,23 @@
 
 } // namespace
 
-static void checkFloor(const PooledPolicy &Policy, const Capacity &Known) {
+static void checkFloor(const PooledPolicy &Policy, const Capacity &Expected) {
   double Usable = 0;
-  for (size_t I = 0; I < Known.Slots.size(); ++I) {
-    if (Known.IsLeaving[I])
+  for (size_t I = 0; I < Expected.Slots.size(); ++I) {
+    if (Expected.IsLeaving[I])
       RC_ASSERT(Policy.getShare(I) == 0);
-    Usable += Known.Slots[I] * Policy.getShare(I);
+    Usable += Expected.Slots[I] * Policy.getShare(I);
   }
-  RC_ASSERT(Usable >= Known.getBound() - 1e-9);
+  RC_ASSERT(Usable >= Expected.getBound() - 1e-9);
 }
 
-static EvidenceSummary drawDigest(const PolicySetup &Setup, uint64_t Sequence) {
-  EvidenceSummary Digest;
-  Digest.Service = "s";
-  Digest.Owner = *rc::gen::element<std::string>("o1", "o2");
-  Digest.Rank = Digest.Owner == "o1" ? 0 : 1;
-  Digest.Sequence = Sequence;
+static EvidenceSummary drawSummary(const PolicySetup &Setup,
+                                   uint64_t Sequence) {
+  EvidenceSummary Summary;
+  Summary.Service = "s";
+  Summary.Owner = *rc::gen::element<std::string>("o1", "o2");
+  Summary.Rank = Summary.Owner == "o1" ? 0 : 1;
+  Summary.Sequence = Sequence;
   for (const PolicyServer &Server : Setup.Servers) {
     if (*rc::gen::arbitrary<bool>())
       continue;
@@ -84,9 +86,9 @@
     Entry.Share = *rc::gen::element(0.0, 0.04, 0.4, 1.0);
     Entry.Score = *rc::gen::inRange(0, 40);
     Entry.IsHallOnly = *rc::gen::arbitrary<bool>();
-    Digest.Servers.push_back(Entry);
+    Summary.Servers.push_back(Entry);
   }
-  return Digest;
+  return Summary;
 }
 
 static RequestOutcome drawOutcome() {
@@ -97,27 +99,27 @@
 
 TEST_CASE("the floor holds at every instant, whatever arrives") {
   CHECK(rc::check([] {
-    Capacity Known;
+    Capacity Expected;
     const int Count = *rc::gen::inRange(1, 8);
     for (int I = 0; I < Count; ++I)
-      Known.Slots.push_back(*rc::gen::inRange(1, 5));
-    Known.IsLeaving.assign(Known.Slots.size(), false);
-    Known.Floor = *rc::gen::inRange(0, 101);
-    const PolicySetup Setup = makeSetup(Known.Slots, Known.Floor);
+      Expected.Slots.push_back(*rc::gen::inRange(1, 5));
+    Expected.IsLeaving.assign(Expected.Slots.size(), false);
+    Expected.Floor = *rc::gen::inRange(0, 101);
+    const PolicySetup Setup = makeSetup(Expected.Slots, Expected.Floor);
     PooledPolicy Policy(Setup);
     TimePoint Now = TimePoint{} + fromSeconds(100);
     const int Steps = *rc::gen::inRange(1, 120);
     for (int I = 0; I < Steps; ++I) {
-      const size_t Server = *rc::gen::inRange<size_t>(0, Known.Slots.size());
+      const size_t Server = *rc::gen::inRange<size_t>(0, Expected.Slots.size());
       Now += fromMillis(*rc::gen::inRange(0, 2000));
       switch (*rc::gen::inRange(0, 6)) {
       case 0:
-        Known.IsLeaving[Server] = !Known.IsLeaving[Server];
-        Policy.setLeaving(Server, Known.IsLeaving[Server], Now);
+        Expected.IsLeaving[Server] = !Expected.IsLeaving[Server];
+        Policy.setLeaving(Server, Expected.IsLeaving[Server], Now);
         break;
       case 1:
         Policy.applySummary(
-            drawDigest(Setup, *rc::gen::inRange<uint64_t>(1, 50)), Now);
+            drawSummary(Setup, *rc::gen::inRange<uint64_t>(1, 50)), Now);
         break;
       case 2:
         Policy.advance(Now);
@@ -129,7 +131,7 @@
         Policy.recordOutcome(Server, drawOutcome(), Now);
         break;
       }
-      checkFloor(Policy, Known);
+      checkFloor(Policy, Expected);
     }
   }));
 }
@@ -152,33 +154,33 @@
   Servers.reserve(10);
   for (int I = 0; I < 10; ++I)
     Servers.push_back({getServerId("s", fmt::format("{}", I)), 3});
-  return EvidencePool("s", "o", getTuning(Weighing::Detection), Servers, Floor,
-                      0);
+  return EvidencePool("s", "o", getTuning(EjectionPreference::Detection),
+                      Servers, Floor, 0);
 }
 
 static double getShareOf(EvidencePool &Pool, int Server,
                          const std::string &Hall) {
   const ServerId Id = getServerId("s", fmt::format("{}", Server));
-  for (const ServerSummary &Digest : Pool.buildSummary(Hall).Servers)
-    if (Digest.Server == Id)
-      return Digest.Share;
+  for (const ServerSummary &Summary : Pool.buildSummary(Hall).Servers)
+    if (Summary.Server == Id)
+      return Summary.Share;
   return 1;
 }
 
-TEST_CASE("one source alone cannot remove a server for others") {
+TEST_CASE("a single source cannot remove a server for other daemons") {
   CHECK(rc::check([] {
     EvidencePool Pool = makePool(0);
     TimePoint Now = TimePoint{} + fromSeconds(10);
     const int Steps = *rc::gen::inRange(1, 60);
     for (int I = 1; I <= Steps; ++I) {
       Now += fromMillis(*rc::gen::inRange(0, 1000));
-      std::vector<ServerEvidence> Seen;
+      std::vector<ServerEvidence> Evidence;
       for (int S = 0; S < 10; ++S)
         if (*rc::gen::inRange(0, 3) == 0)
-          Seen.push_back({getServerId("s", fmt::format("{}", S)),
-                          {0, 0, *rc::gen::inRange<uint32_t>(1, 100)}});
+          Evidence.push_back({getServerId("s", fmt::format("{}", S)),
+                              {0, 0, *rc::gen::inRange<uint32_t>(1, 100)}});
       Pool.mergeReport(
-          makeReport("one", "a", static_cast<uint64_t>(I), std::move(Seen)),
+          makeReport("one", "a", static_cast<uint64_t>(I), std::move(Evidence)),
           Now);
       Pool.advance(Now);
       for (int S = 0; S < 10; ++S)
@@ -187,13 +189,13 @@
   }));
 }
 
-TEST_CASE("several sources remove a sick server for all") {
+TEST_CASE("several sources remove an unhealthy server for all daemons") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
-  const ServerId Sick = getServerId("s", "4");
+  const ServerId Unhealthy = getServerId("s", "4");
   for (int I = 0; I < 6; ++I)
     Pool.mergeReport(makeReport(fmt::format("d{}", I), I % 2 ? "a" : "b", 1,
-                                {{Sick, {0, 0, 3}}}),
+                                {{Unhealthy, {0, 0, 3}}}),
                      Now);
   Pool.advance(Now);
   CHECK(getShareOf(Pool, 4, "a") == 0);
@@ -201,16 +203,18 @@
   CHECK(getShareOf(Pool, 5, "a") == 1);
 }
 
-TEST_CASE("what one hall sees removes a server for that hall only") {
+TEST_CASE("evidence of one hall removes a server only for that hall") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
-  const ServerId Cut = getServerId("s", "4");
+  const ServerId Unreachable = getServerId("s", "4");
   for (int I = 0; I < 6; ++I)
     Pool.mergeReport(
-        makeReport(fmt::format("b{}", I), "b", 1, {{Cut, {8, 0, 0}}}), Now);
+        makeReport(fmt::format("b{}", I), "b", 1, {{Unreachable, {8, 0, 0}}}),
+        Now);
   for (int I = 0; I < 6; ++I)
     Pool.mergeReport(
-        makeReport(fmt::format("a{}", I), "a", 1, {{Cut, {0, 0, 3}}}), Now);
+        makeReport(fmt::format("a{}", I), "a", 1, {{Unreachable, {0, 0, 3}}}),
+        Now);
   Pool.advance(Now);
   CHECK(getShareOf(Pool, 4, "a") == 0);
   CHECK(getShareOf(Pool, 4, "b") == 1);
@@ -221,7 +225,8 @@
   Servers.reserve(4);
   for (int I = 0; I < 4; ++I)
     Servers.push_back({getServerId("s", fmt::format("{}", I)), 3});
-  EvidencePool Pool("s", "o", getTuning(Weighing::Detection), Servers, 50, 0);
+  EvidencePool Pool("s", "o", getTuning(EjectionPreference::Detection), Servers,
+                    50, 0);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   for (uint64_t Round = 1; Round <= 20; ++Round) {
     Now += fromMillis(500);
@@ -243,18 +248,18 @@
   CHECK(getShareOf(Pool, 3, "a") == 1);
 }
 
-TEST_CASE("one stray answer at the sound server does not keep sick ones") {
-  // A single slow answer among many good ones, before or after the others fall
-  // sick, once or every few seconds, must not make a daemon look as if all it
-  // uses failed.
+TEST_CASE("one slow answer of a healthy server does not keep unhealthy ones") {
+  // A single slow answer among many good ones, before or after the other
+  // servers become unhealthy, once or every few seconds, must not make a daemon
+  // appear as if all its servers failed.
   for (const uint64_t EveryRounds : {1000, 8}) {
     for (const uint64_t FirstRound : {1, 5}) {
       std::vector<PooledServer> Servers;
       Servers.reserve(4);
       for (int I = 0; I < 4; ++I)
         Servers.push_back({getServerId("s", fmt::format("{}", I)), 3});
-      EvidencePool Pool("s", "o", getTuning(Weighing::Detection), Servers, 50,
-                        0);
+      EvidencePool Pool("s", "o", getTuning(EjectionPreference::Detection),
+                        Servers, 50, 0);
       TimePoint Now = TimePoint{} + fromSeconds(10);
       for (uint64_t Round = 1; Round <= 20; ++Round) {
         Now += fromMillis(500);
@@ -283,7 +288,7 @@
   }
 }
 
-TEST_CASE("a report that arrives twice counts once") {
+TEST_CASE("a duplicate report counts once") {
   EvidencePool Pool = makePool(50);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   const ServerId Some = getServerId("s", "4");
@@ -293,13 +298,14 @@
           makeReport(fmt::format("d{}", I), "a", 1, {{Some, {0, 0, 1}}}), Now);
   Pool.advance(Now);
   Pool.advance(Now + fromSeconds(1));
-  // Three failures are not enough by themselves for this to be certain.
-  const double Once = 3 * 4.0;
-  CHECK(Once > getTuning(Weighing::Detection).Threshold);
+  // Three failures reach the threshold only at the maximum weight of 4 nats
+  // each.
+  const double ThreeFailures = 3 * 4.0;
+  CHECK(ThreeFailures > getTuning(EjectionPreference::Detection).Threshold);
   CHECK(Pool.buildSummary("a").Servers.size() <= 1);
 }
 
-TEST_CASE("a source that sees most servers fail is not believed") {
+TEST_CASE("a source that sees most servers fail is not credible") {
   EvidencePool Pool = makePool(0);
   const TimePoint Now = TimePoint{} + fromSeconds(10);
   for (int I = 0; I < 5; ++I) {
@@ -315,8 +321,8 @@
     CHECK(getShareOf(Pool, S, "a") == 1);
 }
 
-TEST_CASE("a removed server comes back by steps, and a flapping one slower") {
-  ScopeTracker Tracker(getTuning(Weighing::Detection), 10);
+TEST_CASE("a removed server returns in steps, and more slowly if it flaps") {
+  ScopeTracker Tracker(getTuning(EjectionPreference::Detection), 10);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   RemovalRules Rules;
   Rules.Slots.assign(10, 3);
@@ -326,7 +332,7 @@
       Tracker.advance(Now, Rules);
     }
   };
-  const auto MeasureAway = [&] {
+  const auto MeasureRemoval = [&] {
     const TimePoint Since = Now;
     while (Tracker.getShare(0) == 0) {
       Now += fromMillis(100);
@@ -335,9 +341,9 @@
     return Now - Since;
   };
   Fail();
-  const Duration First = MeasureAway();
+  const Duration First = MeasureRemoval();
   Fail();
-  const Duration Second = MeasureAway();
+  const Duration Second = MeasureRemoval();
   CHECK(Second > First * 1.5);
   double Last = 0;
   for (int I = 0; I < 100 && Tracker.getShare(0) < 1; ++I) {
@@ -349,8 +355,8 @@
   CHECK(Tracker.getShare(0) == 1);
 }
 
-TEST_CASE("everything slow at once removes nothing") {
-  ScopeTracker Tracker(getTuning(Weighing::Detection), 8);
+TEST_CASE("slow answers of all servers at once remove no server") {
+  ScopeTracker Tracker(getTuning(EjectionPreference::Detection), 8);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   RemovalRules Rules;
   Rules.Slots.assign(8, 3);
--- a/unittests/Health/RetryTimingTest.cpp
+++ b/unittests/Health/RetryTimingTest.cpp
@@ -1,4 +1,4 @@
-//===- RetryTimingTest.cpp - Tests of when a silent attempt is left -------===//
+//===- RetryTimingTest.cpp - Tests of when to retry elsewhere -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The decision against an oracle that tries every moment to leave at, and what
-/// it should do in cases that operators know.
+/// Compares the decision with an exhaustive search over retry times, and checks
+/// it in typical cases.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,13 +23,14 @@
 
 using namespace canvaswick;
 
-/// A service whose answers spread by a factor of about 1.6.
+/// Creates the distribution of a service whose latency ratios vary by a factor
+/// of about 1.6.
 static LatencyDistribution makeTimes() {
   LatencyDistribution Times;
   std::mt19937 Random(7);
-  std::lognormal_distribution<double> Pace(0, 0.45);
+  std::lognormal_distribution<double> Ratio(0, 0.45);
   for (int I = 0; I < 1500; ++I)
-    Times.add(Pace(Random));
+    Times.add(Ratio(Random));
   return Times;
 }
 
@@ -46,38 +47,39 @@
   return Attempt;
 }
 
-/// Moves an attempt on by a time in which no answer came.
+/// Returns an attempt after a further time without an answer.
 static UnansweredAttempt wait(UnansweredAttempt Attempt, Duration Span,
                               const LatencyDistribution &Times) {
   const auto Survival = [&](Duration Elapsed) {
     return Times.getSurvival(toSeconds(Elapsed) /
                              toSeconds(Attempt.TypicalTime));
   };
-  // A sick server leaves four in ten without an answer.
-  const auto Sick = [&](Duration Elapsed) {
+  // An unhealthy server never answers 40 % of its requests.
+  const auto Unhealthy = [&](Duration Elapsed) {
     return 0.4 + 0.6 * Survival(Elapsed);
   };
   const Duration Then = Attempt.Elapsed + Span;
-  const double SickMass =
-      Attempt.UnhealthyProbability * Sick(Then) / Sick(Attempt.Elapsed);
-  const double WellMass = (1 - Attempt.UnhealthyProbability) * Survival(Then) /
-                          Survival(Attempt.Elapsed);
-  Attempt.UnhealthyProbability = SickMass / (SickMass + WellMass);
+  const double UnhealthyMass = Attempt.UnhealthyProbability * Unhealthy(Then) /
+                               Unhealthy(Attempt.Elapsed);
+  const double HealthyMass = (1 - Attempt.UnhealthyProbability) *
+                             Survival(Then) / Survival(Attempt.Elapsed);
+  Attempt.UnhealthyProbability = UnhealthyMass / (UnhealthyMass + HealthyMass);
   Attempt.Elapsed = Then;
   Attempt.TimeToObjective -= Span;
   Attempt.TimeToDeadline -= Span;
   return Attempt;
 }
 
-/// What waiting until Leave and then leaving is worth, or waiting to the end if
-/// Leave is the deadline, added up in steps of 5 ms.
-static double getWorthOfLeavingAt(UnansweredAttempt Attempt, Duration Leave,
-                                  const LatencyDistribution &Times) {
+/// Returns the expected utility of a retry at RetryAt, or of no retry if
+/// RetryAt is the deadline, integrated in steps of 5 ms.
+static double computeUtilityOfRetryAt(UnansweredAttempt Attempt,
+                                      Duration RetryAt,
+                                      const LatencyDistribution &Times) {
   constexpr Duration Step = fromMillis(5);
   const UnansweredAttempt First = Attempt;
-  double Silent = 1;
-  double Worth = 0;
-  for (Duration At{}; At < Leave; At += Step) {
+  double NoAnswer = 1;
+  double Utility = 0;
+  for (Duration At{}; At < RetryAt; At += Step) {
     const UnansweredAttempt Next = wait(Attempt, Step, Times);
     const auto Survival = [&](const UnansweredAttempt &Each) {
       return Times.getSurvival(toSeconds(Each.Elapsed) /
@@ -89,39 +91,39 @@
         (1 - Attempt.UnhealthyProbability) * (1 - After / Before) +
         Attempt.UnhealthyProbability * 0.6 * (Before - After) /
             (0.4 + 0.6 * Before);
-    Worth += Silent * Answered *
-             (Attempt.TimeToObjective > Duration::zero() ? 1 : LateUtility);
-    Silent *= 1 - Answered;
+    Utility += NoAnswer * Answered *
+               (Attempt.TimeToObjective > Duration::zero() ? 1 : LateUtility);
+    NoAnswer *= 1 - Answered;
     Attempt = Next;
   }
-  if (Leave >= First.TimeToDeadline)
-    return Worth;
-  return Worth + Silent * (computeAlternativeUtility(Attempt, Times, {}) -
-                           Attempt.RetryCost);
+  if (RetryAt >= First.TimeToDeadline)
+    return Utility;
+  return Utility + NoAnswer * (computeAlternativeUtility(Attempt, Times, {}) -
+                               Attempt.RetryCost);
 }
 
-/// Returns the best moment to leave at and what it is worth.
+/// Returns the best time of a retry and its expected utility.
 static std::pair<Duration, double> findBest(const UnansweredAttempt &Attempt,
                                             const LatencyDistribution &Times) {
   std::pair<Duration, double> Best{Duration::zero(), -1};
   for (Duration At{}; At <= Attempt.TimeToDeadline; At += fromMillis(25)) {
-    const double Worth = getWorthOfLeavingAt(Attempt, At, Times);
-    if (Worth > Best.second)
-      Best = {At, Worth};
+    const double Utility = computeUtilityOfRetryAt(Attempt, At, Times);
+    if (Utility > Best.second)
+      Best = {At, Utility};
   }
   return Best;
 }
 
-/// Returns when the decision leaves, asked all the time, or the deadline.
-static Duration findDecided(const UnansweredAttempt &Attempt,
-                            const LatencyDistribution &Times) {
+/// Returns the first time at which the decision is to retry, or the deadline.
+static Duration findChosenTime(const UnansweredAttempt &Attempt,
+                               const LatencyDistribution &Times) {
   for (Duration At{}; At < Attempt.TimeToDeadline; At += fromMillis(5))
     if (shouldRetryElsewhere(wait(Attempt, At, Times), Times))
       return At;
   return Attempt.TimeToDeadline;
 }
 
-TEST_CASE("what is decided is worth what the best moment is, but for 0.01") {
+TEST_CASE("the utility of the decision is within 0.01 of the best one") {
   const LatencyDistribution Times = makeTimes();
   CHECK(rc::check([&Times] {
     UnansweredAttempt Attempt = makeAttempt();
@@ -134,43 +136,43 @@
     Attempt.TimeToDeadline = fromMillis(*rc::gen::inRange(300, 3000));
     Attempt.RetryCost = *rc::gen::inRange(0, 20) / 100.0;
     const double Best = findBest(Attempt, Times).second;
-    const double Decided =
-        getWorthOfLeavingAt(Attempt, findDecided(Attempt, Times), Times);
-    RC_ASSERT(Decided >= Best - 0.01);
+    const double Chosen =
+        computeUtilityOfRetryAt(Attempt, findChosenTime(Attempt, Times), Times);
+    RC_ASSERT(Chosen >= Best - 0.01);
   }));
 }
 
-TEST_CASE("one that is merely usual waits, one that hangs is left in time") {
+TEST_CASE("a typical request waits, and a hanging one is retried in time") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.05;
-  const Duration Left = findDecided(Attempt, Times);
-  // At the median nothing speaks for leaving.
-  CHECK(Left > fromMillis(100));
-  // Nine in ten answers elsewhere still come within the objective.
-  CHECK(Left < fromMillis(650));
+  const Duration ChosenTime = findChosenTime(Attempt, Times);
+  // At the median there is no reason to retry.
+  CHECK(ChosenTime > fromMillis(100));
+  // 90 % of the answers elsewhere still arrive within the objective.
+  CHECK(ChosenTime < fromMillis(650));
 }
 
-TEST_CASE("a server that is surely sick is left sooner than a well one") {
+TEST_CASE("a request to an unhealthy server is retried sooner") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.99;
-  const Duration OfSick = findDecided(Attempt, Times);
+  const Duration ChosenIfUnhealthy = findChosenTime(Attempt, Times);
   Attempt.UnhealthyProbability = 0.05;
-  CHECK(OfSick < findDecided(Attempt, Times));
+  CHECK(ChosenIfUnhealthy < findChosenTime(Attempt, Times));
 }
 
-TEST_CASE("it follows other times and objectives by itself") {
+TEST_CASE("the decision adapts to other times and objectives") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.UnhealthyProbability = 0.05;
-  const Duration Left = Attempt.Elapsed + findDecided(Attempt, Times);
+  const Duration ChosenTime = Attempt.Elapsed + findChosenTime(Attempt, Times);
   Attempt.TimeToObjective *= 3;
   Attempt.TimeToDeadline *= 3;
-  CHECK(Attempt.Elapsed + findDecided(Attempt, Times) > Left);
+  CHECK(Attempt.Elapsed + findChosenTime(Attempt, Times) > ChosenTime);
 }
 
-TEST_CASE("past the objective one that hangs is still left before the end") {
+TEST_CASE("after the objective a hanging request is still retried") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.Elapsed = fromMillis(1300);
@@ -181,20 +183,21 @@
   CHECK(shouldRetryElsewhere(Attempt, Times));
 }
 
-TEST_CASE("where nothing is better there is no reason to leave") {
+TEST_CASE("without a better alternative there is no retry") {
   const LatencyDistribution Times = makeTimes();
   UnansweredAttempt Attempt = makeAttempt();
   Attempt.AlternativeAnswerProbability = 0;
-  CHECK(findDecided(Attempt, Times) == Attempt.TimeToDeadline);
+  CHECK(findChosenTime(Attempt, Times) == Attempt.TimeToDeadline);
   Attempt = makeAttempt();
   Attempt.TimeToDeadline = Duration::zero();
   CHECK_FALSE(shouldRetryElsewhere(Attempt, Times));
 }
 
-TEST_CASE("a repeat costs more as the allowance is used up") {
+TEST_CASE("the cost of a retry rises with the used fraction of the limit") {
   CHECK(computeRetryCost(0) < computeRetryCost(0.8));
   CHECK(computeRetryCost(0.8) < computeRetryCost(1));
   CHECK(computeRetryCost(2) == computeRetryCost(1));
-  // What hangs past the objective still gains more than the last one costs.
+  // For a request that hangs after the objective, the gain still exceeds the
+  // cost of the last retry.
   CHECK(computeRetryCost(1) < LateUtility);
 }
--- a/unittests/ServerLeaving/ServerLeavingTest.cpp
+++ b/unittests/ServerLeaving/ServerLeavingTest.cpp
@@ -82,7 +82,7 @@
   ServiceFixture Under;
   Under.Config.Servers.resize(2);
   Under.Config.FloorPercent = 50;
-  Under.Config.Preference = Weighing::Detection;
+  Under.Config.Preference = EjectionPreference::Detection;
   Under.Identity.Source = SettingsSource::Own;
   Under.Service.reset();
   Under.rebuild(FixtureStart);
