--- a/include/canvaswick/Daemon/AllowanceAgent.h
+++ b/include/canvaswick/Daemon/AllowanceAgent.h
@@ -21,7 +21,7 @@
 #define CANVASWICK_DAEMON_ALLOWANCEAGENT_H
 
 #include "canvaswick/Daemon/MembershipAgent.h"
-#include "canvaswick/Proxy/OrganisationGate.h"
+#include "canvaswick/Proxy/OrganisationQuotas.h"
 
 #include <map>
 #include <mutex>
@@ -69,7 +69,7 @@
 class AllowanceAgent {
 public:
   AllowanceAgent(const ControlContext &Context, MembershipAgent &Members,
-                 OrganisationGate &Organisations);
+                 OrganisationQuotas &Organisations);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
@@ -97,7 +97,7 @@
 
   const ControlContext &Context;
   MembershipAgent &Members;
-  OrganisationGate &Organisations;
+  OrganisationQuotas &Organisations;
   /// Of its own, since a peer that does not answer must not hold up others.
   WorkerPool Calls;
 
--- a/include/canvaswick/Daemon/ControlContext.h
+++ b/include/canvaswick/Daemon/ControlContext.h
@@ -37,7 +37,7 @@
   WorkerPool &Calls;
   FleetRuntimeSlot &Fleet;
   /// What servers say of themselves.
-  ServerNoticeBoard &Notices;
+  ServerNoticeTable &Notices;
   /// Calendar time of the process's start, in milliseconds.
   uint64_t StartMillis = 0;
 };
--- a/include/canvaswick/Daemon/Gateway.h
+++ b/include/canvaswick/Daemon/Gateway.h
@@ -23,7 +23,7 @@
 #include "canvaswick/Directory/WatchDuty.h"
 #include "canvaswick/Metrics/Counters.h"
 #include "canvaswick/Proxy/ProxyOptions.h"
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
 #include "canvaswick/Settings/DaemonConfig.h"
 
 #include <functional>
@@ -62,7 +62,7 @@
   void endStart();
 
   /// Changes the repeats that the fleet may send.
-  void setRepeats(const RepeatAllowance &Allowance);
+  void setRetryLimit(const RepeatAllowance &Allowance);
 
   /// Turns readiness red; answers from now on close their connections.
   void beginStop();
@@ -79,7 +79,7 @@
 
   /// Returns what is known of requests under which servers end. Where its
   /// records are kept is for the owner to say, before start.
-  RequestGuard &getGuard();
+  RequestQuarantine &getQuarantine();
 
 private:
   class Impl;
--- a/include/canvaswick/Daemon/OperatorApi.h
+++ b/include/canvaswick/Daemon/OperatorApi.h
@@ -17,8 +17,8 @@
 
 #include "canvaswick/Daemon/ConfigAgent.h"
 #include "canvaswick/Daemon/MembershipAgent.h"
-#include "canvaswick/Proxy/OrganisationGate.h"
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/OrganisationQuotas.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
 
 namespace canvaswick {
 
@@ -26,8 +26,8 @@
 class OperatorApi {
 public:
   OperatorApi(const ControlContext &Context, MembershipAgent &Members,
-              ConfigAgent &Config, const RequestGuard &Guard,
-              OrganisationGate &Organisations);
+              ConfigAgent &Config, const RequestQuarantine &Guard,
+              OrganisationQuotas &Organisations);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
@@ -45,8 +45,8 @@
   const ControlContext &Context;
   MembershipAgent &Members;
   ConfigAgent &Config;
-  const RequestGuard &Guard;
-  OrganisationGate &Organisations;
+  const RequestQuarantine &Guard;
+  OrganisationQuotas &Organisations;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Daemon/SuspectAgent.h
+++ b/include/canvaswick/Daemon/SuspectAgent.h
@@ -25,7 +25,7 @@
 class SuspectAgent {
 public:
   SuspectAgent(const ControlContext &Context, MembershipAgent &Members,
-               RequestGuard &Guard);
+               RequestQuarantine &Guard);
 
   void addMethods(JsonRpcDispatcher &Dispatcher);
 
@@ -46,7 +46,7 @@
 
   const ControlContext &Context;
   MembershipAgent &Members;
-  RequestGuard &Guard;
+  RequestQuarantine &Guard;
   SuspectBook Book;
   /// Used by runRound only.
   TimePoint ReadAt{};
--- a/include/canvaswick/Daemon/SuspectBook.h
+++ b/include/canvaswick/Daemon/SuspectBook.h
@@ -19,7 +19,7 @@
 
 #include "canvaswick/Daemon/SuspectReport.h"
 #include "canvaswick/Directory/StorePosition.h"
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
 
 #include <functional>
 #include <mutex>
@@ -42,7 +42,7 @@
   using Writer = std::function<Result<StorePosition>(const std::string &,
                                                      const StorePosition &)>;
 
-  SuspectBook(RequestGuard &Guard, Reader Read, Writer Write)
+  SuspectBook(RequestQuarantine &Guard, Reader Read, Writer Write)
       : Guard(Guard), Read(std::move(Read)), Write(std::move(Write)) {}
 
   /// Gives the guard what is written, if it has changed. Fails as Read does.
@@ -60,7 +60,7 @@
   bool writeAll(const std::vector<SuspectRecord> &Records,
                 const StorePosition &Expected, const Instant &Now);
 
-  RequestGuard &Guard;
+  RequestQuarantine &Guard;
   const Reader Read;
   const Writer Write;
   std::mutex Mutex;
--- a/include/canvaswick/Proxy/FleetRuntime.h
+++ b/include/canvaswick/Proxy/FleetRuntime.h
@@ -40,7 +40,7 @@
   ServiceRuntimeRef findService(const std::string &Name) const;
 
   /// Sets how many connections Pool may open to each server.
-  void boundConnections(ConnectionPool &Pool) const;
+  void limitConnections(ConnectionPool &Pool) const;
 
 private:
   const FleetConfigRef Config;
--- a/include/canvaswick/Proxy/OrganisationGate.h
+++ b/include/canvaswick/Proxy/OrganisationQuotas.h
@@ -1,4 +1,4 @@
-//===- OrganisationGate.h - What organisations may send ---------*- C++ -*-===//
+//===- OrganisationQuotas.h - What organisations may send -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_PROXY_ORGANISATIONGATE_H
-#define CANVASWICK_PROXY_ORGANISATIONGATE_H
+#ifndef CANVASWICK_PROXY_ORGANISATIONQUOTAS_H
+#define CANVASWICK_PROXY_ORGANISATIONQUOTAS_H
 
 #include "canvaswick/Admission/FleetAllowance.h"
 
@@ -23,9 +23,9 @@
 
 /// The allowances of one daemon. Thread-safe; no other lock is taken under its
 /// mutex.
-class OrganisationGate {
+class OrganisationQuotas {
 public:
-  OrganisationGate(AllowanceBounds Bounds, TimePoint Started, double Draw)
+  OrganisationQuotas(AllowanceBounds Bounds, TimePoint Started, double Draw)
       : Allowance(Bounds, Started, Draw) {}
 
   /// Runs Work on the allowances while nobody else does anything with them.
@@ -62,4 +62,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_PROXY_ORGANISATIONGATE_H
+#endif // CANVASWICK_PROXY_ORGANISATIONQUOTAS_H
--- a/include/canvaswick/Proxy/ProxyOptions.h
+++ b/include/canvaswick/Proxy/ProxyOptions.h
@@ -27,11 +27,11 @@
 inline constexpr const char *OutcomeHeader = "Canvaswick-Outcome";
 inline constexpr const char *ReasonHeader = "Canvaswick-Reason";
 
-/// What a server that leaves puts in HeaderDialect::ServerLeaving.
+/// What a server that leaves puts in HeaderNames::ServerLeaving.
 inline constexpr const char *LeavingValue = "1";
 
 /// Names of headers. An empty name means that there is no such header.
-struct HeaderDialect {
+struct HeaderNames {
   /// Names a request; a server may echo it to prove whose answer it is.
   std::string RequestId = "Canvaswick-Request";
   /// Whether the caller's own id is passed on and echoed, instead of one that
@@ -65,23 +65,23 @@
 
 /// What a proxy is set up with.
 struct ProxyOptions {
-  HeaderDialect Headers;
+  HeaderNames Headers;
   /// Answers up to this length are kept until they are whole, so that a cut
   /// one can be made good. 0: every answer is streamed.
-  size_t HeldAnswerBytes = 0;
+  size_t MaxBufferedResponseBytes = 0;
   /// Chunked request bodies up to this length are collected, so that they can
   /// be sent again. A longer one is refused. 0: they are streamed.
-  size_t CollectedBodyBytes = 0;
+  size_t MaxBufferedBodyBytes = 0;
   /// Requests that may run once get a connection of their own, which proves
   /// that the server is reached before anything is sent.
-  bool HasFreshConnections = false;
+  bool UsesFreshConnections = false;
   /// Longest wait for a connection to a server, in milliseconds.
   int ConnectMs = 1000;
   /// Status of a request that no server has run after all.
-  int UnrunStatus = 502;
+  int NotRunStatus = 502;
   /// When a refused request may come back, in milliseconds, if nothing better
   /// is known.
-  int RefusedWaitMs = 1000;
+  int DefaultRetryAfterMs = 1000;
   /// What is borne above organisations' allowances.
   AllowanceBounds Allowances;
 };
--- a/include/canvaswick/Proxy/RequestProxy.h
+++ b/include/canvaswick/Proxy/RequestProxy.h
@@ -19,11 +19,11 @@
 #include "canvaswick/Http/HttpClient.h"
 #include "canvaswick/Http/HttpServer.h"
 #include "canvaswick/Metrics/Counters.h"
-#include "canvaswick/Proxy/AnswerRelay.h"
 #include "canvaswick/Proxy/FleetRuntime.h"
-#include "canvaswick/Proxy/OrganisationGate.h"
+#include "canvaswick/Proxy/OrganisationQuotas.h"
 #include "canvaswick/Proxy/ProxyOptions.h"
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
+#include "canvaswick/Proxy/ResponseRelay.h"
 
 #include <atomic>
 #include <functional>
@@ -57,27 +57,25 @@
   void configure(const FleetConfig &Config);
 
   /// Asks peers for the right to a repeat of a service, and waits a little.
-  using RepeatSource = std::function<bool(ServiceRuntime &, TimePoint)>;
+  using RetrySource = std::function<bool(ServiceRuntime &, TimePoint)>;
 
   /// Sets whom to ask when the daemon's own part of the fleet's repeats is used
   /// up. Called before the first request.
-  void setRepeatSource(RepeatSource Source) {
-    this->Borrow = std::move(Source);
-  }
+  void setRetrySource(RetrySource Source) { this->Borrow = std::move(Source); }
 
   /// Called after an attempt has begun or ended, on the request's thread.
-  using ChangeListener = std::function<void(TimePoint)>;
+  using AttemptListener = std::function<void(TimePoint)>;
 
   /// Sets who hears of attempts. Called before the first request.
-  void setChangeListener(ChangeListener Listener) {
+  void setAttemptListener(AttemptListener Listener) {
     this->Listener = std::move(Listener);
   }
 
   /// Returns what organisations may send.
-  OrganisationGate &getOrganisations() { return this->Organisations; }
+  OrganisationQuotas &getOrganisations() { return this->Organisations; }
 
   /// Returns what is known of requests under which servers end.
-  RequestGuard &getGuard() { return this->Guard; }
+  RequestQuarantine &getQuarantine() { return this->Quarantine; }
 
   /// Breaks nothing off any more that a server works on. Requests that come
   /// from now on get their final answer before Until.
@@ -89,81 +87,88 @@
   /// Refuses at once, from now on, what may take longer than until the end that
   /// beginStop has set. Where fewer than half of a hall's daemons are ready the
   /// balancer sends to all of them, also to one that has half a second left.
-  void endTaking() { this->HasEndedTaking = true; }
+  void refuseLateRequests() { this->HasEndedTaking = true; }
 
   /// Forgets organisations that are idle.
   void forgetIdle(TimePoint Now);
 
 private:
-  struct Flow;
+  struct RequestContext;
 
   // RequestProxy.cpp: the steps, and final answers.
-  bool findRoute(Flow &Request);
-  bool boundByStop(Flow &Request);
+  bool findRoute(RequestContext &Request);
+  bool applyStopDeadline(RequestContext &Request);
   ServiceRuntimeRef chooseService(const FleetRuntime &Runtime,
                                   const RouteConfig &Route);
-  bool passGuard(Flow &Request);
-  void refuseHeldBack(Flow &Request);
-  void serve(Flow &Request);
-  void finish(Flow &Request, AnswerRelay &Relay);
-  void logEnd(const Flow &Request, const AnswerRelay &Relay, TimePoint Now);
+  bool passGuard(RequestContext &Request);
+  void refuseHeldBack(RequestContext &Request);
+  void serve(RequestContext &Request);
+  void finish(RequestContext &Request, ResponseRelay &Relay);
+  void logEnd(const RequestContext &Request, const ResponseRelay &Relay,
+              TimePoint Now);
   void refuse(HttpExchange &Exchange, int Status, RunOutcome Outcome,
               const char *Reason, Duration Wait);
-  void refuseUnadmitted(Flow &Request, Refusal Refused, Duration Wait);
-  void refuseUnserved(Flow &Request);
+  void refuseUnadmitted(RequestContext &Request, Refusal Refused,
+                        Duration Wait);
+  void refuseUnserved(RequestContext &Request);
   std::string formatRetryAfter(Duration Wait) const;
 
   // RequestOrganisation.cpp.
-  bool findOrganisation(Flow &Request);
-  bool isKeyInForce(const Flow &Request) const;
-  bool admitOrganisation(Flow &Request);
-  void giveBackUnrun(Flow &Request, TimePoint Now);
+  bool findOrganisation(RequestContext &Request);
+  bool isKeyInForce(const RequestContext &Request) const;
+  bool admitOrganisation(RequestContext &Request);
+  void refundIfNotRun(RequestContext &Request, TimePoint Now);
 
   // RequestBody.cpp.
-  bool readBody(Flow &Request);
-  void digest(Flow &Request) const;
-  bool collectBody(Flow &Request, uint64_t Limit);
-  void refuseBody(Flow &Request, int Status, const char *Reason);
-  void streamBody(Flow &Request, OutgoingRequest &Outgoing) const;
+  bool readBody(RequestContext &Request);
+  void digest(RequestContext &Request) const;
+  bool collectBody(RequestContext &Request, uint64_t Limit);
+  void refuseBody(RequestContext &Request, int Status, const char *Reason);
+  void streamBody(RequestContext &Request, OutgoingRequest &Outgoing) const;
 
   // RequestClaims.cpp.
-  bool claim(Flow &Request);
-  ClaimVerdict beginClaim(Flow &Request);
-  void answerFromClaim(Flow &Request, const ClaimVerdict &Verdict);
-  void settleClaim(Flow &Request, const AnswerRelay &Relay);
+  bool claim(RequestContext &Request);
+  ClaimVerdict beginClaim(RequestContext &Request);
+  void answerFromClaim(RequestContext &Request, const ClaimVerdict &Verdict);
+  void resolveClaim(RequestContext &Request, const ResponseRelay &Relay);
 
   // RequestRepeats.cpp.
-  bool hasTryLeft(const Flow &Request, const AnswerRelay &Relay,
-                  size_t Unreachable, TimePoint Now) const;
-  size_t getMaxAttempts(const Flow &Request) const;
-  TimePoint chooseAttemptDeadline(Flow &Request, const AnswerRelay &Relay,
-                                  TimePoint Now, bool &IsPatience) const;
-  TimePoint extendPatience(Flow &Request, const Attempt &Current,
+  bool hasAttemptLeft(const RequestContext &Request, const ResponseRelay &Relay,
+                      size_t Unreachable, TimePoint Now) const;
+  size_t getMaxAttempts(const RequestContext &Request) const;
+  TimePoint chooseAttemptDeadline(RequestContext &Request,
+                                  const ResponseRelay &Relay, TimePoint Now,
+                                  bool &IsPatience) const;
+  TimePoint extendPatience(RequestContext &Request, const Attempt &Current,
                            bool &IsPatience);
-  bool takeRepeat(ServiceRuntime &Service, bool IsUnrun, TimePoint Now);
-  bool mayTryAgain(Flow &Request, const AnswerRelay &Relay);
+  bool takeRetry(ServiceRuntime &Service, bool IsUnrun, TimePoint Now);
+  bool mayRetry(RequestContext &Request, const ResponseRelay &Relay);
 
   // RequestAttempts.cpp.
-  void runAttempts(Flow &Request, AnswerRelay &Relay);
+  void runAttempts(RequestContext &Request, ResponseRelay &Relay);
   void tellChange(TimePoint Now) const;
-  void hearServer(const Flow &Request, Attempt &Current,
-                  const std::string &RequestId,
-                  const httplib::Response &Response);
-  RequestOutcome tryOnce(Flow &Request, AnswerRelay &Relay, Attempt &Current);
-  RelayRules makeRelayRules(const Flow &Request) const;
-  OutgoingRequest buildOutgoing(Flow &Request, const AnswerRelay &Relay,
+  void handleServerNotice(const RequestContext &Request, Attempt &Current,
+                          const std::string &RequestId,
+                          const httplib::Response &Response);
+  RequestOutcome runAttempt(RequestContext &Request, ResponseRelay &Relay,
+                            Attempt &Current);
+  RelayOptions makeRelayRules(const RequestContext &Request) const;
+  OutgoingRequest buildOutgoing(RequestContext &Request,
+                                const ResponseRelay &Relay,
                                 const ServerConfig &Server,
                                 const std::string &RequestId) const;
-  void addServerHeaders(Flow &Request, const ServerConfig &Server,
+  void addServerHeaders(RequestContext &Request, const ServerConfig &Server,
                         const std::string &RequestId,
                         OutgoingRequest &Outgoing) const;
-  bool isHeldBackNow(Flow &Request, TimePoint Now) const;
-  RequestOutcome tellGuard(Flow &Request, const Attempt &Ended,
+  bool isHeldBackNow(RequestContext &Request, TimePoint Now) const;
+  RequestOutcome tellGuard(RequestContext &Request, const Attempt &Ended,
                            RequestOutcome Outcome, TimePoint Now);
-  RequestOutcome judge(Flow &Request, const AnswerRelay &Relay,
-                       const ExchangeResult &Result);
-  RequestOutcome judgeAnswer(Flow &Request, const AnswerRelay &Relay);
-  static void addToTrail(Flow &Request, const Attempt &Ended,
+  RequestOutcome classifyExchange(RequestContext &Request,
+                                  const ResponseRelay &Relay,
+                                  const ExchangeResult &Result);
+  RequestOutcome classifyResponse(RequestContext &Request,
+                                  const ResponseRelay &Relay);
+  static void addToTrail(RequestContext &Request, const Attempt &Ended,
                          RequestOutcome Outcome, Duration Took);
 
   const std::string DaemonName;
@@ -172,15 +177,15 @@
   CounterTable &Counters;
   ClaimGate *Claims;
   const ProxyOptions Options;
-  RequestGuard Guard;
+  RequestQuarantine Quarantine;
   /// Since when there have been no settings, while there are none.
   const TimePoint Started;
   /// Empty where nobody lends.
-  RepeatSource Borrow;
-  ChangeListener Listener;
+  RetrySource Borrow;
+  AttemptListener Listener;
   /// Spreads the requests of split routes evenly over their parts.
   std::atomic<uint32_t> NextSplit{0};
-  OrganisationGate Organisations;
+  OrganisationQuotas Organisations;
   std::atomic<uint64_t> NextRequest{1};
   std::atomic<bool> IsStopping{false};
   std::atomic<bool> HasEndedTaking{false};
--- a/include/canvaswick/Proxy/RequestGuard.h
+++ b/include/canvaswick/Proxy/RequestQuarantine.h
@@ -1,4 +1,4 @@
-//===- RequestGuard.h - Keeps fatal requests away from servers --*- C++ -*-===//
+//===- RequestQuarantine.h - Keeps fatal requests away from -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_PROXY_REQUESTGUARD_H
-#define CANVASWICK_PROXY_REQUESTGUARD_H
+#ifndef CANVASWICK_PROXY_REQUESTQUARANTINE_H
+#define CANVASWICK_PROXY_REQUESTQUARANTINE_H
 
 #include "canvaswick/Admission/SuspectTable.h"
 #include "canvaswick/Metrics/Counters.h"
@@ -26,42 +26,42 @@
 namespace canvaswick {
 
 /// Whether a request may be sent, and by what right.
-struct GuardAnswer {
+struct QuarantineDecision {
   bool MaySend = true;
   /// Whether it is held back, and this is one of its tries: sent once.
-  bool IsTry = false;
+  bool IsProbe = false;
   /// When to come back, if it may not be sent.
   Duration Wait{};
 };
 
 /// Thread-safe. Its mutex is innermost: no other lock is taken, and no call
 /// made, while it is held.
-class RequestGuard {
+class RequestQuarantine {
 public:
   /// Takes the right to the next try of a request where records are kept.
   /// Returns whether it was given: to one daemon of the fleet at most.
-  using TryClaim = std::function<bool(const SuspectRecord &)>;
+  using ProbeClaim = std::function<bool(const SuspectRecord &)>;
 
   /// Told of what this daemon has seen itself, on the request's thread.
-  using NewsListener = std::function<void(const SuspectNews &, TimePoint)>;
+  using UpdateListener = std::function<void(const SuspectNews &, TimePoint)>;
 
-  explicit RequestGuard(CounterTable &Counters) : Counters(Counters) {}
+  explicit RequestQuarantine(CounterTable &Counters) : Counters(Counters) {}
 
   /// Sets where rights to tries come from. Without, no try is made. Called
   /// before the first request.
-  void setTryClaim(TryClaim Claim) { this->Claim = std::move(Claim); }
+  void setProbeClaim(ProbeClaim Claim) { this->Claim = std::move(Claim); }
 
   /// Sets who hears of news. Called before the first request.
-  void setNewsListener(NewsListener Listener) {
+  void setUpdateListener(UpdateListener Listener) {
     this->Listener = std::move(Listener);
   }
 
   /// Decides whether a request may be sent. May take as long as a call to where
   /// records are kept, when a try is due.
-  GuardAnswer admit(RequestDigest Request, TimePoint Now);
+  QuarantineDecision admit(RequestDigest Request, TimePoint Now);
 
   /// Returns whether a request is held back, without asking for a try.
-  bool isHeldBack(RequestDigest Request, TimePoint Now) const;
+  bool isQuarantined(RequestDigest Request, TimePoint Now) const;
 
   /// Returns when a request that is held back may come back.
   Duration getWait(RequestDigest Request, TimePoint Now) const;
@@ -77,10 +77,10 @@
   void noteEnd(RequestEnd End, TimePoint Now);
 
   /// Notes that a server has answered a request of this daemon's.
-  void noteAnswer(RequestDigest Request, TimePoint Now);
+  void recordAnswer(RequestDigest Request, TimePoint Now);
 
   /// Takes what a peer tells. Returns what of it was news.
-  SuspectNews takeNews(const SuspectNews &News, TimePoint Now);
+  SuspectNews mergeUpdate(const SuspectNews &News, TimePoint Now);
 
   /// Returns what a peer that has missed something should know.
   SuspectNews makeNews(size_t MaxRows, TimePoint Now) const;
@@ -108,8 +108,8 @@
   void logChange(RequestDigest Request, bool WasHeld, TimePoint Now) const;
 
   CounterTable &Counters;
-  TryClaim Claim;
-  NewsListener Listener;
+  ProbeClaim Claim;
+  UpdateListener Listener;
   mutable std::mutex Mutex;
   SuspectTable Table;
   /// Requests for whose try one of this daemon's threads is asking.
@@ -119,4 +119,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_PROXY_REQUESTGUARD_H
+#endif // CANVASWICK_PROXY_REQUESTQUARANTINE_H
--- a/include/canvaswick/Proxy/AnswerRelay.h
+++ b/include/canvaswick/Proxy/ResponseRelay.h
@@ -1,4 +1,4 @@
-//===- AnswerRelay.h - Passes an answer on to the caller --------*- C++ -*-===//
+//===- ResponseRelay.h - Passes an answer on to the caller ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_PROXY_ANSWERRELAY_H
-#define CANVASWICK_PROXY_ANSWERRELAY_H
+#ifndef CANVASWICK_PROXY_RESPONSERELAY_H
+#define CANVASWICK_PROXY_RESPONSERELAY_H
 
 #include "canvaswick/Http/HttpClient.h"
 #include "canvaswick/Http/HttpServer.h"
@@ -29,7 +29,7 @@
 inline constexpr int MisdirectedStatus = 421;
 
 /// What the relay did with an answer at its head.
-enum class AnswerVerdict : uint8_t {
+enum class ResponseVerdict : uint8_t {
   /// No head came.
   None,
   /// It goes to the caller.
@@ -39,55 +39,55 @@
   /// A failure that another server may make good.
   Failed,
   /// It is the answer to another request.
-  Foreign,
+  RequestIdMismatch,
   /// It does not continue what the caller has got.
-  Mismatch,
+  ResumeMismatch,
 };
 
 /// What the relay may do with a failed answer.
-struct RelayRules {
+struct RelayOptions {
   /// Set aside an answer of the server that a repeat could better.
-  bool MaySetAsideFailure = false;
+  bool MayDiscardFailure = false;
   /// Hold an answer of at most this many bytes back until it is whole.
-  size_t HeldBytes = 0;
+  size_t MaxBufferedBytes = 0;
   /// Keep a copy of the answer of at most this many bytes.
-  size_t KeepBytes = 0;
+  size_t MaxCopiedBytes = 0;
   /// Read the answer to its end although the caller has left: a repeat of a
   /// keyed request will ask for it.
-  bool GoesOnWithoutCaller = false;
+  bool ContinuesWithoutCaller = false;
 };
 
 /// A copy of an answer, for the repeat of a keyed request.
-struct KeptAnswer {
+struct ResponseCopy {
   int Status = 0;
   std::string ContentType;
   std::string Body;
 };
 
 /// Relays the answers of the attempts of one request to one caller.
-class AnswerRelay {
+class ResponseRelay {
 public:
   /// Exchange is the caller's side. Names must outlive the relay.
-  AnswerRelay(HttpExchange &Exchange, const HeaderDialect &Names,
-              RelayRules Rules);
+  ResponseRelay(HttpExchange &Exchange, const HeaderNames &Names,
+                RelayOptions Rules);
 
   /// Prepares for an attempt. RequestId is what a server may echo.
   void beginAttempt(const std::string &RequestId);
 
   /// Changes what may be set aside, before an attempt.
-  void setRules(const RelayRules &Rules) { this->Rules = Rules; }
+  void setRules(const RelayOptions &Rules) { this->Rules = Rules; }
 
   /// Takes the head of an answer. Returns false to cancel the exchange.
-  bool takeHead(const httplib::Response &Response);
+  bool handleHead(const httplib::Response &Response);
 
   /// Takes a piece of the body. Returns false if the caller has left.
-  bool takeBody(const char *Data, size_t Size);
+  bool handleBody(const char *Data, size_t Size);
 
   /// Ends a relayed answer. IsWhole says whether all of it arrived; if not, the
   /// caller's connection is cut.
   void finish(bool IsWhole);
 
-  AnswerVerdict getVerdict() const { return this->Verdict; }
+  ResponseVerdict getVerdict() const { return this->Verdict; }
   int getStatus() const { return this->Status; }
 
   /// Returns the requests that run or wait at the server, as its answer told,
@@ -108,13 +108,13 @@
   void addResumeHeaders(httplib::Headers &Headers) const;
 
   /// Returns whether the kept copy is the whole body so far.
-  bool hasWholeCopy() const { return !this->IsKeptTooLong; }
+  bool hasCompleteCopy() const { return !this->IsKeptTooLong; }
 
   /// Returns the copy that was kept.
-  const KeptAnswer &getKept() const { return this->Kept; }
+  const ResponseCopy &getCopy() const { return this->Kept; }
 
 private:
-  AnswerVerdict judgeHead(const httplib::Response &Response) const;
+  ResponseVerdict classifyHead(const httplib::Response &Response) const;
   bool continuesAnswer(const httplib::Response &Response) const;
   bool isProved(const httplib::Response &Response) const;
   void readLoad(const httplib::Response &Response);
@@ -125,10 +125,10 @@
   bool writeToCaller(const char *Data, size_t Size);
 
   HttpExchange &Exchange;
-  const HeaderDialect &Names;
-  RelayRules Rules;
+  const HeaderNames &Names;
+  RelayOptions Rules;
   std::string RequestId;
-  AnswerVerdict Verdict = AnswerVerdict::None;
+  ResponseVerdict Verdict = ResponseVerdict::None;
   int Status = 0;
   bool HeadWritten = false;
   /// The head, without its length and end, and the body so far of an answer
@@ -144,13 +144,13 @@
   uint64_t Length = 0;
   uint64_t Passed = 0;
   std::string Validator;
-  KeptAnswer Kept;
+  ResponseCopy Kept;
   bool IsKeptTooLong = false;
 };
 
 /// Returns whether a header belongs to one connection and is not passed on.
-bool isConnectionHeader(const std::string &Name, const httplib::Headers &All);
+bool isHopByHopHeader(const std::string &Name, const httplib::Headers &All);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_PROXY_ANSWERRELAY_H
+#endif // CANVASWICK_PROXY_RESPONSERELAY_H
--- a/include/canvaswick/Proxy/NoticeReader.h
+++ b/include/canvaswick/Proxy/ServerNoticeParser.h
@@ -1,4 +1,4 @@
-//===- NoticeReader.h - Reads a server's notice off an answer ---*- C++ -*-===//
+//===- ServerNoticeParser.h - Reads a server's notice off an ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_PROXY_NOTICEREADER_H
-#define CANVASWICK_PROXY_NOTICEREADER_H
+#ifndef CANVASWICK_PROXY_SERVERNOTICEPARSER_H
+#define CANVASWICK_PROXY_SERVERNOTICEPARSER_H
 
 #include "canvaswick/Proxy/ProxyOptions.h"
 #include "canvaswick/Routing/ServerNotices.h"
@@ -28,14 +28,14 @@
 /// Reads a Retry-After (RFC 9110, 10.2.3): seconds, fractions allowed, or a
 /// date, counted from CalendarMillis. A date in the past is no wait. Returns
 /// nothing for any other text.
-std::optional<Duration> readRetryAfter(const std::string &Text,
-                                       int64_t CalendarMillis);
+std::optional<Duration> parseRetryAfter(const std::string &Text,
+                                        int64_t CalendarMillis);
 
 /// Reads a notice. Words that cannot be understood are left out.
-ServerNotice readServerNotice(const httplib::Response &Response,
-                              const HeaderDialect &Names,
-                              int64_t CalendarMillis);
+ServerNotice parseServerNotice(const httplib::Response &Response,
+                               const HeaderNames &Names,
+                               int64_t CalendarMillis);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_PROXY_NOTICEREADER_H
+#endif // CANVASWICK_PROXY_SERVERNOTICEPARSER_H
--- a/include/canvaswick/Proxy/ServerNoticeBoard.h
+++ b/include/canvaswick/Proxy/ServerNoticeTable.h
@@ -1,4 +1,4 @@
-//===- ServerNoticeBoard.h - Servers' notices behind one lock ---*- C++ -*-===//
+//===- ServerNoticeTable.h - Servers' notices behind one lock ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_PROXY_SERVERNOTICEBOARD_H
-#define CANVASWICK_PROXY_SERVERNOTICEBOARD_H
+#ifndef CANVASWICK_PROXY_SERVERNOTICETABLE_H
+#define CANVASWICK_PROXY_SERVERNOTICETABLE_H
 
 #include "canvaswick/Routing/ServerNotices.h"
 
@@ -28,8 +28,8 @@
 
 /// The notices of one daemon. Thread-safe; no other lock is taken under its
 /// mutex, and a service's may be held when it is.
-class ServerNoticeBoard
-    : public boost::intrusive_ref_counter<ServerNoticeBoard> {
+class ServerNoticeTable
+    : public boost::intrusive_ref_counter<ServerNoticeTable> {
 public:
   /// Runs Work on the notices while nobody else does anything with them.
   template <typename Function> auto with(Function &&Work) {
@@ -47,11 +47,11 @@
 private:
   /// Keeps IsEmpty true to the notices after each piece of work.
   struct EmptyMark {
-    explicit EmptyMark(ServerNoticeBoard &Board) : Board(Board) {}
+    explicit EmptyMark(ServerNoticeTable &Board) : Board(Board) {}
     ~EmptyMark() { this->Board.IsEmpty = this->Board.Notices.isEmpty(); }
     EmptyMark(const EmptyMark &) = delete;
     EmptyMark &operator=(const EmptyMark &) = delete;
-    ServerNoticeBoard &Board;
+    ServerNoticeTable &Board;
   };
 
   std::mutex Mutex;
@@ -61,11 +61,11 @@
 
 /// Logs a change of what a server says, and the request that brought it, if one
 /// did.
-void logNotice(const NoticeChange &Change, const std::string &RequestId);
+void logNoticeChange(const NoticeChange &Change, const std::string &RequestId);
 
-/// A counted reference to a ServerNoticeBoard.
-using ServerNoticeBoardRef = boost::intrusive_ptr<ServerNoticeBoard>;
+/// A counted reference to a ServerNoticeTable.
+using ServerNoticeTableRef = boost::intrusive_ptr<ServerNoticeTable>;
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_PROXY_SERVERNOTICEBOARD_H
+#endif // CANVASWICK_PROXY_SERVERNOTICETABLE_H
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -22,7 +22,7 @@
 #include "canvaswick/Health/LatencyTable.h"
 #include "canvaswick/Health/SpellPolicy.h"
 #include "canvaswick/Metrics/ServiceMetrics.h"
-#include "canvaswick/Proxy/ServerNoticeBoard.h"
+#include "canvaswick/Proxy/ServerNoticeTable.h"
 #include "canvaswick/Routing/ServerSelector.h"
 #include "canvaswick/Routing/SubsetChooser.h"
 
@@ -50,9 +50,9 @@
   Duration Usual{};
   /// When it may take no longer.
   TimePoint Deadline{};
-  bool IsNotedLate = false;
+  bool IsCountedSlow = false;
   /// Whether it ended without an answer because the time was up.
-  bool WasGivenUp = false;
+  bool WasTimedOut = false;
   /// Whether its connection ended before a byte of an answer had come, and not
   /// by us.
   bool WasCutOff = false;
@@ -70,9 +70,9 @@
   double ServerLoad = 0;
   bool IsTest = false;
   /// Whether its answer asked for rest.
-  bool WasAskedToRest = false;
+  bool HasBackoffRequest = false;
   /// Servers that were left out of the choice by their own word.
-  size_t LeftOut = 0;
+  size_t ExcludedServers = 0;
 };
 
 /// What of a request decides which server it may go to.
@@ -83,7 +83,7 @@
   TimePoint Deadline{};
   /// Within what time an answer is to come, by the operators, and until when.
   Duration Objective{};
-  TimePoint Aim{};
+  TimePoint ObjectiveDeadline{};
   /// Whether a failure of this attempt would be final.
   bool IsLast = true;
   /// Servers that were tried before.
@@ -114,7 +114,7 @@
   PolicySwitches Switches;
   /// What servers say of themselves. Null: the previous version's, or one of
   /// the service alone.
-  ServerNoticeBoardRef Notices;
+  ServerNoticeTableRef Notices;
 };
 
 class ServiceRuntime;
@@ -145,26 +145,26 @@
   void end(Attempt &Ended, RequestOutcome Outcome, TimePoint Now);
 
   /// Takes the right to one repeat.
-  bool tryRepeat(TimePoint Now);
+  bool tryTakeRetry(TimePoint Now);
 
   /// Takes the right to send elsewhere what a server declined to run. Only the
   /// fleet's budget counts such repeats.
-  bool tryRepeatUnrun(TimePoint Now);
+  bool tryTakeNotRunRetry(TimePoint Now);
 
   /// Gives a peer the right to one repeat of the fleet's budget.
-  bool tryLendRepeat(TimePoint Now);
+  bool tryLendRetry(TimePoint Now);
 
   /// Takes a right that a peer gave, to be used before Until.
-  void borrowRepeat(TimePoint Until);
+  void borrowRetry(TimePoint Until);
 
   /// Returns whether repeats are counted on the fleet's budget.
-  bool hasFleetRepeats() const { return this->FleetRepeats != nullptr; }
+  bool hasFleetRetryBudget() const { return this->FleetRetries != nullptr; }
 
   /// Returns the name that the service has in messages between daemons.
   ServerId getId() const;
 
-  /// Returns whether tryRepeat would succeed on the fleet's budget.
-  bool hasRepeat(TimePoint Now) const;
+  /// Returns whether tryTakeRetry would succeed on the fleet's budget.
+  bool hasRetry(TimePoint Now) const;
 
   /// Notes attempts that are already late and moves the policy on.
   void advance(TimePoint Now);
@@ -176,20 +176,22 @@
   void takeDigest(const EvidenceDigest &Digest, TimePoint Now);
 
   /// Returns the observations that peers should know, and forgets them.
-  std::vector<Observation> takeObservations();
+  std::vector<Observation> drainLocalObservations();
 
   /// Takes what a peer of this hall saw.
   void takeObservation(const Observation &Seen, TimePoint Now);
 
   /// Adds what this daemon has in flight at the service's servers.
-  void addInFlight(std::vector<InFlightReport> &Reports, TimePoint Now) const;
+  void appendInFlight(std::vector<InFlightReport> &Reports,
+                      TimePoint Now) const;
 
   /// Takes all that a peer of this hall has in flight, at any service.
-  void takeInFlight(const std::string &Daemon, uint64_t Sequence,
-                    const std::vector<InFlightReport> &Reports, TimePoint Now);
+  void applyPeerInFlight(const std::string &Daemon, uint64_t Sequence,
+                         const std::vector<InFlightReport> &Reports,
+                         TimePoint Now);
 
   /// Returns what this daemon thinks of the servers in its own hall.
-  std::vector<Estimate> getNearEstimates(TimePoint Now) const;
+  std::vector<Estimate> getSameHallEstimates(TimePoint Now) const;
 
   /// Returns what this daemon thinks of all servers that its hall has used.
   std::vector<Estimate> getUsedEstimates(TimePoint Now) const;
@@ -208,12 +210,13 @@
 
   /// Returns after how long without an answer it is first asked whether a
   /// repeatable request is better sent elsewhere.
-  Duration getPatience(const std::string &Route, Duration Objective) const;
+  Duration getRetryCheckDelay(const std::string &Route,
+                              Duration Objective) const;
 
   /// Returns whether an attempt that has no answer yet is better given up for
   /// one at another server. Needs tells which were tried.
-  bool isBetterElsewhere(const Attempt &Each, const AttemptNeeds &Needs,
-                         TimePoint Now) const;
+  bool shouldAbandonAttempt(const Attempt &Each, const AttemptNeeds &Needs,
+                            TimePoint Now) const;
 
   /// Marks servers as leaving, by what the platform or the server itself said.
   void setLeavingAddresses(const std::set<std::string> &Addresses,
@@ -222,22 +225,23 @@
   /// Takes what the answer of an attempt says of its server. Returns what of it
   /// is new.
   std::vector<NoticeChange>
-  noteNotice(Attempt &From, const ServerNotice &Notice, TimePoint Now);
+  handleNotice(Attempt &From, const ServerNotice &Notice, TimePoint Now);
 
   /// Takes what a peer tells of the limit of one of this service's servers.
   /// Returns what of it is new.
-  std::vector<NoticeChange> takeLimit(const LimitReport &Given, TimePoint Now);
+  std::vector<NoticeChange> applyPeerLimit(const LimitReport &Given,
+                                           TimePoint Now);
 
   /// Takes a load report of a server.
-  void noteLoad(size_t Server, double Load, TimePoint Now);
+  void recordLoadReport(size_t Server, double Load, TimePoint Now);
 
   /// Returns what an operator may know.
   std::vector<ServerStatus> describe(TimePoint Now) const;
 
   /// Sets the fleet's allowance of repeats, how many daemons share it and which
   /// of them this one is.
-  void setRepeats(const RepeatAllowance &Allowance, size_t Daemons,
-                  size_t Rank);
+  void setRetryLimit(const RepeatAllowance &Allowance, size_t Daemons,
+                     size_t Rank);
 
   const ServiceConfig &getConfig() const { return this->Config; }
   const ServerSubset &getSubset() const { return this->Subset; }
@@ -248,7 +252,8 @@
   size_t countServers() const { return this->Subset.Servers.size(); }
 
   /// Returns whether it is for this configuration and these daemons already.
-  bool isFor(const ServiceConfig &Config, const DaemonIdentity &Identity) const;
+  bool matchesConfig(const ServiceConfig &Config,
+                     const DaemonIdentity &Identity) const;
 
 private:
   using Policies = std::variant<PooledPolicy, SpellPolicy>;
@@ -270,8 +275,8 @@
   template <typename Predicate>
   std::vector<Estimate> makeEstimates(const SpellPolicy &Spells, TimePoint Now,
                                       Predicate Wants) const;
-  RequestOutcome judgeEnded(const Attempt &Ended, RequestOutcome Outcome,
-                            Duration Took) const;
+  RequestOutcome classifyEnd(const Attempt &Ended, RequestOutcome Outcome,
+                             Duration Took) const;
   std::vector<double> getWorths(const SpellPolicy &Spells,
                                 const AttemptNeeds &Needs, TimePoint Now) const;
   int findBestElsewhere(const SpellPolicy &Spells, const Attempt &Each,
@@ -281,9 +286,9 @@
   int computePacePercent(const Attempt &Ended, TimePoint Now) const;
   ShareExplanation explain(size_t Server, TimePoint Now) const;
 
-  static ServerNoticeBoardRef chooseBoard(const DaemonIdentity &Identity,
+  static ServerNoticeTableRef chooseBoard(const DaemonIdentity &Identity,
                                           const ServiceRuntime *Previous);
-  NoticedServer makeNoticed(size_t Server) const;
+  NoticeSource makeNoticed(size_t Server) const;
   size_t applyNotices(std::vector<double> &Shares, TimePoint Now) const;
   bool isHeld(size_t Server, TimePoint Now) const;
   void updateLeaving(TimePoint Now);
@@ -294,7 +299,7 @@
   const ServerSubset Subset;
   /// The names of the servers in messages and notices.
   const std::vector<ServerId> Ids;
-  const ServerNoticeBoardRef Notices;
+  const ServerNoticeTableRef Notices;
   const PolicySwitches Switches;
   mutable std::mutex Mutex;
   Policies Policy;
@@ -302,7 +307,7 @@
   LatencyTable Latency;
   RetryBudget Retries;
   /// Takes the place of Retries where the budget is the fleet's. Else null.
-  FleetRepeatBudgetRef FleetRepeats;
+  FleetRepeatBudgetRef FleetRetries;
   InFlightLimit InFlight;
   RandomSource Random;
   AttemptList Attempts;
--- a/include/canvaswick/Routing/LimitShare.h
+++ b/include/canvaswick/Routing/RateLimitShare.h
@@ -1,4 +1,4 @@
-//===- LimitShare.h - One daemon's part of a server's limit -----*- C++ -*-===//
+//===- RateLimitShare.h - One daemon's part of a server's limit -*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -15,8 +15,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_ROUTING_LIMITSHARE_H
-#define CANVASWICK_ROUTING_LIMITSHARE_H
+#ifndef CANVASWICK_ROUTING_RATELIMITSHARE_H
+#define CANVASWICK_ROUTING_RATELIMITSHARE_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -28,31 +28,31 @@
 namespace canvaswick {
 
 /// The daemons of a fleet as one of them sees it.
-struct FleetMap {
+struct FleetDaemons {
   std::string Self;
   /// By name of the hall. Those of no known hall are in All only.
   std::map<std::string, std::vector<std::string>> Halls;
   std::vector<std::string> All;
 
-  bool operator==(const FleetMap &) const = default;
+  bool operator==(const FleetDaemons &) const = default;
 };
 
 /// What one daemon may send to one server that names a limit. Not thread-safe.
-class LimitShare {
+class RateLimitShare {
 public:
   /// Key is "service/server", and Hall the server's. For the rest see hear.
-  LimitShare(std::string Key, std::string Hall, double PerSecond,
-             TimePoint HeardAt, const FleetMap &Fleet, TimePoint Now);
+  RateLimitShare(std::string Key, std::string Hall, double PerSecond,
+                 TimePoint HeardAt, const FleetDaemons &Fleet, TimePoint Now);
 
   /// Notes that the server named its limit at HeardAt, in requests a second.
-  void hear(double PerSecond, TimePoint HeardAt, const FleetMap &Fleet,
-            TimePoint Now);
+  void updateLimit(double PerSecond, TimePoint HeardAt,
+                   const FleetDaemons &Fleet, TimePoint Now);
 
   /// Takes who there is.
-  void setFleet(const FleetMap &Fleet, TimePoint Now);
+  void setFleet(const FleetDaemons &Fleet, TimePoint Now);
 
   double getPerSecond() const { return this->PerSecond; }
-  TimePoint getHeardAt() const { return this->HeardAt; }
+  TimePoint getReceivedAt() const { return this->HeardAt; }
 
   /// Returns whether word of the limit is so new that it surely holds.
   bool isFresh(TimePoint Now) const;
@@ -66,16 +66,16 @@
   /// Returns how many times its usual share the server should get from this
   /// daemon when a request may be sent: it sends for those that may not, and a
   /// test should not be missed.
-  double getBoost() const { return this->Boost; }
+  double getWeightFactor() const { return this->Boost; }
 
   /// Notes that a request was sent.
-  void noteSent(TimePoint Now);
+  void recordRequestSent(TimePoint Now);
 
   /// Returns how long until a request may be sent.
   Duration getWait(TimePoint Now) const;
 
 private:
-  void chooseSenders(const FleetMap &Fleet, TimePoint Now);
+  void chooseSenders(const FleetDaemons &Fleet, TimePoint Now);
   double getTokens(TimePoint Now) const;
   double getTestPeriod() const;
   double getTestAge(TimePoint Now) const;
@@ -99,4 +99,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_ROUTING_LIMITSHARE_H
+#endif // CANVASWICK_ROUTING_RATELIMITSHARE_H
--- a/include/canvaswick/Routing/RouteTable.h
+++ b/include/canvaswick/Routing/RouteTable.h
@@ -42,7 +42,7 @@
 };
 
 /// Returns the path of a target without its query.
-std::string getPathOfTarget(const std::string &Target);
+std::string getTargetPath(const std::string &Target);
 
 /// Returns whether a path could mean another one to a backend server: it holds
 /// dot segments, plain or percent-encoded, empty segments or a backslash.
--- a/include/canvaswick/Routing/ServerNotices.h
+++ b/include/canvaswick/Routing/ServerNotices.h
@@ -18,7 +18,7 @@
 #define CANVASWICK_ROUTING_SERVERNOTICES_H
 
 #include "canvaswick/Health/Evidence.h"
-#include "canvaswick/Routing/LimitShare.h"
+#include "canvaswick/Routing/RateLimitShare.h"
 #include "canvaswick/Support/Time.h"
 
 #include <cstddef>
@@ -36,21 +36,21 @@
   std::optional<double> RequestsPerSecond;
   bool IsLeaving = false;
   /// How long it wants nothing from this daemon.
-  std::optional<Duration> Rest;
+  std::optional<Duration> Backoff;
   /// Whether a limit that it no longer names is taken back. A failure need not
   /// name it.
   bool MayEndLimit = false;
   /// Whether it holds a word that cannot be understood.
-  bool IsMisread = false;
+  bool IsMalformed = false;
 
   bool isEmpty() const {
-    return !this->RequestsPerSecond && !this->IsLeaving && !this->Rest &&
-           !this->IsMisread;
+    return !this->RequestsPerSecond && !this->IsLeaving && !this->Backoff &&
+           !this->IsMalformed;
   }
 };
 
 /// The server of a notice.
-struct NoticedServer {
+struct NoticeSource {
   /// Names one life of it.
   ServerId Id = 0;
   /// "service/server".
@@ -59,7 +59,7 @@
 };
 
 /// What a server can say of itself.
-enum class NoticeKind : uint8_t { Limit, Leaving, Rest, Misread };
+enum class NoticeKind : uint8_t { Limit, Leaving, Backoff, Malformed };
 
 /// Returns the name of a kind as logs print it.
 const char *getName(NoticeKind Kind);
@@ -83,7 +83,7 @@
 struct NoticeCounts {
   size_t Limited = 0;
   size_t Leaving = 0;
-  size_t Resting = 0;
+  size_t InBackoff = 0;
 };
 
 /// What daemons tell each other of a server's limit.
@@ -101,37 +101,38 @@
 class ServerNotices {
 public:
   /// Takes who there is: servers' limits are shared among them.
-  void setFleet(const FleetMap &Given, TimePoint Now);
+  void setFleet(const FleetDaemons &Given, TimePoint Now);
 
   /// Takes the notice of an answer to a request that was sent at AskedAt.
   /// Returns what of it is new.
-  std::vector<NoticeChange> note(const NoticedServer &From,
-                                 const ServerNotice &Notice, TimePoint AskedAt,
-                                 TimePoint Now);
+  std::vector<NoticeChange> recordNotice(const NoticeSource &From,
+                                         const ServerNotice &Notice,
+                                         TimePoint AskedAt, TimePoint Now);
 
   /// Takes what a peer tells of a server's limit. Returns what of it is new.
-  std::vector<NoticeChange> takeReport(const NoticedServer &From,
-                                       const LimitReport &Given, TimePoint Now);
+  std::vector<NoticeChange> applyReport(const NoticeSource &From,
+                                        const LimitReport &Given,
+                                        TimePoint Now);
 
   /// Returns what servers have said of their limits to this daemon itself and
   /// peers have not heard of late, and takes it as told.
-  std::vector<LimitReport> takeNews(size_t Most, TimePoint Now);
+  std::vector<LimitReport> drainLimitReports(size_t Most, TimePoint Now);
 
   /// Returns all limits of which word is new, and those that have just ended.
-  std::vector<LimitReport> listLimits(size_t Most, TimePoint Now) const;
+  std::vector<LimitReport> listLimitReports(size_t Most, TimePoint Now) const;
 
   /// Returns how many times its usual share a server may get now; 0: nothing
   /// may be sent there.
-  double getFactor(ServerId Server, TimePoint Now) const;
+  double getShareFactor(ServerId Server, TimePoint Now) const;
 
   /// Returns how long until something may be sent to a server.
   Duration getWait(ServerId Server, TimePoint Now) const;
 
   /// Notes that a request is sent to a server.
-  void noteSent(ServerId Server, TimePoint Now);
+  void recordRequestSent(ServerId Server, TimePoint Now);
 
   /// Returns what a server says now that matters most, or nothing.
-  std::optional<NoticeKind> getState(ServerId Server, TimePoint Now) const;
+  std::optional<NoticeKind> getActiveKind(ServerId Server, TimePoint Now) const;
 
   /// Forgets what no longer holds, and returns it.
   std::vector<NoticeChange> forgetOld(TimePoint Now);
@@ -146,7 +147,7 @@
   struct Entry {
     std::string Key;
     std::string Hall;
-    std::optional<LimitShare> Limit;
+    std::optional<RateLimitShare> Limit;
     /// When the last limit ended.
     std::optional<TimePoint> LimitEndedAt;
     /// Whether peers should hear of the limit, and when they last did.
@@ -158,7 +159,7 @@
   };
   using Changes = std::vector<NoticeChange>;
 
-  Entry &findEntry(const NoticedServer &Of);
+  Entry &findEntry(const NoticeSource &Of);
   void setLimit(Entry &Of, double PerSecond, TimePoint HeardAt, TimePoint Now,
                 Changes &All) const;
   static void endLimit(Entry &Of, TimePoint At, Changes &All);
@@ -171,7 +172,7 @@
   static LimitReport makeReport(ServerId Server, const Entry &Of,
                                 TimePoint Now);
 
-  FleetMap Fleet;
+  FleetDaemons Fleet;
   std::unordered_map<ServerId, Entry> Entries;
 };
 
--- a/include/canvaswick/Routing/ServerSelector.h
+++ b/include/canvaswick/Routing/ServerSelector.h
@@ -34,16 +34,16 @@
 struct SelectableServer {
   int Slots = 1;
   /// Requests that this daemon may have at the server at once.
-  int Limit = 1;
-  bool IsNear = true;
+  int ConcurrencyLimit = 1;
+  bool IsSameHall = true;
   /// When the server was first seen; it gets its full share after ColdStart.
-  TimePoint Since{};
+  TimePoint FirstSeen{};
 };
 
 /// How a choice weighs distance and load.
 struct SelectionRules {
   /// Part of a near server's weight that one in another hall has.
-  double FarShare = 1;
+  double RemoteWeight = 1;
   /// Whether shares account for load and slots already.
   bool IsLoadInShares = false;
 };
@@ -82,8 +82,8 @@
   void restartColdStart(size_t Server, TimePoint Now);
 
   /// Returns whether a server stands in this daemon's hall.
-  bool isNear(size_t Server) const {
-    return this->Servers[Server].Config.IsNear;
+  bool isSameHall(size_t Server) const {
+    return this->Servers[Server].Config.IsSameHall;
   }
 
   /// Returns this daemon's requests at a server.
--- a/include/canvaswick/Routing/SubsetChooser.h
+++ b/include/canvaswick/Routing/SubsetChooser.h
@@ -25,7 +25,7 @@
 namespace canvaswick {
 
 /// Connections that a daemon needs to a server to be of use to it.
-inline constexpr int LeastConnectionsPerDaemon = 2;
+inline constexpr int MinConnectionsPerDaemon = 2;
 
 /// What one daemon may use of one service.
 struct ServerSubset {
--- a/lib/Bench/BenchRun.cpp
+++ b/lib/Bench/BenchRun.cpp
@@ -58,9 +58,9 @@
     for (int I = 0; I < this->Under.Servers; ++I) {
       SelectableServer Server;
       Server.Slots = this->Under.Slots;
-      Server.Limit = this->Under.Slots;
-      Server.IsNear = Halls[static_cast<size_t>(I) % Halls.size()] == Hall;
-      Server.Since = TimePoint{} - fromSeconds(3600);
+      Server.ConcurrencyLimit = this->Under.Slots;
+      Server.IsSameHall = Halls[static_cast<size_t>(I) % Halls.size()] == Hall;
+      Server.FirstSeen = TimePoint{} - fromSeconds(3600);
       Selectable.push_back(Server);
     }
     PolicySetup Setup{"bench",
--- a/lib/Daemon/AllowanceAgent.cpp
+++ b/lib/Daemon/AllowanceAgent.cpp
@@ -81,7 +81,7 @@
 
 AllowanceAgent::AllowanceAgent(const ControlContext &Context,
                                MembershipAgent &Members,
-                               OrganisationGate &Organisations)
+                               OrganisationQuotas &Organisations)
     : Context(Context), Members(Members), Organisations(Organisations),
       Calls(CallLimits), Sequence(Context.StartMillis),
       Random(Context.StartMillis) {}
--- a/lib/Daemon/CheckAnswers.cpp
+++ b/lib/Daemon/CheckAnswers.cpp
@@ -101,7 +101,7 @@
   };
   Add(NoticeKind::Limit, Notices.Limited);
   Add(NoticeKind::Leaving, Notices.Leaving);
-  Add(NoticeKind::Rest, Notices.Resting);
+  Add(NoticeKind::Backoff, Notices.InBackoff);
   return Text;
 }
 
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -67,7 +67,7 @@
   std::unique_ptr<PeerCaller> Caller;
   std::unique_ptr<PlatformClient> Platform;
   std::unique_ptr<WorkerPool> Calls;
-  const ServerNoticeBoardRef Notices{new ServerNoticeBoard};
+  const ServerNoticeTableRef Notices{new ServerNoticeTable};
   FleetRuntimeSlot Fleet;
   std::unique_ptr<ControlContext> Context;
   std::unique_ptr<MembershipAgent> Members;
@@ -133,12 +133,12 @@
                                                this->Upstreams, this->Counters,
                                                this->Claims.get());
   this->Suspects = std::make_unique<SuspectAgent>(
-      *this->Context, *this->Members, this->Proxy->getGuard());
+      *this->Context, *this->Members, this->Proxy->getQuarantine());
   this->Allowances = std::make_unique<AllowanceAgent>(
       *this->Context, *this->Members, this->Proxy->getOrganisations());
   this->Operators = std::make_unique<OperatorApi>(
-      *this->Context, *this->Members, *this->Configs, this->Proxy->getGuard(),
-      this->Proxy->getOrganisations());
+      *this->Context, *this->Members, *this->Configs,
+      this->Proxy->getQuarantine(), this->Proxy->getOrganisations());
   this->Members->setVersionHooks(
       [this](Json::Value &Message) {
         this->Configs->writeVersions(Message);
@@ -199,7 +199,7 @@
 
 /// Tells who shares servers' limits.
 void Daemon::Impl::shareLimits() {
-  FleetMap Fleet;
+  FleetDaemons Fleet;
   Fleet.Self = this->Config.Name;
   Fleet.All = this->Members->getWorking();
   for (const std::string &Name : Fleet.All)
@@ -223,7 +223,7 @@
   const FleetRuntimeRef Previous = this->Fleet.get();
   const FleetRuntimeRef Next(
       new FleetRuntime(Compiled, Identity, Previous.get(), readSteadyClock()));
-  Next->boundConnections(this->Upstreams);
+  Next->limitConnections(this->Upstreams);
   this->Proxy->configure(*Compiled);
   this->Fleet.set(Next);
   this->Leaving->apply();
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -132,17 +132,17 @@
 /// Opens the link to peers, from whom requests borrow repeats.
 Result<void> Gateway::Impl::startPeers() {
   this->Peers = std::make_unique<PeerExchange>(
-      this->Self, this->Fleet, this->Proxy.getGuard(),
+      this->Self, this->Fleet, this->Proxy.getQuarantine(),
       this->Proxy.getOrganisations(), *this->Notices, this->Counters,
       this->Heard, this->Config.Policy);
-  this->Proxy.getGuard().setNewsListener(
+  this->Proxy.getQuarantine().setUpdateListener(
       [this](const SuspectNews &News, TimePoint Now) {
         this->Peers->tellSuspects(News, Now);
       });
-  this->Proxy.setChangeListener(
+  this->Proxy.setAttemptListener(
       [this](TimePoint Now) { this->Peers->tellChange(Now); });
-  this->Proxy.setRepeatSource([this](ServiceRuntime &Service, TimePoint Now) {
-    return this->Peers->borrowRepeat(Service, Now);
+  this->Proxy.setRetrySource([this](ServiceRuntime &Service, TimePoint Now) {
+    return this->Peers->borrowRetry(Service, Now);
   });
   return this->Peers->start();
 }
@@ -181,7 +181,7 @@
   return {this->Counters,
           this->getStoreState(),
           this->Callers->countThreads(),
-          this->getGuard().describe(),
+          this->getQuarantine().describe(),
           this->Proxy.getOrganisations().with([Now](FleetAllowance &All) {
             return All.describe(MostOrganisations, Now);
           }),
@@ -215,7 +215,7 @@
     Service->advance(Now);
     // Nobody is told: what was seen must not pile up.
     if (!this->Peers)
-      (void)Service->takeObservations();
+      (void)Service->drainLocalObservations();
   }
   if (this->Peers)
     this->Peers->runRound(*Current, HealthInterval, Now);
@@ -226,7 +226,7 @@
   this->Upstreams.closeIdle(Now - UpstreamIdleLimit, Now);
   this->Proxy.forgetIdle(Now);
   this->Notices->forgetOld(Now);
-  this->Proxy.getGuard().forgetOld(Now);
+  this->Proxy.getQuarantine().forgetOld(Now);
 }
 
 void Gateway::Impl::beginStop() {
@@ -239,7 +239,7 @@
 bool Gateway::Impl::finishStop(TimePoint Deadline) {
   if (this->IsStopped.exchange(true))
     return true;
-  this->Proxy.endTaking();
+  this->Proxy.refuseLateRequests();
   const bool AllEnded =
       !this->Callers || this->Callers->stopGracefully(Deadline);
   this->HealthRounds.stop();
@@ -272,8 +272,8 @@
   this->Implementation->setDaemons(Daemons);
 }
 
-void Gateway::setRepeats(const RepeatAllowance &Allowance) {
-  this->Implementation->setRepeats(Allowance);
+void Gateway::setRetryLimit(const RepeatAllowance &Allowance) {
+  this->Implementation->setRetryLimit(Allowance);
 }
 
 void Gateway::setHooks(ChangesSource Source, PeerLink::Handler Heard,
@@ -299,7 +299,9 @@
   return this->Implementation->Self;
 }
 
-RequestGuard &Gateway::getGuard() { return this->Implementation->getGuard(); }
+RequestQuarantine &Gateway::getQuarantine() {
+  return this->Implementation->getQuarantine();
+}
 
 CounterTable &Gateway::getCounters() { return this->Implementation->Counters; }
 
--- a/lib/Daemon/GatewayFleet.cpp
+++ b/lib/Daemon/GatewayFleet.cpp
@@ -47,7 +47,7 @@
   const FleetRuntimeRef Runtime(
       new FleetRuntime(Next, Identity, Previous.get(), readSteadyClock()));
   this->giveRepeats(*Runtime);
-  Runtime->boundConnections(this->Upstreams);
+  Runtime->limitConnections(this->Upstreams);
   this->boundCallers(Next->Limits);
   this->Proxy.configure(*Next);
   this->Fleet.set(Runtime);
@@ -67,7 +67,7 @@
       std::max(this->DaemonNames.size(),
                static_cast<size_t>(this->Config.ExpectedDaemons));
   for (const ServiceRuntimeRef &Service : Runtime.getServices())
-    Service->setRepeats(this->Repeats, Count, Rank);
+    Service->setRetryLimit(this->Repeats, Count, Rank);
 }
 
 void Gateway::Impl::setFleet(const FleetConfigRef &Next) {
@@ -77,9 +77,9 @@
     this->Callers->beginAccepting();
 }
 
-static FleetMap makeFleetMap(const std::string &Self,
-                             const std::vector<DaemonRecord> &Daemons) {
-  FleetMap Fleet;
+static FleetDaemons makeFleetMap(const std::string &Self,
+                                 const std::vector<DaemonRecord> &Daemons) {
+  FleetDaemons Fleet;
   Fleet.Self = Self;
   for (const DaemonRecord &Each : Daemons) {
     Fleet.Halls[Each.Hall].push_back(Each.Name);
@@ -106,7 +106,7 @@
     this->build(FleetConfigRef(&Current->getConfig()));
 }
 
-void Gateway::Impl::setRepeats(const RepeatAllowance &Allowance) {
+void Gateway::Impl::setRetryLimit(const RepeatAllowance &Allowance) {
   std::lock_guard<std::mutex> Lock(this->BuildMutex);
   this->Repeats = Allowance;
   if (const FleetRuntimeRef Current = this->Fleet.get())
--- a/lib/Daemon/GatewayImpl.h
+++ b/lib/Daemon/GatewayImpl.h
@@ -41,7 +41,7 @@
   Result<void> start();
   void setFleet(const FleetConfigRef &Config);
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
-  void setRepeats(const RepeatAllowance &Allowance);
+  void setRetryLimit(const RepeatAllowance &Allowance);
   void setStoreState(const StoreState &State, bool IsNews);
   void endStart();
   void beginStop();
@@ -53,7 +53,7 @@
   const DaemonConfig Config;
   DaemonRecord Self;
   CounterTable Counters;
-  RequestGuard &getGuard() { return this->Proxy.getGuard(); }
+  RequestQuarantine &getQuarantine() { return this->Proxy.getQuarantine(); }
 
 private:
   void build(const FleetConfigRef &Next);
@@ -70,7 +70,7 @@
   Result<void> startControl();
 
   const TimePoint Started = readSteadyClock();
-  const ServerNoticeBoardRef Notices{new ServerNoticeBoard};
+  const ServerNoticeTableRef Notices{new ServerNoticeTable};
   FleetRuntimeSlot Fleet;
   ConnectionPool Upstreams{0};
   RequestProxy Proxy;
--- a/lib/Daemon/LeavingAgent.cpp
+++ b/lib/Daemon/LeavingAgent.cpp
@@ -169,7 +169,8 @@
   if (!parseJson(Answer.Body, State) || !State.isObject())
     return;
   if (State["load"].isNumeric())
-    Service->noteLoad(Server, State["load"].asDouble(), readSteadyClock());
+    Service->recordLoadReport(Server, State["load"].asDouble(),
+                              readSteadyClock());
   const LeavingSign Sign{State.get("state", "").asString() == "leaving",
                          readCalendarMillis()};
   bool IsNews = false;
--- a/lib/Daemon/OperatorApi.cpp
+++ b/lib/Daemon/OperatorApi.cpp
@@ -23,8 +23,8 @@
 
 OperatorApi::OperatorApi(const ControlContext &Context,
                          MembershipAgent &Members, ConfigAgent &Config,
-                         const RequestGuard &Guard,
-                         OrganisationGate &Organisations)
+                         const RequestQuarantine &Guard,
+                         OrganisationQuotas &Organisations)
     : Context(Context), Members(Members), Config(Config), Guard(Guard),
       Organisations(Organisations) {}
 
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -61,9 +61,10 @@
 static constexpr Duration AllLevelInterval = fromMillis(1000);
 
 PeerExchange::PeerExchange(const DaemonRecord &Self,
-                           const FleetRuntimeSlot &Fleet, RequestGuard &Guard,
-                           OrganisationGate &Organisations,
-                           ServerNoticeBoard &Notices, CounterTable &Counters,
+                           const FleetRuntimeSlot &Fleet,
+                           RequestQuarantine &Guard,
+                           OrganisationQuotas &Organisations,
+                           ServerNoticeTable &Notices, CounterTable &Counters,
                            PeerLink::Handler Heard,
                            const PolicySwitches &Switches)
     : Name(Self.Name), Hall(Self.Hall), Fleet(Fleet), Guard(Guard),
@@ -122,10 +123,10 @@
   std::vector<Observation> Seen;
   std::vector<InFlightReport> InFlight;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
-    const std::vector<Observation> More = Service->takeObservations();
+    const std::vector<Observation> More = Service->drainLocalObservations();
     Seen.insert(Seen.end(), More.begin(), More.end());
     if (this->Switches.isOn(Mechanism::SharedInFlight))
-      Service->addInFlight(InFlight, Now);
+      Service->appendInFlight(InFlight, Now);
   }
   this->HasNews = false;
   this->HadInFlight = !InFlight.empty();
@@ -137,7 +138,7 @@
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](ServerNotices &All) {
-      return All.takeNews(PeerLink::MostLimitsBesides, Now);
+      return All.drainLimitReports(PeerLink::MostLimitsBesides, Now);
     });
   if (this->Switches.isOn(Mechanism::PooledObservations))
     this->Link.sendObservations(std::move(Seen), InFlight, std::move(Levels),
@@ -249,14 +250,14 @@
   std::vector<Estimate> Estimates;
   std::vector<HallRate> Rates;
   for (const ServiceRuntimeRef &Service : Current.getServices()) {
-    const std::vector<Estimate> More = Service->getNearEstimates(Now);
+    const std::vector<Estimate> More = Service->getSameHallEstimates(Now);
     Estimates.insert(Estimates.end(), More.begin(), More.end());
     Rates.push_back(Service->getRate(Now));
   }
   std::vector<LimitReport> Limits;
   if (!this->Notices.isEmpty())
     Limits = this->Notices.with([Now](const ServerNotices &All) {
-      return All.listLimits(PeerLink::MostLimitsBesides, Now);
+      return All.listLimitReports(PeerLink::MostLimitsBesides, Now);
     });
   this->Link.sendEstimates(std::move(Estimates), std::move(Rates),
                            std::move(Limits));
@@ -274,7 +275,7 @@
   this->Link.sendNearEstimates(std::move(Estimates));
 }
 
-bool PeerExchange::borrowRepeat(ServiceRuntime &Service, TimePoint Now) {
+bool PeerExchange::borrowRetry(ServiceRuntime &Service, TimePoint Now) {
   return this->Switches.isOn(Mechanism::RepeatLoans) &&
          this->Loans.borrow(Service, Now);
 }
@@ -284,7 +285,7 @@
                              const PeerMessage &Message, TimePoint Now) {
   for (const RepeatLoan &Loan : Message.Asked)
     for (const ServiceRuntimeRef &Service : Current.getServices())
-      if (Service->getId() == Loan.Service && Service->tryLendRepeat(Now)) {
+      if (Service->getId() == Loan.Service && Service->tryLendRetry(Now)) {
         this->Counters.add(Counter::RepeatsLent);
         this->Link.lendRepeat(Message.Source, Loan);
       }
@@ -298,8 +299,8 @@
   for (const Observation &Each : Message.Seen)
     Service.takeObservation(Each, Now);
   if (Message.InFlight && Message.Hall == this->Hall)
-    Service.takeInFlight(Message.Source, Message.Sequence, *Message.InFlight,
-                         Now);
+    Service.applyPeerInFlight(Message.Source, Message.Sequence,
+                              *Message.InFlight, Now);
   for (const Estimate &Each : Message.Estimates)
     if (Message.Hall == this->Hall)
       Service.takeNearEstimate(Each, Now);
@@ -308,8 +309,8 @@
   for (const HallRate &Each : Message.Rates)
     Service.takeRate(Message.Hall, Each, Now);
   for (const LimitReport &Each : Message.Limits)
-    for (const NoticeChange &Change : Service.takeLimit(Each, Now))
-      logNotice(Change, "");
+    for (const NoticeChange &Change : Service.applyPeerLimit(Each, Now))
+      logNoticeChange(Change, "");
 }
 
 /// Takes what a peer says of organisations. Any message of this hall shows that
@@ -331,7 +332,7 @@
   const TimePoint Now = readSteadyClock();
   this->takeLevels(Message, Now);
   if (!Message.Suspects.isEmpty())
-    this->Guard.takeNews(readReport(Message.Suspects, Now), Now);
+    this->Guard.mergeUpdate(readReport(Message.Suspects, Now), Now);
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Current)
     return;
--- a/lib/Daemon/PeerExchange.h
+++ b/lib/Daemon/PeerExchange.h
@@ -20,8 +20,8 @@
 #include "canvaswick/Daemon/PeerLink.h"
 #include "canvaswick/Daemon/RepeatLoans.h"
 #include "canvaswick/Proxy/FleetRuntime.h"
-#include "canvaswick/Proxy/OrganisationGate.h"
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/OrganisationQuotas.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
 
 #include <atomic>
 #include <mutex>
@@ -37,8 +37,8 @@
   /// these may send. Heard, which may be empty, is called first with each
   /// message, on the link's thread.
   PeerExchange(const DaemonRecord &Self, const FleetRuntimeSlot &Fleet,
-               RequestGuard &Guard, OrganisationGate &Organisations,
-               ServerNoticeBoard &Notices, CounterTable &Counters,
+               RequestQuarantine &Guard, OrganisationQuotas &Organisations,
+               ServerNoticeTable &Notices, CounterTable &Counters,
                PeerLink::Handler Heard, const PolicySwitches &Switches);
 
   /// Binds the socket and starts to receive. Fails with Io.
@@ -68,7 +68,7 @@
   void tellSuspects(const SuspectNews &News, TimePoint Now);
 
   /// Borrows the right to one repeat of a service from peers.
-  bool borrowRepeat(ServiceRuntime &Service, TimePoint Now);
+  bool borrowRetry(ServiceRuntime &Service, TimePoint Now);
 
 private:
   bool takeRight(TimePoint Now);
@@ -90,9 +90,9 @@
   const std::string Name;
   const std::string Hall;
   const FleetRuntimeSlot &Fleet;
-  RequestGuard &Guard;
-  OrganisationGate &Organisations;
-  ServerNoticeBoard &Notices;
+  RequestQuarantine &Guard;
+  OrganisationQuotas &Organisations;
+  ServerNoticeTable &Notices;
   CounterTable &Counters;
   const PeerLink::Handler Heard;
   std::atomic<bool> IsWatching{false};
--- a/lib/Daemon/RepeatLoans.cpp
+++ b/lib/Daemon/RepeatLoans.cpp
@@ -68,7 +68,8 @@
     if (!IsAnswered)
       this->QuietUntil[Loan.Service] = Now + QuietTime;
   }
-  const bool IsTaken = IsAnswered && Service.tryRepeatUnrun(readSteadyClock());
+  const bool IsTaken =
+      IsAnswered && Service.tryTakeNotRunRetry(readSteadyClock());
   this->Counters.add(IsTaken ? Counter::RepeatsBorrowed
                              : Counter::RepeatsAskedInVain);
   return IsTaken;
@@ -81,7 +82,7 @@
     if (Found == this->Open.end() ||
         Found->second.Service->getId() != Loan.Service)
       return;
-    Found->second.Service->borrowRepeat(Found->second.AskedAt + LoanLife);
+    Found->second.Service->borrowRetry(Found->second.AskedAt + LoanLife);
     Found->second.IsAnswered = true;
   }
   this->Answered.notify_all();
--- a/lib/Daemon/SuspectAgent.cpp
+++ b/lib/Daemon/SuspectAgent.cpp
@@ -33,17 +33,17 @@
 static constexpr Duration ReadInterval = fromSeconds(5);
 
 SuspectAgent::SuspectAgent(const ControlContext &Context,
-                           MembershipAgent &Members, RequestGuard &Guard)
+                           MembershipAgent &Members, RequestQuarantine &Guard)
     : Context(Context), Members(Members), Guard(Guard),
       Book(
           Guard, [this] { return this->readPage(); },
           [this](const std::string &Text, const StorePosition &Expected) {
             return this->writePage(Text, Expected);
           }) {
-  Guard.setNewsListener([this](const SuspectNews &News, TimePoint Now) {
+  Guard.setUpdateListener([this](const SuspectNews &News, TimePoint Now) {
     this->spread(News, Now);
   });
-  Guard.setTryClaim([this](const SuspectRecord &Record) {
+  Guard.setProbeClaim([this](const SuspectRecord &Record) {
     return this->Book.claimTry(Record, readInstant());
   });
 }
@@ -103,7 +103,7 @@
   if (!Report)
     return makeCallError(Report.error());
   const SuspectNews Taken =
-      this->Guard.takeNews(readReport(Report.value(), Now), Now);
+      this->Guard.mergeUpdate(readReport(Report.value(), Now), Now);
   if (!Taken.isEmpty())
     this->spread(Taken, Now);
   return Json::Value(Json::objectValue);
@@ -117,7 +117,7 @@
 void SuspectAgent::readNews(const Json::Value &Message, TimePoint Now) {
   const Result<SuspectReport> Report = decodeSuspects(Message);
   if (Report)
-    (void)this->Guard.takeNews(readReport(Report.value(), Now), Now);
+    (void)this->Guard.mergeUpdate(readReport(Report.value(), Now), Now);
   else
     logWarning("peer-message-refused", "what={:?}", Report.error().Message);
 }
--- a/lib/Proxy/FleetRuntime.cpp
+++ b/lib/Proxy/FleetRuntime.cpp
@@ -22,7 +22,7 @@
     ServiceRuntimeRef Old;
     if (Previous)
       Old = Previous->findService(Service.Name);
-    if (Old && Old->isFor(Service, Identity))
+    if (Old && Old->matchesConfig(Service, Identity))
       this->Services.push_back(Old);
     else
       this->Services.emplace_back(
@@ -37,7 +37,7 @@
   return nullptr;
 }
 
-void FleetRuntime::boundConnections(ConnectionPool &Pool) const {
+void FleetRuntime::limitConnections(ConnectionPool &Pool) const {
   for (const ServiceRuntimeRef &Service : this->Services)
     for (size_t I = 0; I < Service->countServers(); ++I)
       Pool.setBound(Service->getServer(I).Address,
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "RequestFlow.h"
-#include "canvaswick/Proxy/NoticeReader.h"
+#include "RequestContext.h"
+#include "canvaswick/Proxy/ServerNoticeParser.h"
 #include "canvaswick/Support/Text.h"
 
 #include <fmt/format.h>
@@ -32,7 +32,7 @@
 static constexpr size_t MaxUnreachable = 4;
 
 /// Notes what came of an attempt for the log.
-void RequestProxy::addToTrail(Flow &Request, const Attempt &Ended,
+void RequestProxy::addToTrail(RequestContext &Request, const Attempt &Ended,
                               RequestOutcome Outcome, Duration Took) {
   Request.Trail +=
       fmt::format("{}{}:{}:{}ms:share={:.3f}:sick={:.3f}:load={:.1f}{}",
@@ -45,8 +45,9 @@
 
 /// Returns whether another attempt may begin, by the route's attempts, by the
 /// connections that did not come about, and by the time that is left.
-bool RequestProxy::hasTryLeft(const Flow &Request, const AnswerRelay &Relay,
-                              size_t Unreachable, TimePoint Now) const {
+bool RequestProxy::hasAttemptLeft(const RequestContext &Request,
+                                  const ResponseRelay &Relay,
+                                  size_t Unreachable, TimePoint Now) const {
   if (Request.Tries >= this->getMaxAttempts(Request) ||
       Unreachable >= MaxUnreachable)
     return false;
@@ -68,45 +69,47 @@
 
 /// Returns whether servers have ended under the request too often, also
 /// elsewhere and since it began.
-bool RequestProxy::isHeldBackNow(Flow &Request, TimePoint Now) const {
+bool RequestProxy::isHeldBackNow(RequestContext &Request, TimePoint Now) const {
   Request.IsHeldBack =
-      !Request.HasTry && this->Guard.isHeldBack(Request.Digest, Now);
+      !Request.HasTry && this->Quarantine.isQuarantined(Request.Digest, Now);
   if (Request.IsHeldBack)
-    Request.HeldWait = this->Guard.getWait(Request.Digest, Now);
+    Request.HeldWait = this->Quarantine.getWait(Request.Digest, Now);
   return Request.IsHeldBack;
 }
 
 /// Tells the guard what came of an attempt. Returns what it shows of the
 /// server: nothing if other servers have ended under the request too. Charged
 /// to the server, the end would look like a spell, and fewer would be used.
-RequestOutcome RequestProxy::tellGuard(Flow &Request, const Attempt &Ended,
+RequestOutcome RequestProxy::tellGuard(RequestContext &Request,
+                                       const Attempt &Ended,
                                        RequestOutcome Outcome, TimePoint Now) {
   if (Outcome != RequestOutcome::Unreachable)
     Request.HasTry = false;
   if (Request.IsAnswered && !Request.WasFailed)
-    this->Guard.noteAnswer(Request.Digest, Now);
+    this->Quarantine.recordAnswer(Request.Digest, Now);
   const ServerConfig &Server = Request.Service->getServer(Ended.Server);
   // One that is leaving ends in any case.
   if (!Ended.WasCutOff || Server.State == ServerState::Draining)
     return Outcome;
   const EndedServer Id =
       getServerId(Request.Service->getConfig().Name, Server.Name);
-  this->Guard.noteEnd({Request.Digest, Id, Ended.Began, Now, 0}, Now);
-  return this->Guard.isSuspect(Request.Digest, Id) ? RequestOutcome::Canceled
-                                                   : Outcome;
+  this->Quarantine.noteEnd({Request.Digest, Id, Ended.Began, Now, 0}, Now);
+  return this->Quarantine.isSuspect(Request.Digest, Id)
+             ? RequestOutcome::Canceled
+             : Outcome;
 }
 
-void RequestProxy::runAttempts(Flow &Request, AnswerRelay &Relay) {
+void RequestProxy::runAttempts(RequestContext &Request, ResponseRelay &Relay) {
   AttemptNeeds &Needs = Request.Needs;
   Needs.Class = Request.Route->Class;
   Needs.Route = Request.Route->Name;
   Needs.Deadline = Request.Deadline;
   Needs.Objective = getObjective(*Request.Route, Request.Service->getConfig());
-  Needs.Aim = Request.Began + Needs.Objective;
+  Needs.ObjectiveDeadline = Request.Began + Needs.Objective;
   size_t Unreachable = 0;
   while (true) {
     const TimePoint Now = readSteadyClock();
-    if (!this->hasTryLeft(Request, Relay, Unreachable, Now))
+    if (!this->hasAttemptLeft(Request, Relay, Unreachable, Now))
       break;
     if (Request.Exchange.Stream.isPeerGone() && !Request.HasClaim) {
       Request.WasCanceled = true;
@@ -114,17 +117,17 @@
     }
     if (!Relay.hasBegun() && this->isHeldBackNow(Request, Now))
       break;
-    Needs.IsLast = !mayRepeat(*Request.Route) ||
+    Needs.IsLast = !isRetryable(*Request.Route) ||
                    Request.Tries + 1 >= this->getMaxAttempts(Request) ||
-                   !Request.Service->hasRepeat(Now);
+                   !Request.Service->hasRetry(Now);
     Attempt Current;
     if (!Request.Service->begin(Current, Needs, Now)) {
       Request.HasNoServer = Needs.Tried.empty();
       break;
     }
-    this->Counters.add(Counter::ServersLeftOut, Current.LeftOut);
+    this->Counters.add(Counter::ServersLeftOut, Current.ExcludedServers);
     this->tellChange(Now);
-    const RequestOutcome Outcome = this->tryOnce(Request, Relay, Current);
+    const RequestOutcome Outcome = this->runAttempt(Request, Relay, Current);
     Current.Load = Relay.getLoad();
     const TimePoint End = readSteadyClock();
     Request.Service->end(Current,
@@ -138,20 +141,20 @@
       ++Request.Tries;
     // A right to a repeat is taken only where there is a try left to use it.
     if (Request.IsAnswered || Request.WasCanceled ||
-        !this->hasTryLeft(Request, Relay, Unreachable, End) ||
-        !this->mayTryAgain(Request, Relay))
+        !this->hasAttemptLeft(Request, Relay, Unreachable, End) ||
+        !this->mayRetry(Request, Relay))
       break;
     this->Counters.add(Relay.hasBegun() ? Counter::ResumedAnswers
                                         : Counter::Repeats);
   }
   if (Request.HasTry)
-    this->Guard.returnTry(Request.Digest);
+    this->Quarantine.returnTry(Request.Digest);
 }
 
 /// Returns whether a header of the caller is replaced by one of ours, or is for
 /// this daemon only. HasKeys: callers show keys, which no server may see. The
 /// four in capitals are the HTTP library's own notes.
-static bool isOwnHeader(const std::string &Name, const HeaderDialect &Names,
+static bool isOwnHeader(const std::string &Name, const HeaderNames &Names,
                         bool HasKeys) {
   return (HasKeys && equalsIgnoringCase(Name, Names.Key)) ||
          equalsIgnoringCase(Name, Names.Organisation) ||
@@ -164,10 +167,11 @@
 }
 
 /// Adds what a server should know of the request besides the caller's headers.
-void RequestProxy::addServerHeaders(Flow &Request, const ServerConfig &Server,
+void RequestProxy::addServerHeaders(RequestContext &Request,
+                                    const ServerConfig &Server,
                                     const std::string &RequestId,
                                     OutgoingRequest &Outgoing) const {
-  const HeaderDialect &Names = this->Options.Headers;
+  const HeaderNames &Names = this->Options.Headers;
   const Duration Left = Request.Deadline - readSteadyClock();
   Outgoing.Headers.emplace(
       Names.Deadline, fmt::format("{}", std::max<int64_t>(1, toMillis(Left))));
@@ -183,7 +187,7 @@
 }
 
 OutgoingRequest
-RequestProxy::buildOutgoing(Flow &Request, const AnswerRelay &Relay,
+RequestProxy::buildOutgoing(RequestContext &Request, const ResponseRelay &Relay,
                             const ServerConfig &Server,
                             const std::string &RequestId) const {
   const httplib::Request &Caller = Request.Exchange.Request;
@@ -193,14 +197,14 @@
   const bool HasKeys = Request.Fleet->getConfig().Organisations->needsKeys();
   for (const auto &[Name, Value] : Caller.headers)
     if (!isOwnHeader(Name, this->Options.Headers, HasKeys) &&
-        !isConnectionHeader(Name, Caller.headers))
+        !isHopByHopHeader(Name, Caller.headers))
       Outgoing.Headers.emplace(Name, Value);
   this->addServerHeaders(Request, Server, RequestId, Outgoing);
   Outgoing.Life = Server.Name;
   Outgoing.ConnectLimit = fromMillis(this->Options.ConnectMs);
   Outgoing.WantsFreshConnection =
-      this->Options.HasFreshConnections && !mayRepeat(*Request.Route);
-  Outgoing.MayEndWithConnection = this->Options.HeldAnswerBytes > 0;
+      this->Options.UsesFreshConnections && !isRetryable(*Request.Route);
+  Outgoing.MayEndWithConnection = this->Options.MaxBufferedResponseBytes > 0;
   Relay.addResumeHeaders(Outgoing.Headers);
   Outgoing.StallLimit = fromMillis(Request.Service->getConfig().StallMs);
   if (Request.HasOwnDeadline)
@@ -212,14 +216,14 @@
 }
 
 /// Returns what may be held back, set aside or kept of an attempt's answer.
-RelayRules RequestProxy::makeRelayRules(const Flow &Request) const {
-  RelayRules Rules;
+RelayOptions RequestProxy::makeRelayRules(const RequestContext &Request) const {
+  RelayOptions Rules;
   // The second server's own words are worth more than a general failure.
-  Rules.MaySetAsideFailure =
-      mayRepeat(*Request.Route) && Request.IsBodyWhole && Request.Tries == 0;
-  Rules.HeldBytes = this->Options.HeldAnswerBytes;
-  Rules.KeepBytes = Request.HasClaim ? KeptAnswerBytes : 0;
-  Rules.GoesOnWithoutCaller = Request.HasClaim;
+  Rules.MayDiscardFailure =
+      isRetryable(*Request.Route) && Request.IsBodyWhole && Request.Tries == 0;
+  Rules.MaxBufferedBytes = this->Options.MaxBufferedResponseBytes;
+  Rules.MaxCopiedBytes = Request.HasClaim ? KeptAnswerBytes : 0;
+  Rules.ContinuesWithoutCaller = Request.HasClaim;
   return Rules;
 }
 
@@ -229,9 +233,9 @@
     return Counter::LimitsHeard;
   case NoticeKind::Leaving:
     return Counter::LeavingsHeard;
-  case NoticeKind::Rest:
+  case NoticeKind::Backoff:
     return Counter::RestsHeard;
-  case NoticeKind::Misread:
+  case NoticeKind::Malformed:
     return Counter::NoticesMisread;
   }
   assert(false && "notice without a counter");
@@ -241,26 +245,28 @@
 /// Takes what an answer says of its server, before anything is passed on. One
 /// to another request may be old, and one that names another server is not of
 /// this one.
-void RequestProxy::hearServer(const Flow &Request, Attempt &Current,
-                              const std::string &RequestId,
-                              const httplib::Response &Response) {
-  const HeaderDialect &Names = this->Options.Headers;
+void RequestProxy::handleServerNotice(const RequestContext &Request,
+                                      Attempt &Current,
+                                      const std::string &RequestId,
+                                      const httplib::Response &Response) {
+  const HeaderNames &Names = this->Options.Headers;
   const std::string Echo = Response.get_header_value(Names.RequestId);
   if ((!Echo.empty() && Echo != RequestId) ||
       Response.status == MisdirectedStatus)
     return;
   const ServerNotice Notice =
-      readServerNotice(Response, Names, readCalendarMillis());
+      parseServerNotice(Response, Names, readCalendarMillis());
   for (const NoticeChange &Each :
-       Request.Service->noteNotice(Current, Notice, readSteadyClock())) {
+       Request.Service->handleNotice(Current, Notice, readSteadyClock())) {
     if (Each.Step != NoticeStep::Ended)
       this->Counters.add(getCounter(Each.Kind));
-    logNotice(Each, RequestId);
+    logNoticeChange(Each, RequestId);
   }
 }
 
-RequestOutcome RequestProxy::tryOnce(Flow &Request, AnswerRelay &Relay,
-                                     Attempt &Current) {
+RequestOutcome RequestProxy::runAttempt(RequestContext &Request,
+                                        ResponseRelay &Relay,
+                                        Attempt &Current) {
   const std::string RequestId =
       this->Options.Headers.PassesCallerId
           ? Request.CallerId
@@ -268,12 +274,12 @@
   Relay.setRules(this->makeRelayRules(Request));
   Relay.beginAttempt(RequestId);
   const AnswerSink Sink{[&](const httplib::Response &Response) {
-                          this->hearServer(Request, Current, RequestId,
-                                           Response);
-                          return Relay.takeHead(Response);
+                          this->handleServerNotice(Request, Current, RequestId,
+                                                   Response);
+                          return Relay.handleHead(Response);
                         },
                         [&Relay](const char *Data, size_t Size) {
-                          return Relay.takeBody(Data, Size);
+                          return Relay.handleBody(Data, Size);
                         }};
   const ServerConfig &Server = Request.Service->getServer(Current.Server);
   OutgoingRequest Outgoing =
@@ -291,8 +297,8 @@
   const int HangUp = MayCancel ? Request.Exchange.Stream.socket() : -1;
   const ExchangeResult Result = this->Upstreams.exchange(
       Server.Address, Outgoing, Deadline, HangUp, &Sink);
-  const RequestOutcome Outcome = this->judge(Request, Relay, Result);
-  Current.WasGivenUp = Result.End == ExchangeEnd::Timeout;
+  const RequestOutcome Outcome = this->classifyExchange(Request, Relay, Result);
+  Current.WasTimedOut = Result.End == ExchangeEnd::Timeout;
   Current.WasCutOff =
       Result.End == ExchangeEnd::Broken && Result.BytesReceived == 0;
   // One that ran out of patience is no more than late.
@@ -301,26 +307,27 @@
 }
 
 /// Judges a whole answer.
-RequestOutcome RequestProxy::judgeAnswer(Flow &Request,
-                                         const AnswerRelay &Relay) {
+RequestOutcome RequestProxy::classifyResponse(RequestContext &Request,
+                                              const ResponseRelay &Relay) {
   switch (Relay.getVerdict()) {
-  case AnswerVerdict::NotRun:
+  case ResponseVerdict::NotRun:
     this->Counters.add(Counter::UpstreamSheds);
     // Another server has taken over the address: this one is not there.
     return Relay.getStatus() == MisdirectedStatus ? RequestOutcome::Unreachable
                                                   : RequestOutcome::Shed;
-  case AnswerVerdict::Relayed:
+  case ResponseVerdict::Relayed:
     Request.IsAnswered = true;
     Request.WasFailed = Relay.getStatus() >= 500;
     break;
-  case AnswerVerdict::None:
-  case AnswerVerdict::Failed:
-  case AnswerVerdict::Foreign:
-  case AnswerVerdict::Mismatch:
+  case ResponseVerdict::None:
+  case ResponseVerdict::Failed:
+  case ResponseVerdict::RequestIdMismatch:
+  case ResponseVerdict::ResumeMismatch:
     Request.Outcome = RunOutcome::NotKnown;
     break;
   }
-  if (Relay.getStatus() >= 500 || Relay.getVerdict() == AnswerVerdict::Failed) {
+  if (Relay.getStatus() >= 500 ||
+      Relay.getVerdict() == ResponseVerdict::Failed) {
     this->Counters.add(Counter::UpstreamFailures);
     return RequestOutcome::Failed;
   }
@@ -329,8 +336,9 @@
 
 /// Turns the end of an exchange into evidence about the server, and into what
 /// the caller may be told.
-RequestOutcome RequestProxy::judge(Flow &Request, const AnswerRelay &Relay,
-                                   const ExchangeResult &Result) {
+RequestOutcome RequestProxy::classifyExchange(RequestContext &Request,
+                                              const ResponseRelay &Relay,
+                                              const ExchangeResult &Result) {
   Request.WasFailed = true;
   Request.WasTimeout = Result.End == ExchangeEnd::Timeout;
   if (Result.End != ExchangeEnd::NoConnection &&
@@ -351,12 +359,12 @@
     break;
   }
   if (Result.End == ExchangeEnd::Canceled &&
-      Relay.getVerdict() == AnswerVerdict::Foreign) {
+      Relay.getVerdict() == ResponseVerdict::RequestIdMismatch) {
     this->Counters.add(Counter::ForeignAnswers);
     return RequestOutcome::Failed;
   }
   if (Result.End == ExchangeEnd::Canceled &&
-      Relay.getVerdict() == AnswerVerdict::Mismatch)
+      Relay.getVerdict() == ResponseVerdict::ResumeMismatch)
     return RequestOutcome::Canceled;
   if (Result.End == ExchangeEnd::Canceled || Request.IsBodyBroken) {
     Request.WasCanceled = true;
@@ -367,7 +375,7 @@
     this->Counters.add(Counter::UpstreamFailures);
     return RequestOutcome::Failed;
   }
-  return this->judgeAnswer(Request, Relay);
+  return this->classifyResponse(Request, Relay);
 }
 
 } // namespace canvaswick
--- a/lib/Proxy/RequestBody.cpp
+++ b/lib/Proxy/RequestBody.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "RequestFlow.h"
+#include "RequestContext.h"
 
 #include <algorithm>
 #include <limits>
@@ -31,7 +31,8 @@
           Request.get_header_value("Content-Length") != "0");
 }
 
-void RequestProxy::refuseBody(Flow &Request, int Status, const char *Reason) {
+void RequestProxy::refuseBody(RequestContext &Request, int Status,
+                              const char *Reason) {
   this->refuse(Request.Exchange, Status, RunOutcome::NotRun, Reason, NoWait);
   Request.Exchange.MustClose = true;
   Request.IsAnswered = true;
@@ -40,7 +41,7 @@
 
 /// Takes a body off the wire, so that it can be sent again. Returns false if
 /// the request was refused: it is longer than Limit, or was cut.
-bool RequestProxy::collectBody(Flow &Request, uint64_t Limit) {
+bool RequestProxy::collectBody(RequestContext &Request, uint64_t Limit) {
   bool IsTooLong = false;
   Request.Exchange.Stream.setDeadline(Request.Deadline);
   const bool IsRead =
@@ -61,7 +62,7 @@
 /// Takes the digest of a request whose body has been read as far as it is kept.
 /// A body that is passed on as it comes counts by its stated length: it has not
 /// been seen when the first server gets it.
-void RequestProxy::digest(Flow &Request) const {
+void RequestProxy::digest(RequestContext &Request) const {
   const httplib::Request &Caller = Request.Exchange.Request;
   const std::string Unseen = Caller.get_header_value("Content-Length");
   Request.Digest = digestRequest({Request.Organisation, Caller.method,
@@ -71,9 +72,9 @@
 
 /// Keeps a short body; a long one stays on the wire and is streamed. Returns
 /// false if the request was refused.
-bool RequestProxy::readBody(Flow &Request) {
+bool RequestProxy::readBody(RequestContext &Request) {
   const httplib::Request &Caller = Request.Exchange.Request;
-  if (!mayRepeat(*Request.Route))
+  if (!isRetryable(*Request.Route))
     Request.Key = Caller.get_header_value(IdempotencyHeader);
   if (!hasBody(Caller) || !Request.Exchange.Body)
     return true;
@@ -84,9 +85,9 @@
     this->refuseBody(Request, 413, "body-too-long");
     return false;
   }
-  if (IsChunked && this->Options.CollectedBodyBytes > 0)
+  if (IsChunked && this->Options.MaxBufferedBodyBytes > 0)
     return this->collectBody(
-        Request, std::min<uint64_t>(Limit, this->Options.CollectedBodyBytes));
+        Request, std::min<uint64_t>(Limit, this->Options.MaxBufferedBodyBytes));
   const size_t Keep = Request.Key.empty() ? KeptBodyBytes : KeyedBodyBytes;
   if (IsChunked || getBodyLength(Caller) > Keep) {
     Request.IsBodyWhole = false;
@@ -97,7 +98,8 @@
 }
 
 /// Passes the caller's body on while it arrives.
-void RequestProxy::streamBody(Flow &Request, OutgoingRequest &Outgoing) const {
+void RequestProxy::streamBody(RequestContext &Request,
+                              OutgoingRequest &Outgoing) const {
   const httplib::Request &Caller = Request.Exchange.Request;
   const uint64_t Limit =
       static_cast<uint64_t>(Request.Service->getConfig().MaxBodyBytes);
--- a/lib/Proxy/RequestClaims.cpp
+++ b/lib/Proxy/RequestClaims.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "RequestFlow.h"
+#include "RequestContext.h"
 #include "canvaswick/Support/Hash.h"
 
 namespace canvaswick {
@@ -63,7 +63,7 @@
 }
 
 /// Asks the claims about a keyed request. Without claims none is granted.
-ClaimVerdict RequestProxy::beginClaim(Flow &Request) {
+ClaimVerdict RequestProxy::beginClaim(RequestContext &Request) {
   if (!this->Claims)
     return {};
   // The stored key says nothing about the caller to who reads the store.
@@ -77,7 +77,7 @@
 
 /// Asks for the right to run a keyed request of the class once. Returns false
 /// if the request has been answered instead.
-bool RequestProxy::claim(Flow &Request) {
+bool RequestProxy::claim(RequestContext &Request) {
   if (Request.Key.empty())
     return true;
   if (!Request.IsBodyWhole &&
@@ -103,7 +103,8 @@
 }
 
 /// Answers a request whose claim was not granted.
-void RequestProxy::answerFromClaim(Flow &Request, const ClaimVerdict &Verdict) {
+void RequestProxy::answerFromClaim(RequestContext &Request,
+                                   const ClaimVerdict &Verdict) {
   httplib::Response &Response = Request.Exchange.Response;
   const bool IsRefused = Verdict.Kind == ClaimKind::Unavailable ||
                          Verdict.Kind == ClaimKind::Different;
@@ -122,18 +123,19 @@
 }
 
 /// Tells the claims how a request ended that held one.
-void RequestProxy::settleClaim(Flow &Request, const AnswerRelay &Relay) {
+void RequestProxy::resolveClaim(RequestContext &Request,
+                                const ResponseRelay &Relay) {
   if (!Request.HasClaim)
     return;
   FirstAnswer Answer;
   ClaimEnd End = ClaimEnd::NotKnown;
-  const KeptAnswer &Kept = Relay.getKept();
+  const ResponseCopy &Kept = Relay.getCopy();
   if (Request.IsAnswered) {
     End = ClaimEnd::Ran;
     Answer.Status = Kept.Status;
     Answer.ContentType = Kept.ContentType;
     Answer.Body = Kept.Body;
-    Answer.HasBody = Relay.hasWholeCopy();
+    Answer.HasBody = Relay.hasCompleteCopy();
   } else if (Request.Outcome == RunOutcome::NotRun) {
     End = ClaimEnd::NotRun;
   }
--- a/lib/Proxy/RequestFlow.h
+++ b/lib/Proxy/RequestContext.h
@@ -1,4 +1,4 @@
-//===- RequestFlow.h - One request on its way through the proxy -*- C++ -*-===//
+//===- RequestContext.h - One request on its way through the ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_LIB_PROXY_REQUESTFLOW_H
-#define CANVASWICK_LIB_PROXY_REQUESTFLOW_H
+#ifndef CANVASWICK_LIB_PROXY_REQUESTCONTEXT_H
+#define CANVASWICK_LIB_PROXY_REQUESTCONTEXT_H
 
 #include "canvaswick/Admission/RequestDigest.h"
 #include "canvaswick/Proxy/RequestProxy.h"
@@ -26,8 +26,8 @@
 inline constexpr Duration NoWait = Duration::zero();
 
 /// One request on its way.
-struct RequestProxy::Flow {
-  explicit Flow(HttpExchange &Exchange) : Exchange(Exchange) {}
+struct RequestProxy::RequestContext {
+  explicit RequestContext(HttpExchange &Exchange) : Exchange(Exchange) {}
 
   HttpExchange &Exchange;
   TimePoint Began{};
@@ -81,7 +81,7 @@
 };
 
 /// Returns whether a request of a route may be run more than once.
-inline bool mayRepeat(const RouteConfig &Route) {
+inline bool isRetryable(const RouteConfig &Route) {
   return Route.Class != RouteClass::Once;
 }
 
@@ -93,4 +93,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_LIB_PROXY_REQUESTFLOW_H
+#endif // CANVASWICK_LIB_PROXY_REQUESTCONTEXT_H
--- a/lib/Proxy/RequestOrganisation.cpp
+++ b/lib/Proxy/RequestOrganisation.cpp
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "RequestFlow.h"
+#include "RequestContext.h"
 #include "canvaswick/Support/Log.h"
 #include "canvaswick/Support/Text.h"
 
@@ -45,7 +45,7 @@
 /// Returns the digest of the one key that a caller shows, or nothing: several
 /// might be read as different ones by different readers.
 static std::optional<KeyDigest> readKey(const httplib::Request &Request,
-                                        const HeaderDialect &Names) {
+                                        const HeaderNames &Names) {
   const auto [First, Last] = Request.headers.equal_range(Names.Key);
   if (First == Last || std::next(First) != Last)
     return std::nullopt;
@@ -58,7 +58,7 @@
 /// Finds whose request it is. Returns false if it was refused: it must show a
 /// key and shows none that is known. On a public route any caller is served; a
 /// known key makes it its organisation's request there as well.
-bool RequestProxy::findOrganisation(Flow &Request) {
+bool RequestProxy::findOrganisation(RequestContext &Request) {
   const OrganisationDirectory &Directory =
       *Request.Fleet->getConfig().Organisations;
   if (!Directory.needsKeys())
@@ -87,7 +87,7 @@
 /// Returns whether the key that a request was taken by still holds. What is
 /// under way when a key is taken away ends as it would have; nothing more is
 /// begun by it.
-bool RequestProxy::isKeyInForce(const Flow &Request) const {
+bool RequestProxy::isKeyInForce(const RequestContext &Request) const {
   const FleetRuntimeRef Current = this->Fleet.get();
   if (!Request.Member || Current == Request.Fleet)
     return true;
@@ -96,7 +96,7 @@
   return Now && Now->Name == Request.Organisation;
 }
 
-bool RequestProxy::admitOrganisation(Flow &Request) {
+bool RequestProxy::admitOrganisation(RequestContext &Request) {
   const AllowanceAnswer Answer =
       this->Organisations.admit(Request.Organisation, Request.Began);
   Request.IsCounted = Answer.IsAdmitted;
@@ -117,7 +117,7 @@
 
 /// Takes a request that no server has run off its organisation's allowance:
 /// only what runs counts, and its caller comes again.
-void RequestProxy::giveBackUnrun(Flow &Request, TimePoint Now) {
+void RequestProxy::refundIfNotRun(RequestContext &Request, TimePoint Now) {
   const bool HasRun =
       Request.IsAnswered || Request.Outcome != RunOutcome::NotRun;
   if (!HasRun && std::exchange(Request.IsCounted, false))
--- a/lib/Proxy/RequestProxy.cpp
+++ b/lib/Proxy/RequestProxy.cpp
@@ -13,7 +13,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Proxy/RequestProxy.h"
-#include "RequestFlow.h"
+#include "RequestContext.h"
 #include "canvaswick/Support/EnumNames.h"
 #include "canvaswick/Support/Hash.h"
 #include "canvaswick/Support/Log.h"
@@ -52,7 +52,7 @@
                            ClaimGate *Claims, ProxyOptions Options)
     : DaemonName(std::move(DaemonName)), Fleet(Fleet), Upstreams(Upstreams),
       Counters(Counters), Claims(Claims), Options(std::move(Options)),
-      Guard(Counters), Started(readSteadyClock()),
+      Quarantine(Counters), Started(readSteadyClock()),
       Organisations(this->Options.Allowances, this->Started,
                     drawFraction(this->DaemonName)) {}
 
@@ -97,7 +97,7 @@
 }
 
 /// Finds the route of a request. Returns false if the request was refused.
-bool RequestProxy::findRoute(Flow &Request) {
+bool RequestProxy::findRoute(RequestContext &Request) {
   HttpExchange &Exchange = Request.Exchange;
   if (!Request.Fleet) {
     this->refuse(Exchange, 503, RunOutcome::NotRun, "no-settings",
@@ -109,7 +109,7 @@
     return false;
   }
   const std::string &Target = Exchange.Request.target;
-  if (isAmbiguousPath(getPathOfTarget(Target))) {
+  if (isAmbiguousPath(getTargetPath(Target))) {
     this->Counters.add(Counter::RefusedUnknownRoute);
     this->refuse(Exchange, 400, RunOutcome::NotRun, "ambiguous-path", NoWait);
     Exchange.MustClose = true;
@@ -131,7 +131,7 @@
 
 void RequestProxy::handle(HttpExchange &Exchange) {
   this->Counters.add(Counter::Requests);
-  Flow Request(Exchange);
+  RequestContext Request(Exchange);
   Request.Began = readSteadyClock();
   Exchange.Stream.setDeadline(TimePoint::max());
   Exchange.Stream.setStallLimit(CallerStallLimit);
@@ -145,13 +145,13 @@
       Exchange.Request.get_header_value(this->Options.Headers.Deadline),
       *Request.Route, Request.Service->getConfig(), Request.Began,
       Request.HasOwnDeadline);
-  if (this->boundByStop(Request) && this->admitOrganisation(Request))
+  if (this->applyStopDeadline(Request) && this->admitOrganisation(Request))
     this->serve(Request);
 }
 
 /// Ends the request's time with the daemon's. Returns false if it was refused
 /// for that: begun, it might have to be broken off.
-bool RequestProxy::boundByStop(Flow &Request) {
+bool RequestProxy::applyStopDeadline(RequestContext &Request) {
   const TimePoint Until = this->StopUntil;
   if (Request.Deadline <= Until)
     return true;
@@ -159,7 +159,7 @@
   if (!this->HasEndedTaking)
     return true;
   this->refuseUnadmitted(Request, Refusal::Stopping,
-                         fromMillis(this->Options.RefusedWaitMs));
+                         fromMillis(this->Options.DefaultRetryAfterMs));
   return false;
 }
 
@@ -207,14 +207,14 @@
 }
 
 /// Gives the final answer of a request that its service does not admit.
-void RequestProxy::refuseUnadmitted(Flow &Request, Refusal Refused,
+void RequestProxy::refuseUnadmitted(RequestContext &Request, Refusal Refused,
                                     Duration Wait) {
   this->Counters.add(getCounter(Refused));
   const int Status = Refused == Refusal::DeadlineTooShort ? 504 : 503;
   this->refuse(Request.Exchange, Status, RunOutcome::NotRun, getName(Refused),
                Wait);
   Request.Exchange.MustClose = true;
-  this->giveBackUnrun(Request, Request.Began);
+  this->refundIfNotRun(Request, Request.Began);
   Request.Service->getMetrics().add(AnswerKind::Refused, NoWait, NoWait,
                                     Request.Began);
   logInfo("request", "id={} route={} outcome=not-run reason={} left-ms={}",
@@ -224,10 +224,10 @@
 
 /// Asks whether servers have ended under the request too often. Returns false
 /// if it is held back.
-bool RequestProxy::passGuard(Flow &Request) {
-  const GuardAnswer Answer =
-      this->Guard.admit(Request.Digest, readSteadyClock());
-  Request.HasTry = Answer.IsTry;
+bool RequestProxy::passGuard(RequestContext &Request) {
+  const QuarantineDecision Answer =
+      this->Quarantine.admit(Request.Digest, readSteadyClock());
+  Request.HasTry = Answer.IsProbe;
   Request.IsHeldBack = !Answer.MaySend;
   Request.HeldWait = Answer.Wait;
   return Answer.MaySend;
@@ -241,15 +241,15 @@
 
 /// Refuses a request that no server was sent because too many have ended under
 /// it.
-void RequestProxy::refuseHeldBack(Flow &Request) {
+void RequestProxy::refuseHeldBack(RequestContext &Request) {
   this->Counters.add(Counter::RefusedHeldBack);
   Request.Reason = getName(Refusal::HeldBack);
   this->refuse(Request.Exchange, 503, RunOutcome::NotRun, Request.Reason,
                chooseHeldWait(Request.CallerId, Request.HeldWait));
 }
 
-void RequestProxy::serve(Flow &Request) {
-  Duration Wait = fromMillis(this->Options.RefusedWaitMs);
+void RequestProxy::serve(RequestContext &Request) {
+  Duration Wait = fromMillis(this->Options.DefaultRetryAfterMs);
   const Refusal Refused = Request.Service->admit(
       Request.Route->Name, Request.Deadline - Request.Began, Request.Began,
       Wait);
@@ -259,26 +259,26 @@
     this->refuseUnadmitted(Request, Refused, Wait);
     return;
   }
-  RelayRules Rules;
-  AnswerRelay Relay(Request.Exchange, this->Options.Headers, Rules);
+  RelayOptions Rules;
+  ResponseRelay Relay(Request.Exchange, this->Options.Headers, Rules);
   const bool IsRead = this->readBody(Request);
   this->digest(Request);
   if (IsRead && this->passGuard(Request) && this->claim(Request)) {
     this->runAttempts(Request, Relay);
-    this->settleClaim(Request, Relay);
+    this->resolveClaim(Request, Relay);
   }
   this->finish(Request, Relay);
 }
 
 /// Gives the final answer of a request that no server has answered.
-void RequestProxy::refuseUnserved(Flow &Request) {
+void RequestProxy::refuseUnserved(RequestContext &Request) {
   if (Request.IsHeldBack && !Request.WasSent) {
     this->refuseHeldBack(Request);
     return;
   }
   const Duration Wait = Request.IsHeldBack
                             ? chooseHeldWait(Request.CallerId, Request.HeldWait)
-                            : fromMillis(this->Options.RefusedWaitMs);
+                            : fromMillis(this->Options.DefaultRetryAfterMs);
   if (Request.HasNoServer) {
     this->Counters.add(Counter::RefusedNoServer);
     Request.Reason = getName(Refusal::NoServer);
@@ -289,12 +289,12 @@
   Request.Reason = Request.WasTimeout ? "deadline" : "server-failed";
   int Status = Request.WasTimeout ? 504 : 502;
   if (Request.Outcome == RunOutcome::NotRun)
-    Status = this->Options.UnrunStatus;
+    Status = this->Options.NotRunStatus;
   this->refuse(Request.Exchange, Status, Request.Outcome, Request.Reason, Wait);
 }
 
-void RequestProxy::logEnd(const Flow &Request, const AnswerRelay &Relay,
-                          TimePoint Now) {
+void RequestProxy::logEnd(const RequestContext &Request,
+                          const ResponseRelay &Relay, TimePoint Now) {
   const bool IsRelayed = Request.IsAnswered && Request.Tries > 0;
   logInfo("request",
           "id={} caller={} organisation={:?} asks={:016x} route={} service={} "
@@ -313,7 +313,7 @@
 }
 
 /// Gives the final answer if none was given, and counts the request.
-void RequestProxy::finish(Flow &Request, AnswerRelay &Relay) {
+void RequestProxy::finish(RequestContext &Request, ResponseRelay &Relay) {
   const TimePoint Now = readSteadyClock();
   AnswerKind Kind = AnswerKind::Good;
   Relay.finish(Request.IsAnswered);
@@ -334,7 +334,7 @@
   }
   if (Kind == AnswerKind::Good)
     this->Counters.add(Counter::Answered);
-  this->giveBackUnrun(Request, Now);
+  this->refundIfNotRun(Request, Now);
   this->logEnd(Request, Relay, Now);
   Request.Service->finish(Kind, Now - Request.Began, Now);
 }
--- a/lib/Proxy/RequestGuard.cpp
+++ b/lib/Proxy/RequestQuarantine.cpp
@@ -1,4 +1,4 @@
-//===- RequestGuard.cpp - Keeps fatal requests away from servers ----------===//
+//===- RequestQuarantine.cpp - Keeps fatal requests away from servers -----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Proxy/RequestGuard.h"
+#include "canvaswick/Proxy/RequestQuarantine.h"
 #include "canvaswick/Support/Log.h"
 
 #include <fmt/format.h>
@@ -32,8 +32,8 @@
 
 /// Logs that a request is held back from now on, or has come free. The caller
 /// holds the mutex.
-void RequestGuard::logChange(RequestDigest Request, bool WasHeld,
-                             TimePoint Now) const {
+void RequestQuarantine::logChange(RequestDigest Request, bool WasHeld,
+                                  TimePoint Now) const {
   const bool IsHeld = this->Table.judge(Request, Now) != SuspectVerdict::Free;
   if (IsHeld == WasHeld)
     return;
@@ -46,8 +46,9 @@
     logInfo("request-freed", "asks={:016x}", Request);
 }
 
-SuspectVerdict RequestGuard::beginAsking(RequestDigest Request, TimePoint Now,
-                                         SuspectRecord &Record) {
+SuspectVerdict RequestQuarantine::beginAsking(RequestDigest Request,
+                                              TimePoint Now,
+                                              SuspectRecord &Record) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const SuspectVerdict Verdict = this->Table.judge(Request, Now);
   if (Verdict != SuspectVerdict::TryDue)
@@ -59,7 +60,7 @@
 }
 
 /// Asks for the try that is due, where records are kept.
-bool RequestGuard::claimTry(const SuspectRecord &Record, TimePoint Now) {
+bool RequestQuarantine::claimTry(const SuspectRecord &Record, TimePoint Now) {
   const bool IsGranted = this->Claim(Record);
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Asking.erase(Record.Request);
@@ -73,7 +74,8 @@
   return true;
 }
 
-GuardAnswer RequestGuard::admit(RequestDigest Request, TimePoint Now) {
+QuarantineDecision RequestQuarantine::admit(RequestDigest Request,
+                                            TimePoint Now) {
   SuspectRecord Record;
   const SuspectVerdict Verdict = this->beginAsking(Request, Now, Record);
   if (Verdict == SuspectVerdict::Free)
@@ -86,27 +88,30 @@
   return {false, false, std::max(LeastWait, this->Table.getWait(Request, Now))};
 }
 
-Duration RequestGuard::getWait(RequestDigest Request, TimePoint Now) const {
+Duration RequestQuarantine::getWait(RequestDigest Request,
+                                    TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return std::max(LeastWait, this->Table.getWait(Request, Now));
 }
 
-bool RequestGuard::isHeldBack(RequestDigest Request, TimePoint Now) const {
+bool RequestQuarantine::isQuarantined(RequestDigest Request,
+                                      TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.judge(Request, Now) != SuspectVerdict::Free;
 }
 
-bool RequestGuard::isSuspect(RequestDigest Request, EndedServer Server) const {
+bool RequestQuarantine::isSuspect(RequestDigest Request,
+                                  EndedServer Server) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.isSuspect(Request, Server);
 }
 
-void RequestGuard::returnTry(RequestDigest Request) {
+void RequestQuarantine::returnTry(RequestDigest Request) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Table.returnTry(Request);
 }
 
-void RequestGuard::noteEnd(RequestEnd End, TimePoint Now) {
+void RequestQuarantine::noteEnd(RequestEnd End, TimePoint Now) {
   this->Counters.add(Counter::UpstreamCutOffs);
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -121,7 +126,7 @@
     this->Listener({{End}, {}}, Now);
 }
 
-void RequestGuard::noteAnswer(RequestDigest Request, TimePoint Now) {
+void RequestQuarantine::recordAnswer(RequestDigest Request, TimePoint Now) {
   const RequestAnswer Answer{Request, Now};
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -137,7 +142,8 @@
     this->Listener({{}, {Answer}}, Now);
 }
 
-SuspectNews RequestGuard::takeNews(const SuspectNews &News, TimePoint Now) {
+SuspectNews RequestQuarantine::mergeUpdate(const SuspectNews &News,
+                                           TimePoint Now) {
   SuspectNews Taken;
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const RequestEnd &End : News.Ends) {
@@ -159,13 +165,13 @@
   return Taken;
 }
 
-SuspectNews RequestGuard::makeNews(size_t MaxRows, TimePoint Now) const {
+SuspectNews RequestQuarantine::makeNews(size_t MaxRows, TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.makeNews(MaxRows, Now);
 }
 
-void RequestGuard::takeRecords(const std::vector<SuspectRecord> &Records,
-                               TimePoint Now) {
+void RequestQuarantine::takeRecords(const std::vector<SuspectRecord> &Records,
+                                    TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const size_t Before = this->Table.countHeld();
   this->Table.takeRecords(Records, Now);
@@ -175,27 +181,27 @@
             After, Before);
 }
 
-void RequestGuard::loseRecords() {
+void RequestQuarantine::loseRecords() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Table.loseRecords();
 }
 
-std::vector<SuspectRecord> RequestGuard::listUnrecorded() const {
+std::vector<SuspectRecord> RequestQuarantine::listUnrecorded() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.listUnrecorded();
 }
 
-std::vector<RequestDigest> RequestGuard::listCleared() const {
+std::vector<RequestDigest> RequestQuarantine::listCleared() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.listCleared();
 }
 
-std::vector<SuspectStatus> RequestGuard::describe() const {
+std::vector<SuspectStatus> RequestQuarantine::describe() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Table.describe();
 }
 
-void RequestGuard::forgetOld(TimePoint Now) {
+void RequestQuarantine::forgetOld(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Table.forgetOld(Now);
 }
--- a/lib/Proxy/RequestRepeats.cpp
+++ b/lib/Proxy/RequestRetries.cpp
@@ -1,4 +1,4 @@
-//===- RequestRepeats.cpp - Whether and when a request goes elsewhere -----===//
+//===- RequestRetries.cpp - Whether and when a request goes elsewhere -----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "RequestFlow.h"
+#include "RequestContext.h"
 
 #include <algorithm>
 #include <utility>
@@ -26,15 +26,15 @@
 /// elsewhere: many times within a usual objective.
 static constexpr Duration PatienceStep = fromMillis(25);
 
-size_t RequestProxy::getMaxAttempts(const Flow &Request) const {
+size_t RequestProxy::getMaxAttempts(const RequestContext &Request) const {
   const auto Asked = static_cast<size_t>(Request.Route->MaxAttempts);
   return Asked > 0 ? std::min(Asked, MaxAttempts) : MaxAttempts;
 }
 
 /// Returns until when an attempt may take. A repeatable request that is slow
 /// is sent elsewhere while that can still help.
-TimePoint RequestProxy::chooseAttemptDeadline(Flow &Request,
-                                              const AnswerRelay &Relay,
+TimePoint RequestProxy::chooseAttemptDeadline(RequestContext &Request,
+                                              const ResponseRelay &Relay,
                                               TimePoint Now,
                                               bool &IsPatience) const {
   IsPatience = false;
@@ -42,12 +42,13 @@
   if (Relay.hasBegun())
     return Now + fromMillis(Request.Service->getConfig().StallMs);
   const bool IsLast = Request.Tries + 1 >= this->getMaxAttempts(Request);
-  if (this->Options.HeldAnswerBytes == 0 || IsLast || !Request.IsBodyWhole ||
-      !mayRepeat(*Request.Route) || !Request.Service->hasRepeat(Now))
+  if (this->Options.MaxBufferedResponseBytes == 0 || IsLast ||
+      !Request.IsBodyWhole || !isRetryable(*Request.Route) ||
+      !Request.Service->hasRetry(Now))
     return Request.Deadline;
   const TimePoint Until =
-      Now + Request.Service->getPatience(Request.Route->Name,
-                                         Request.Needs.Objective);
+      Now + Request.Service->getRetryCheckDelay(Request.Route->Name,
+                                                Request.Needs.Objective);
   IsPatience = Until < Request.Deadline;
   return std::min(Until, Request.Deadline);
 }
@@ -56,14 +57,15 @@
 /// an earlier time to give it up. Nothing is given up without the right to try
 /// elsewhere at hand, and a daemon that is stopping breaks nothing off that a
 /// server works on.
-TimePoint RequestProxy::extendPatience(Flow &Request, const Attempt &Current,
+TimePoint RequestProxy::extendPatience(RequestContext &Request,
+                                       const Attempt &Current,
                                        bool &IsPatience) {
   const TimePoint Now = readSteadyClock();
   const TimePoint Next = Now + PatienceStep;
   if (!this->IsStopping && Next < Request.Deadline) {
-    if (!Request.Service->isBetterElsewhere(Current, Request.Needs, Now))
+    if (!Request.Service->shouldAbandonAttempt(Current, Request.Needs, Now))
       return Next;
-    Request.HasRepeatRight = this->takeRepeat(*Request.Service, false, Now);
+    Request.HasRepeatRight = this->takeRetry(*Request.Service, false, Now);
     if (Request.HasRepeatRight)
       return TimePoint{};
   }
@@ -73,19 +75,20 @@
 
 /// Takes the right to a repeat: this daemon's own, or one that a peer lends.
 /// IsUnrun: the server declined to run the request.
-bool RequestProxy::takeRepeat(ServiceRuntime &Service, bool IsUnrun,
-                              TimePoint Now) {
+bool RequestProxy::takeRetry(ServiceRuntime &Service, bool IsUnrun,
+                             TimePoint Now) {
   const bool IsOwn =
-      IsUnrun ? Service.tryRepeatUnrun(Now) : Service.tryRepeat(Now);
-  return IsOwn || (this->Borrow && Service.hasFleetRepeats() &&
+      IsUnrun ? Service.tryTakeNotRunRetry(Now) : Service.tryTakeRetry(Now);
+  return IsOwn || (this->Borrow && Service.hasFleetRetryBudget() &&
                    this->Borrow(Service, Now));
 }
 
 /// Decides whether another server may be tried after a failure.
-bool RequestProxy::mayTryAgain(Flow &Request, const AnswerRelay &Relay) {
+bool RequestProxy::mayRetry(RequestContext &Request,
+                            const ResponseRelay &Relay) {
   if (Relay.hasBegun())
     return Relay.canResume() && this->isKeyInForce(Request) &&
-           this->takeRepeat(*Request.Service, false, readSteadyClock());
+           this->takeRetry(*Request.Service, false, readSteadyClock());
   if (Request.WasBodySent || !this->isKeyInForce(Request))
     return false;
   if (std::exchange(Request.HasRepeatRight, false))
@@ -94,10 +97,10 @@
   // sent is no repeat.
   if (Request.Outcome == RunOutcome::NotRun)
     return !Request.WasSent ||
-           this->takeRepeat(*Request.Service, true, readSteadyClock());
-  if (!mayRepeat(*Request.Route) || !Request.IsBodyWhole)
+           this->takeRetry(*Request.Service, true, readSteadyClock());
+  if (!isRetryable(*Request.Route) || !Request.IsBodyWhole)
     return false;
-  return this->takeRepeat(*Request.Service, false, readSteadyClock());
+  return this->takeRetry(*Request.Service, false, readSteadyClock());
 }
 
 } // namespace canvaswick
--- a/lib/Proxy/AnswerRelay.cpp
+++ b/lib/Proxy/ResponseRelay.cpp
@@ -1,4 +1,4 @@
-//===- AnswerRelay.cpp - Passes an answer on to the caller ----------------===//
+//===- ResponseRelay.cpp - Passes an answer on to the caller --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Proxy/AnswerRelay.h"
+#include "canvaswick/Proxy/ResponseRelay.h"
 #include "canvaswick/Proxy/RequestProxy.h"
 #include "canvaswick/Support/Text.h"
 
@@ -31,7 +31,7 @@
     "Connection", "Keep-Alive",        "Proxy-Connection", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",          "Content-Length"};
 
-bool isConnectionHeader(const std::string &Name, const httplib::Headers &All) {
+bool isHopByHopHeader(const std::string &Name, const httplib::Headers &All) {
   for (const char *Known : ConnectionHeaders)
     if (equalsIgnoringCase(Name, Known))
       return true;
@@ -52,13 +52,13 @@
 
 static constexpr const char *LastChunk = "0\r\n\r\n";
 
-AnswerRelay::AnswerRelay(HttpExchange &Exchange, const HeaderDialect &Names,
-                         RelayRules Rules)
+ResponseRelay::ResponseRelay(HttpExchange &Exchange, const HeaderNames &Names,
+                             RelayOptions Rules)
     : Exchange(Exchange), Names(Names), Rules(Rules) {}
 
-void AnswerRelay::beginAttempt(const std::string &RequestId) {
+void ResponseRelay::beginAttempt(const std::string &RequestId) {
   this->RequestId = RequestId;
-  this->Verdict = AnswerVerdict::None;
+  this->Verdict = ResponseVerdict::None;
   this->IsHolding = false;
   this->HeldBody.clear();
   this->Load = -1;
@@ -73,7 +73,7 @@
 
 /// Returns whether an answer shows that it is the server's own and whole in
 /// form.
-bool AnswerRelay::isProved(const httplib::Response &Response) const {
+bool ResponseRelay::isProved(const httplib::Response &Response) const {
   if (this->Names.AnswerProof.empty())
     return true;
   // Callers ask for no encoding.
@@ -89,7 +89,7 @@
 /// Larger loads than this are not believed.
 static constexpr int MostLoad = 10000;
 
-void AnswerRelay::readLoad(const httplib::Response &Response) {
+void ResponseRelay::readLoad(const httplib::Response &Response) {
   if (this->Names.ServerLoad.empty())
     return;
   const std::string Text = Response.get_header_value(this->Names.ServerLoad);
@@ -100,7 +100,7 @@
         std::clamp(Running, 0, MostLoad) + std::clamp(Waiting, 0, MostLoad);
 }
 
-bool AnswerRelay::continuesAnswer(const httplib::Response &Response) const {
+bool ResponseRelay::continuesAnswer(const httplib::Response &Response) const {
   const std::string Expected = fmt::format("bytes {}-{}/{}", this->Passed,
                                            this->Length - 1, this->Length);
   return Response.status == 206 &&
@@ -108,47 +108,48 @@
          Response.get_header_value("Content-Range") == Expected;
 }
 
-AnswerVerdict AnswerRelay::judgeHead(const httplib::Response &Response) const {
+ResponseVerdict
+ResponseRelay::classifyHead(const httplib::Response &Response) const {
   const std::string Echo = Response.get_header_value(this->Names.RequestId);
   if (!Echo.empty() && Echo != this->RequestId)
-    return AnswerVerdict::Foreign;
+    return ResponseVerdict::RequestIdMismatch;
   if (this->HeadWritten)
-    return this->continuesAnswer(Response) ? AnswerVerdict::Relayed
-                                           : AnswerVerdict::Mismatch;
+    return this->continuesAnswer(Response) ? ResponseVerdict::Relayed
+                                           : ResponseVerdict::ResumeMismatch;
   const bool IsMarked = Response.has_header(this->Names.NotRun) &&
                         (this->Names.NotRunValue.empty() ||
                          Response.get_header_value(this->Names.NotRun) ==
                              this->Names.NotRunValue);
   if (IsMarked)
-    return AnswerVerdict::NotRun;
+    return ResponseVerdict::NotRun;
   if (!this->Names.ExpectedInstance.empty() &&
       Response.status == MisdirectedStatus)
-    return AnswerVerdict::NotRun;
+    return ResponseVerdict::NotRun;
   if (!this->isProved(Response))
-    return AnswerVerdict::Failed;
-  if (Response.status >= 500 && this->Rules.MaySetAsideFailure)
-    return AnswerVerdict::Failed;
-  return AnswerVerdict::Relayed;
+    return ResponseVerdict::Failed;
+  if (Response.status >= 500 && this->Rules.MayDiscardFailure)
+    return ResponseVerdict::Failed;
+  return ResponseVerdict::Relayed;
 }
 
-bool AnswerRelay::takeHead(const httplib::Response &Response) {
+bool ResponseRelay::handleHead(const httplib::Response &Response) {
   const bool IsContinuing = this->HeadWritten;
-  this->Verdict = this->judgeHead(Response);
+  this->Verdict = this->classifyHead(Response);
   this->Status = Response.status;
   this->readLoad(Response);
   switch (this->Verdict) {
-  case AnswerVerdict::Relayed:
+  case ResponseVerdict::Relayed:
     if (IsContinuing)
       return true;
     this->prepareHead(Response);
     return this->IsHolding || this->writeHead();
-  case AnswerVerdict::NotRun:
-  case AnswerVerdict::Failed:
+  case ResponseVerdict::NotRun:
+  case ResponseVerdict::Failed:
     // Read to the end, so that the connection can be kept.
     return true;
-  case AnswerVerdict::None:
-  case AnswerVerdict::Foreign:
-  case AnswerVerdict::Mismatch:
+  case ResponseVerdict::None:
+  case ResponseVerdict::RequestIdMismatch:
+  case ResponseVerdict::ResumeMismatch:
     return false;
   }
   return false;
@@ -161,7 +162,7 @@
 }
 
 /// Takes what of an answer's head goes to the caller.
-void AnswerRelay::prepareHead(const httplib::Response &Response) {
+void ResponseRelay::prepareHead(const httplib::Response &Response) {
   const std::string Length = Response.get_header_value("Content-Length");
   this->HasLength = !Length.empty();
   this->Length = std::strtoull(Length.c_str(), nullptr, 10);
@@ -169,13 +170,13 @@
   this->IsBodyless = Response.status == 204 || Response.status == 304 ||
                      this->Exchange.Request.method == "HEAD";
   this->IsChunked = !this->IsBodyless && !this->HasLength;
-  this->IsHolding = this->Rules.HeldBytes > 0 && !this->IsBodyless &&
-                    this->Length <= this->Rules.HeldBytes;
+  this->IsHolding = this->Rules.MaxBufferedBytes > 0 && !this->IsBodyless &&
+                    this->Length <= this->Rules.MaxBufferedBytes;
   this->Head =
       fmt::format("HTTP/1.1 {} {}\r\n", Response.status,
                   Response.reason.empty() ? "Unnamed" : Response.reason);
   for (const auto &[Name, Value] : Response.headers)
-    if (!isConnectionHeader(Name, Response.headers) &&
+    if (!isHopByHopHeader(Name, Response.headers) &&
         (this->Names.PassesCallerId ||
          !equalsIgnoringCase(Name, this->Names.RequestId)))
       this->Head += Name + ": " + Value + "\r\n";
@@ -183,7 +184,7 @@
   this->Kept.ContentType = Response.get_header_value("Content-Type");
 }
 
-bool AnswerRelay::writeHead() {
+bool ResponseRelay::writeHead() {
   if (this->HasLength)
     this->Head += fmt::format("Content-Length: {}\r\n", this->Length);
   if (this->IsChunked)
@@ -196,7 +197,7 @@
 }
 
 /// Gives up holding an answer back and writes what there is of it.
-bool AnswerRelay::releaseHeld() {
+bool ResponseRelay::releaseHeld() {
   this->IsHolding = false;
   if (!this->writeHead())
     return false;
@@ -205,17 +206,17 @@
   return Body.empty() || this->passBody(Body.data(), Body.size());
 }
 
-bool AnswerRelay::writeToCaller(const char *Data, size_t Size) {
+bool ResponseRelay::writeToCaller(const char *Data, size_t Size) {
   if (!this->CallerLeft && this->Exchange.Stream.write(Data, Size) >= 0)
     return true;
   this->CallerLeft = true;
-  return this->Rules.GoesOnWithoutCaller;
+  return this->Rules.ContinuesWithoutCaller;
 }
 
-bool AnswerRelay::takeBody(const char *Data, size_t Size) {
-  if (this->Verdict != AnswerVerdict::Relayed)
+bool ResponseRelay::handleBody(const char *Data, size_t Size) {
+  if (this->Verdict != ResponseVerdict::Relayed)
     return true;
-  if (this->Kept.Body.size() + Size <= this->Rules.KeepBytes)
+  if (this->Kept.Body.size() + Size <= this->Rules.MaxCopiedBytes)
     this->Kept.Body.append(Data, Size);
   else
     this->IsKeptTooLong = true;
@@ -223,10 +224,11 @@
   if (!this->IsHolding)
     return this->passBody(Data, Size);
   this->HeldBody.append(Data, Size);
-  return this->HeldBody.size() <= this->Rules.HeldBytes || this->releaseHeld();
+  return this->HeldBody.size() <= this->Rules.MaxBufferedBytes ||
+         this->releaseHeld();
 }
 
-bool AnswerRelay::passBody(const char *Data, size_t Size) {
+bool ResponseRelay::passBody(const char *Data, size_t Size) {
   if (!this->IsChunked)
     return this->writeToCaller(Data, Size);
   std::string Chunk = fmt::format("{:x}\r\n", Size);
@@ -235,7 +237,7 @@
   return this->writeToCaller(Chunk.data(), Chunk.size());
 }
 
-void AnswerRelay::finish(bool IsWhole) {
+void ResponseRelay::finish(bool IsWhole) {
   if (this->IsHolding && IsWhole) {
     // Its length is known by now, whatever the server said of it.
     this->HasLength = true;
@@ -253,7 +255,7 @@
     this->Exchange.MustClose = true;
 }
 
-bool AnswerRelay::canResume() const {
+bool ResponseRelay::canResume() const {
   return this->HeadWritten && !this->CallerLeft && this->HasLength &&
          this->Kept.Status == 200 && this->Passed < this->Length &&
          this->Exchange.Request.method == "GET" &&
@@ -261,7 +263,7 @@
          isStrongValidator(this->Validator);
 }
 
-void AnswerRelay::addResumeHeaders(httplib::Headers &Headers) const {
+void ResponseRelay::addResumeHeaders(httplib::Headers &Headers) const {
   if (!this->HeadWritten)
     return;
   Headers.emplace("Range", fmt::format("bytes={}-", this->Passed));
--- a/lib/Proxy/NoticeReader.cpp
+++ b/lib/Proxy/ServerNoticeParser.cpp
@@ -1,4 +1,4 @@
-//===- NoticeReader.cpp - Reads a server's notice off an answer -----------===//
+//===- ServerNoticeParser.cpp - Reads a server's notice off an answer -----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Proxy/NoticeReader.h"
+#include "canvaswick/Proxy/ServerNoticeParser.h"
 
 #include <algorithm>
 #include <charconv>
@@ -43,8 +43,8 @@
   return Value;
 }
 
-std::optional<Duration> readRetryAfter(const std::string &Text,
-                                       int64_t CalendarMillis) {
+std::optional<Duration> parseRetryAfter(const std::string &Text,
+                                        int64_t CalendarMillis) {
   if (const std::optional<double> Seconds = readNumber(Text)) {
     if (*Seconds > toSeconds(MostBelieved))
       return std::nullopt;
@@ -64,12 +64,12 @@
 /// Of a limit that is named more than once the lowest counts.
 static std::optional<double> readLimit(const httplib::Response &Response,
                                        const std::string &Name,
-                                       bool &IsMisread) {
+                                       bool &IsMalformed) {
   std::optional<double> Lowest;
   const auto Range = Response.headers.equal_range(Name);
   for (auto Each = Range.first; Each != Range.second; ++Each) {
     const std::optional<double> Limit = readNumber(Each->second);
-    IsMisread |= !Limit;
+    IsMalformed |= !Limit;
     if (Limit)
       Lowest = std::min(Lowest.value_or(*Limit), *Limit);
   }
@@ -79,13 +79,13 @@
 /// Of a rest that is asked for more than once the longest counts.
 static std::optional<Duration> readRest(const httplib::Response &Response,
                                         int64_t CalendarMillis,
-                                        bool &IsMisread) {
+                                        bool &IsMalformed) {
   std::optional<Duration> Longest;
   const auto Range = Response.headers.equal_range("Retry-After");
   for (auto Each = Range.first; Each != Range.second; ++Each) {
     const std::optional<Duration> Rest =
-        readRetryAfter(Each->second, CalendarMillis);
-    IsMisread |= !Rest;
+        parseRetryAfter(Each->second, CalendarMillis);
+    IsMalformed |= !Rest;
     if (Rest)
       Longest = std::max(Longest.value_or(*Rest), *Rest);
   }
@@ -94,18 +94,18 @@
   return Longest;
 }
 
-ServerNotice readServerNotice(const httplib::Response &Response,
-                              const HeaderDialect &Names,
-                              int64_t CalendarMillis) {
+ServerNotice parseServerNotice(const httplib::Response &Response,
+                               const HeaderNames &Names,
+                               int64_t CalendarMillis) {
   ServerNotice Notice;
   if (!Names.ServerLimit.empty())
     Notice.RequestsPerSecond =
-        readLimit(Response, Names.ServerLimit, Notice.IsMisread);
+        readLimit(Response, Names.ServerLimit, Notice.IsMalformed);
   Notice.IsLeaving =
       !Names.ServerLeaving.empty() &&
       Response.get_header_value(Names.ServerLeaving) == LeavingValue;
   if (Response.status == UnavailableStatus)
-    Notice.Rest = readRest(Response, CalendarMillis, Notice.IsMisread);
+    Notice.Backoff = readRest(Response, CalendarMillis, Notice.IsMalformed);
   // A limit that was named and could not be read is not taken back, nor by an
   // answer that may not be the server's own.
   const bool IsProved =
--- a/lib/Proxy/ServerNoticeBoard.cpp
+++ b/lib/Proxy/ServerNoticeTable.cpp
@@ -1,4 +1,4 @@
-//===- ServerNoticeBoard.cpp - Servers' notices behind one lock -----------===//
+//===- ServerNoticeTable.cpp - Servers' notices behind one lock -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,24 +11,24 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Proxy/ServerNoticeBoard.h"
+#include "canvaswick/Proxy/ServerNoticeTable.h"
 #include "canvaswick/Support/Log.h"
 
 namespace canvaswick {
 
-void logNotice(const NoticeChange &Change, const std::string &RequestId) {
+void logNoticeChange(const NoticeChange &Change, const std::string &RequestId) {
   logInfo("server-notice", "server={} kind={} step={} value={:.3f} id={}",
           Change.Key, getName(Change.Kind), getName(Change.Step), Change.Value,
           RequestId.empty() ? "-" : RequestId);
 }
 
-void ServerNoticeBoard::forgetOld(TimePoint Now) {
+void ServerNoticeTable::forgetOld(TimePoint Now) {
   if (this->isEmpty())
     return;
   const std::vector<NoticeChange> Ended =
       this->with([Now](ServerNotices &All) { return All.forgetOld(Now); });
   for (const NoticeChange &Each : Ended)
-    logNotice(Each, "");
+    logNoticeChange(Each, "");
 }
 
 } // namespace canvaswick
--- a/lib/Proxy/ServiceEvidence.cpp
+++ b/lib/Proxy/ServiceEvidence.cpp
@@ -67,8 +67,8 @@
   return static_cast<int>(std::lround(std::min(Pace, MostPace) * PaceParts));
 }
 
-void ServiceRuntime::addInFlight(std::vector<InFlightReport> &Reports,
-                                 TimePoint Now) const {
+void ServiceRuntime::appendInFlight(std::vector<InFlightReport> &Reports,
+                                    TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
   if (!Spells)
@@ -79,9 +79,9 @@
                        static_cast<int>(toMillis(Each.Usual))});
 }
 
-void ServiceRuntime::takeInFlight(const std::string &Daemon, uint64_t Sequence,
-                                  const std::vector<InFlightReport> &Reports,
-                                  TimePoint Now) {
+void ServiceRuntime::applyPeerInFlight(
+    const std::string &Daemon, uint64_t Sequence,
+    const std::vector<InFlightReport> &Reports, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
   if (!Spells)
@@ -100,9 +100,9 @@
 /// follow what is in flight.
 static void noteLate(PooledPolicy &Policy, Attempt &Each, Duration SlowAfter,
                      TimePoint Now) {
-  if (Each.IsNotedLate || Now - Each.Began <= SlowAfter)
+  if (Each.IsCountedSlow || Now - Each.Began <= SlowAfter)
     return;
-  Each.IsNotedLate = true;
+  Each.IsCountedSlow = true;
   Policy.recordOutcome(Each.Server, RequestOutcome::Slow, Now);
 }
 
@@ -115,12 +115,13 @@
   std::visit([Now](auto &Own) { Own.advance(Now); }, this->Policy);
 }
 
-void ServiceRuntime::noteLoad(size_t Server, double Load, TimePoint Now) {
+void ServiceRuntime::recordLoadReport(size_t Server, double Load,
+                                      TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Selector.noteReportedLoad(Server, Load, Now);
 }
 
-std::vector<Observation> ServiceRuntime::takeObservations() {
+std::vector<Observation> ServiceRuntime::drainLocalObservations() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
     return Spells->takeNews();
@@ -161,11 +162,12 @@
   return Estimates;
 }
 
-std::vector<Estimate> ServiceRuntime::getNearEstimates(TimePoint Now) const {
+std::vector<Estimate>
+ServiceRuntime::getSameHallEstimates(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
     return this->makeEstimates(*Spells, Now, [this](size_t Server) {
-      return this->Selector.isNear(Server);
+      return this->Selector.isSameHall(Server);
     });
   return {};
 }
@@ -198,7 +200,7 @@
   auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
   const int Server = findServer(Spells, Given.Server);
   // What happens near this daemon it knows better.
-  if (Server >= 0 && !this->Selector.isNear(static_cast<size_t>(Server)))
+  if (Server >= 0 && !this->Selector.isSameHall(static_cast<size_t>(Server)))
     Spells->takeEstimate(static_cast<size_t>(Server), getSickness(Given), Now,
                          Given.LoadTenths / LoadParts);
 }
--- a/lib/Proxy/ServiceNotices.cpp
+++ b/lib/Proxy/ServiceNotices.cpp
@@ -19,31 +19,31 @@
 
 namespace canvaswick {
 
-ServerNoticeBoardRef
+ServerNoticeTableRef
 ServiceRuntime::chooseBoard(const DaemonIdentity &Identity,
                             const ServiceRuntime *Previous) {
   if (Identity.Notices)
     return Identity.Notices;
-  return Previous ? Previous->Notices : new ServerNoticeBoard;
+  return Previous ? Previous->Notices : new ServerNoticeTable;
 }
 
 /// Returns how notices name a server.
-NoticedServer ServiceRuntime::makeNoticed(size_t Server) const {
+NoticeSource ServiceRuntime::makeNoticed(size_t Server) const {
   const ServerConfig &Config = this->getServer(Server);
   return {this->Ids[Server], this->Config.Name + "/" + Config.Name,
           Config.Hall};
 }
 
-std::vector<NoticeChange> ServiceRuntime::noteNotice(Attempt &From,
-                                                     const ServerNotice &Notice,
-                                                     TimePoint Now) {
-  From.WasAskedToRest = Notice.Rest.has_value();
+std::vector<NoticeChange>
+ServiceRuntime::handleNotice(Attempt &From, const ServerNotice &Notice,
+                             TimePoint Now) {
+  From.HasBackoffRequest = Notice.Backoff.has_value();
   if (Notice.isEmpty() && this->Notices->isEmpty())
     return {};
   std::vector<NoticeChange> Changes =
       this->Notices->with([&](ServerNotices &All) {
-        return All.note(this->makeNoticed(From.Server), Notice, From.Began,
-                        Now);
+        return All.recordNotice(this->makeNoticed(From.Server), Notice,
+                                From.Began, Now);
       });
   if (Notice.IsLeaving) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -59,7 +59,7 @@
     const bool IsLeaving =
         !this->Notices->isEmpty() &&
         this->Notices->with([&](const ServerNotices &All) {
-          return All.getState(this->Ids[I], Now) == NoticeKind::Leaving;
+          return All.getActiveKind(this->Ids[I], Now) == NoticeKind::Leaving;
         });
     if (this->LeavingByNotice[I] == IsLeaving)
       continue;
@@ -68,15 +68,15 @@
   }
 }
 
-std::vector<NoticeChange> ServiceRuntime::takeLimit(const LimitReport &Given,
-                                                    TimePoint Now) {
+std::vector<NoticeChange>
+ServiceRuntime::applyPeerLimit(const LimitReport &Given, TimePoint Now) {
   const auto Found =
       std::find(this->Ids.begin(), this->Ids.end(), Given.Server);
   if (Found == this->Ids.end())
     return {};
   const auto Server = static_cast<size_t>(Found - this->Ids.begin());
   return this->Notices->with([&](ServerNotices &All) {
-    return All.takeReport(this->makeNoticed(Server), Given, Now);
+    return All.applyReport(this->makeNoticed(Server), Given, Now);
   });
 }
 
@@ -85,24 +85,24 @@
 /// out.
 size_t ServiceRuntime::applyNotices(std::vector<double> &Shares,
                                     TimePoint Now) const {
-  size_t LeftOut = 0;
+  size_t ExcludedServers = 0;
   if (this->Notices->isEmpty())
-    return LeftOut;
+    return ExcludedServers;
   this->Notices->with([&](const ServerNotices &All) {
     for (size_t I = 0; I < Shares.size(); ++I) {
-      const double Factor = All.getFactor(this->Ids[I], Now);
+      const double Factor = All.getShareFactor(this->Ids[I], Now);
       Shares[I] *= Factor;
-      LeftOut += Factor <= 0 ? 1 : 0;
+      ExcludedServers += Factor <= 0 ? 1 : 0;
     }
   });
-  return LeftOut;
+  return ExcludedServers;
 }
 
 /// Returns whether a server may be sent nothing now.
 bool ServiceRuntime::isHeld(size_t Server, TimePoint Now) const {
   return !this->Notices->isEmpty() &&
          this->Notices->with([&](const ServerNotices &All) {
-           return All.getFactor(this->Ids[Server], Now) <= 0;
+           return All.getShareFactor(this->Ids[Server], Now) <= 0;
          });
 }
 
@@ -126,9 +126,9 @@
     return ShareReason::Limited;
   case NoticeKind::Leaving:
     return ShareReason::Leaving;
-  case NoticeKind::Rest:
+  case NoticeKind::Backoff:
     return ShareReason::Resting;
-  case NoticeKind::Misread:
+  case NoticeKind::Malformed:
     break;
   }
   assert(false && "notice without a reason");
@@ -141,11 +141,12 @@
   if (this->Notices->isEmpty())
     return;
   this->Notices->with([&](const ServerNotices &All) {
-    const std::optional<NoticeKind> Said = All.getState(this->Ids[Server], Now);
+    const std::optional<NoticeKind> Said =
+        All.getActiveKind(this->Ids[Server], Now);
     if (!Said)
       return;
     Why.Reason = getReason(*Said);
-    Why.Share *= All.getFactor(this->Ids[Server], Now);
+    Why.Share *= All.getShareFactor(this->Ids[Server], Now);
   });
 }
 
--- a/lib/Proxy/ServiceRepeats.cpp
+++ b/lib/Proxy/ServiceRetries.cpp
@@ -1,4 +1,4 @@
-//===- ServiceRepeats.cpp - What a service may send again, and when -------===//
+//===- ServiceRetries.cpp - What a service may send again, and when -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -33,49 +33,49 @@
     return nullptr;
   FleetRepeatBudgetRef Budget;
   if (Previous)
-    Budget = Previous->FleetRepeats;
+    Budget = Previous->FleetRetries;
   if (!Budget)
     Budget.reset(new FleetRepeatBudget(Identity.Repeats, Identity.Started));
   return Budget;
 }
 
-bool ServiceRuntime::tryRepeat(TimePoint Now) {
+bool ServiceRuntime::tryTakeRetry(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->FleetRepeats)
-    return this->FleetRepeats->tryTake(Now);
+  if (this->FleetRetries)
+    return this->FleetRetries->tryTake(Now);
   return this->Retries.tryTake(Now);
 }
 
-bool ServiceRuntime::tryRepeatUnrun(TimePoint Now) {
+bool ServiceRuntime::tryTakeNotRunRetry(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return !this->FleetRepeats || this->FleetRepeats->tryTake(Now);
+  return !this->FleetRetries || this->FleetRetries->tryTake(Now);
 }
 
-bool ServiceRuntime::tryLendRepeat(TimePoint Now) {
+bool ServiceRuntime::tryLendRetry(TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->FleetRepeats && this->FleetRepeats->tryLend(Now);
+  return this->FleetRetries && this->FleetRetries->tryLend(Now);
 }
 
-void ServiceRuntime::borrowRepeat(TimePoint Until) {
+void ServiceRuntime::borrowRetry(TimePoint Until) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->FleetRepeats)
-    this->FleetRepeats->borrow(Until);
+  if (this->FleetRetries)
+    this->FleetRetries->borrow(Until);
 }
 
-bool ServiceRuntime::hasRepeat(TimePoint Now) const {
+bool ServiceRuntime::hasRetry(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->FleetRepeats && this->FleetRepeats->hasRoom(Now);
+  return this->FleetRetries && this->FleetRetries->hasRoom(Now);
 }
 
-void ServiceRuntime::setRepeats(const RepeatAllowance &Allowance,
-                                size_t Daemons, size_t Rank) {
+void ServiceRuntime::setRetryLimit(const RepeatAllowance &Allowance,
+                                   size_t Daemons, size_t Rank) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->FleetRepeats)
-    this->FleetRepeats->configure(Allowance, Daemons, Rank);
+  if (this->FleetRetries)
+    this->FleetRetries->configure(Allowance, Daemons, Rank);
 }
 
-Duration ServiceRuntime::getPatience(const std::string &Route,
-                                     Duration Objective) const {
+Duration ServiceRuntime::getRetryCheckDelay(const std::string &Route,
+                                            Duration Objective) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Latency.getUsual(Route, Objective);
 }
@@ -89,8 +89,8 @@
   for (size_t I = 0; I < this->countServers(); ++I) {
     const double Factor = getQueueFactor(Loads[I], this->getServer(I).Slots);
     const Duration Usual = fromSeconds(toSeconds(Alone) * Factor);
-    Worths.push_back(weigh(
-        Spells.getNewAnswerChances(I, Usual, Needs.Aim, Needs.Deadline, Now)));
+    Worths.push_back(weigh(Spells.getNewAnswerChances(
+        I, Usual, Needs.ObjectiveDeadline, Needs.Deadline, Now)));
   }
   return Worths;
 }
@@ -107,7 +107,7 @@
     const bool WasTried = std::find(Needs.Tried.begin(), Needs.Tried.end(),
                                     I) != Needs.Tried.end();
     // Few go far away: what is there is no reason to leave.
-    if (I == Each.Server || WasTried || !this->Selector.isNear(I) ||
+    if (I == Each.Server || WasTried || !this->Selector.isSameHall(I) ||
         this->isHeld(I, Now))
       continue;
     if (Best < 0 || Worths[I] > Worths[static_cast<size_t>(Best)])
@@ -116,9 +116,9 @@
   return Best;
 }
 
-bool ServiceRuntime::isBetterElsewhere(const Attempt &Each,
-                                       const AttemptNeeds &Needs,
-                                       TimePoint Now) const {
+bool ServiceRuntime::shouldAbandonAttempt(const Attempt &Each,
+                                          const AttemptNeeds &Needs,
+                                          TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
   if (!Spells || !this->isOn(Mechanism::WeighedRepeats))
@@ -136,10 +136,10 @@
       toSeconds(this->Latency.getUsual(Needs.Route, Needs.Objective)) *
       getQueueFactor(Spells->getInFlight().getLoad(Elsewhere, Now),
                      this->getServer(Elsewhere).Slots));
-  Silent.UntilAim = Needs.Aim - Now;
+  Silent.UntilAim = Needs.ObjectiveDeadline - Now;
   Silent.UntilDeadline = Needs.Deadline - Now;
   Silent.Price = getRepeatPrice(
-      this->FleetRepeats ? this->FleetRepeats->getUsedPart(Now) : 0);
+      this->FleetRetries ? this->FleetRetries->getUsedPart(Now) : 0);
   return shouldLeave(Silent, Spells->getAnswerTimes());
 }
 
--- a/lib/Proxy/ServiceRuntime.cpp
+++ b/lib/Proxy/ServiceRuntime.cpp
@@ -63,7 +63,7 @@
                fromMillis(this->Config.ColdStartMs)),
       Latency(fromMillis(this->Config.SlowAfterMs)),
       Retries(this->Config.RetryPercent),
-      FleetRepeats(this->makeRepeats(Identity, Previous)),
+      FleetRetries(this->makeRepeats(Identity, Previous)),
       InFlight(this->Config.MaxInFlight),
       Random(makeSeed(this->Config.Name, Identity.Name, Now)),
       LeavingByList(this->Subset.Servers.size(), false),
@@ -136,8 +136,8 @@
   return this->Config.Servers[this->Subset.Servers[Index]];
 }
 
-bool ServiceRuntime::isFor(const ServiceConfig &Other,
-                           const DaemonIdentity &Identity) const {
+bool ServiceRuntime::matchesConfig(const ServiceConfig &Other,
+                                   const DaemonIdentity &Identity) const {
   if (!(this->Config == Other))
     return false;
   const ServerSubset Wanted = chooseSubset(
@@ -159,13 +159,14 @@
     const ServerConfig &Server = this->getServer(I);
     SelectableServer Entry;
     Entry.Slots = Server.Slots;
-    Entry.Limit = std::min(Server.Slots, this->Subset.Connections[I]);
-    Entry.IsNear = Server.Hall == Identity.Hall;
+    Entry.ConcurrencyLimit =
+        std::min(Server.Slots, this->Subset.Connections[I]);
+    Entry.IsSameHall = Server.Hall == Identity.Hall;
     // Only a server that was added to a running service is a cold one.
     const bool IsNew = Previous && Known.count(Server.Name) == 0;
-    Entry.Since = IsNew ? Now : Now - fromMillis(this->Config.ColdStartMs);
+    Entry.FirstSeen = IsNew ? Now : Now - fromMillis(this->Config.ColdStartMs);
     if (Server.WarmAt != TimePoint{})
-      Entry.Since = Server.WarmAt - fromMillis(this->Config.ColdStartMs);
+      Entry.FirstSeen = Server.WarmAt - fromMillis(this->Config.ColdStartMs);
     Servers.push_back(Entry);
   }
   return Servers;
@@ -210,8 +211,8 @@
   if (!this->InFlight.tryBegin())
     return Refusal::ServiceBusy;
   this->Retries.noteRequest(Now);
-  if (this->FleetRepeats)
-    this->FleetRepeats->noteRequest(Now);
+  if (this->FleetRetries)
+    this->FleetRetries->noteRequest(Now);
   return Refusal::None;
 }
 
@@ -228,7 +229,7 @@
   if (std::holds_alternative<PooledPolicy>(this->Policy))
     return Rules;
   if (this->isOn(Mechanism::NearFirst))
-    Rules.FarShare =
+    Rules.RemoteWeight =
         Class == RouteClass::Download ? FarShareOfLarge : FarShareOfSmall;
   Rules.IsLoadInShares = true;
   return Rules;
@@ -242,7 +243,7 @@
   Shares.reserve(Granted.size());
   for (const ServerShare &Each : Granted)
     Shares.push_back(Each.Share);
-  Next.LeftOut = this->applyNotices(Shares, Now);
+  Next.ExcludedServers = this->applyNotices(Shares, Now);
   const SelectionRules Rules = this->makeSelectionRules(Needs.Class);
   const int Server =
       this->Selector.pick(Shares, Needs.Tried, Now, this->Random, Rules);
@@ -252,13 +253,14 @@
   Next.Route = Needs.Route;
   Next.Began = Now;
   Next.Deadline = Needs.Deadline;
-  Next.IsNotedLate = false;
-  Next.WasGivenUp = false;
+  Next.IsCountedSlow = false;
+  Next.WasTimedOut = false;
   Next.Share = Granted[Next.Server].Share;
   Next.IsTest = Granted[Next.Server].IsTest;
   if (!this->Notices->isEmpty())
-    this->Notices->with(
-        [&](ServerNotices &All) { All.noteSent(this->Ids[Next.Server], Now); });
+    this->Notices->with([&](ServerNotices &All) {
+      All.recordRequestSent(this->Ids[Next.Server], Now);
+    });
   this->Selector.begin(Next.Server);
   this->beginInFlight(Next, Needs, Now);
   this->Attempts.push_back(Next);
@@ -267,11 +269,11 @@
 
 /// Returns what an attempt's end shows of its server, by its route's usual
 /// time.
-RequestOutcome ServiceRuntime::judgeEnded(const Attempt &Ended,
-                                          RequestOutcome Outcome,
-                                          Duration Took) const {
+RequestOutcome ServiceRuntime::classifyEnd(const Attempt &Ended,
+                                           RequestOutcome Outcome,
+                                           Duration Took) const {
   const bool IsSpell = std::holds_alternative<SpellPolicy>(this->Policy);
-  if (Ended.WasGivenUp && IsSpell)
+  if (Ended.WasTimedOut && IsSpell)
     return RequestOutcome::Overdue;
   if (isFailure(Outcome))
     return this->Latency.judgeFailure(Ended.Route, Took);
@@ -286,17 +288,17 @@
   this->Attempts.erase(this->Attempts.iterator_to(Ended));
   // A server that says how long it wants rest is left alone for that, and is
   // not ill.
-  if (Ended.WasAskedToRest && Outcome == RequestOutcome::Shed)
+  if (Ended.HasBackoffRequest && Outcome == RequestOutcome::Shed)
     Outcome = RequestOutcome::Canceled;
   this->Selector.end(Ended.Server, Outcome, Now);
   const Duration Took = Now - Ended.Began;
   // What its place in the queue added says nothing about the kind of request.
   const Duration Alone = fromSeconds(toSeconds(Took) / Ended.QueueFactor);
-  const RequestOutcome Evidence = this->judgeEnded(Ended, Outcome, Alone);
+  const RequestOutcome Evidence = this->classifyEnd(Ended, Outcome, Alone);
   const int PacePercent = this->computePacePercent(Ended, Now);
   // One that was given up would have taken longer still. Were it left out, a
   // service that has become slow would seem as fast as before.
-  const bool IsLonger = Ended.WasGivenUp && Alone > Ended.Usual;
+  const bool IsLonger = Ended.WasTimedOut && Alone > Ended.Usual;
   if (Outcome == RequestOutcome::Good || IsLonger)
     this->Latency.add(Ended.Route, Alone, Now);
   if (auto *Spells = std::get_if<SpellPolicy>(&this->Policy)) {
@@ -309,7 +311,7 @@
   if (Ended.Load >= 0)
     this->Selector.noteReportedLoad(Ended.Server, Ended.Load, Now);
   // A late request was counted as slow while it was under way.
-  if (Evidence == RequestOutcome::Slow && Ended.IsNotedLate)
+  if (Evidence == RequestOutcome::Slow && Ended.IsCountedSlow)
     return;
   std::get<PooledPolicy>(this->Policy)
       .recordOutcome(Ended.Server, Evidence, Now);
--- a/lib/Routing/LimitShare.cpp
+++ b/lib/Routing/RateLimitShare.cpp
@@ -1,4 +1,4 @@
-//===- LimitShare.cpp - One daemon's part of a server's limit -------------===//
+//===- RateLimitShare.cpp - One daemon's part of a server's limit ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,7 +13,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Routing/LimitShare.h"
+#include "canvaswick/Routing/RateLimitShare.h"
 #include "canvaswick/Routing/SubsetChooser.h"
 #include "canvaswick/Support/Hash.h"
 
@@ -51,8 +51,9 @@
 static constexpr Duration LeastFresh = fromSeconds(3);
 static constexpr double FreshRequests = 4;
 
-LimitShare::LimitShare(std::string Key, std::string Hall, double PerSecond,
-                       TimePoint HeardAt, const FleetMap &Fleet, TimePoint Now)
+RateLimitShare::RateLimitShare(std::string Key, std::string Hall,
+                               double PerSecond, TimePoint HeardAt,
+                               const FleetDaemons &Fleet, TimePoint Now)
     : Key(std::move(Key)), Hall(std::move(Hall)), PerSecond(PerSecond),
       HeardAt(HeardAt), TokensAt(Now) {
   this->chooseSenders(Fleet, Now);
@@ -67,7 +68,7 @@
   return std::min(std::max(LeastSenders, Wanted), OfHall);
 }
 
-void LimitShare::chooseSenders(const FleetMap &Fleet, TimePoint Now) {
+void RateLimitShare::chooseSenders(const FleetDaemons &Fleet, TimePoint Now) {
   const auto Found = Fleet.Halls.find(this->Hall);
   const bool HasHall = Found != Fleet.Halls.end() && !Found->second.empty();
   const std::vector<std::string> &Near = HasHall ? Found->second : Fleet.All;
@@ -94,8 +95,8 @@
       static_cast<double>(Steps);
 }
 
-void LimitShare::hear(double Named, TimePoint At, const FleetMap &Fleet,
-                      TimePoint Now) {
+void RateLimitShare::updateLimit(double Named, TimePoint At,
+                                 const FleetDaemons &Fleet, TimePoint Now) {
   this->HeardAt = std::max(this->HeardAt, At);
   if (Named == this->PerSecond)
     return;
@@ -105,17 +106,17 @@
   this->chooseSenders(Fleet, Now);
 }
 
-void LimitShare::setFleet(const FleetMap &Fleet, TimePoint Now) {
+void RateLimitShare::setFleet(const FleetDaemons &Fleet, TimePoint Now) {
   this->chooseSenders(Fleet, Now);
 }
 
-bool LimitShare::isFresh(TimePoint Now) const {
+bool RateLimitShare::isFresh(TimePoint Now) const {
   const Duration Life =
       std::max(LeastFresh, fromSeconds(FreshRequests / this->PerSecond));
   return Now - this->HeardAt < Life;
 }
 
-double LimitShare::getTokens(TimePoint Now) const {
+double RateLimitShare::getTokens(TimePoint Now) const {
   const double Saved = 1 + this->PerSecond * toSeconds(SavedTime);
   const double Most =
       std::max(std::min(Saved, MostSaved), this->Rate * toSeconds(SavedTime));
@@ -125,18 +126,18 @@
 }
 
 /// Returns the time from one test of this daemon to the next, in seconds.
-double LimitShare::getTestPeriod() const {
+double RateLimitShare::getTestPeriod() const {
   return static_cast<double>(this->Daemons) / (TestedPart * this->PerSecond);
 }
 
 /// Returns how long ago this daemon's last test became due, in seconds.
-double LimitShare::getTestAge(TimePoint Now) const {
+double RateLimitShare::getTestAge(TimePoint Now) const {
   const double Period = this->getTestPeriod();
   return std::fmod(toSeconds(Now.time_since_epoch()) + this->Phase * Period,
                    Period);
 }
 
-bool LimitShare::maySend(TimePoint Now) const {
+bool RateLimitShare::maySend(TimePoint Now) const {
   if (this->IsSender)
     return this->getTokens(Now) >= 1;
   if (this->isFresh(Now) || Now - this->SentAt < TestLife)
@@ -144,13 +145,13 @@
   return this->getTestAge(Now) < toSeconds(TestLife);
 }
 
-void LimitShare::noteSent(TimePoint Now) {
+void RateLimitShare::recordRequestSent(TimePoint Now) {
   this->SentAt = Now;
   this->Tokens = std::max(0.0, this->getTokens(Now) - 1);
   this->TokensAt = Now;
 }
 
-Duration LimitShare::getWait(TimePoint Now) const {
+Duration RateLimitShare::getWait(TimePoint Now) const {
   if (this->maySend(Now))
     return Duration::zero();
   if (this->IsSender)
--- a/lib/Routing/RouteTable.cpp
+++ b/lib/Routing/RouteTable.cpp
@@ -32,7 +32,7 @@
     this->Routes.emplace(makeKey(Route.Host, Route.Prefix), &Route);
 }
 
-std::string getPathOfTarget(const std::string &Target) {
+std::string getTargetPath(const std::string &Target) {
   return Target.substr(0, Target.find_first_of("?#"));
 }
 
@@ -62,7 +62,7 @@
 
 const RouteConfig *RouteTable::find(const std::string &Host,
                                     const std::string &Target) const {
-  const std::string Path = getPathOfTarget(Target);
+  const std::string Path = getTargetPath(Target);
   if (Path.empty() || Path[0] != '/')
     return nullptr;
   if (const RouteConfig *Route = this->findForHost(stripPort(Host), Path))
--- a/lib/Routing/ServerNotices.cpp
+++ b/lib/Routing/ServerNotices.cpp
@@ -51,8 +51,8 @@
 static constexpr EnumNames<NoticeKind, 4> NoticeKindNames = {{
     {NoticeKind::Limit, "limit"},
     {NoticeKind::Leaving, "leaving"},
-    {NoticeKind::Rest, "rest"},
-    {NoticeKind::Misread, "misread"},
+    {NoticeKind::Backoff, "rest"},
+    {NoticeKind::Malformed, "misread"},
 }};
 
 static constexpr EnumNames<NoticeStep, 3> NoticeStepNames = {{
@@ -74,7 +74,7 @@
   return Until && Now < *Until;
 }
 
-void ServerNotices::setFleet(const FleetMap &Given, TimePoint Now) {
+void ServerNotices::setFleet(const FleetDaemons &Given, TimePoint Now) {
   if (Given == this->Fleet)
     return;
   this->Fleet = Given;
@@ -83,7 +83,7 @@
       Of.Limit->setFleet(Given, Now);
 }
 
-ServerNotices::Entry &ServerNotices::findEntry(const NoticedServer &Of) {
+ServerNotices::Entry &ServerNotices::findEntry(const NoticeSource &Of) {
   Entry &Found = this->Entries[Of.Id];
   Found.Key = Of.Key;
   Found.Hall = Of.Hall;
@@ -100,7 +100,7 @@
   }
   if (Of.Limit->getPerSecond() != Named)
     All.push_back({Of.Key, NoticeKind::Limit, NoticeStep::Changed, Named});
-  Of.Limit->hear(Named, HeardAt, this->Fleet, Now);
+  Of.Limit->updateLimit(Named, HeardAt, this->Fleet, Now);
 }
 
 void ServerNotices::endLimit(Entry &Of, TimePoint At, Changes &All) {
@@ -120,7 +120,7 @@
   }
   // An answer that was on its way before the word came says nothing of it.
   const bool IsTakenBack =
-      Of.Limit && Notice.MayEndLimit && AskedAt > Of.Limit->getHeardAt();
+      Of.Limit && Notice.MayEndLimit && AskedAt > Of.Limit->getReceivedAt();
   if (!IsTakenBack)
     return;
   endLimit(Of, Now, All);
@@ -137,22 +137,22 @@
                              Changes &All) {
   const TimePoint Until = Now + std::clamp(Rest, Duration::zero(), MostRest);
   if (!isAhead(Of.RestUntil, Now))
-    All.push_back(
-        {Of.Key, NoticeKind::Rest, NoticeStep::Begun, toSeconds(Until - Now)});
+    All.push_back({Of.Key, NoticeKind::Backoff, NoticeStep::Begun,
+                   toSeconds(Until - Now)});
   // Each wish holds to its end, whatever a later one says.
   Of.RestUntil = Of.RestUntil ? std::max(*Of.RestUntil, Until) : Until;
 }
 
 void ServerNotices::noteMisread(Entry &Of, TimePoint Now, Changes &All) {
   if (!isAhead(Of.MisreadUntil, Now))
-    All.push_back({Of.Key, NoticeKind::Misread, NoticeStep::Begun, 0});
+    All.push_back({Of.Key, NoticeKind::Malformed, NoticeStep::Begun, 0});
   Of.MisreadUntil = Now + MisreadLife;
 }
 
-std::vector<NoticeChange> ServerNotices::note(const NoticedServer &From,
-                                              const ServerNotice &Notice,
-                                              TimePoint AskedAt,
-                                              TimePoint Now) {
+std::vector<NoticeChange>
+ServerNotices::recordNotice(const NoticeSource &From,
+                            const ServerNotice &Notice, TimePoint AskedAt,
+                            TimePoint Now) {
   Changes All;
   if (Notice.isEmpty() && this->Entries.count(From.Id) == 0)
     return All;
@@ -160,23 +160,24 @@
   this->noteLimit(Of, Notice, AskedAt, Now, All);
   if (Notice.IsLeaving)
     noteLeaving(Of, Now, All);
-  if (Notice.Rest)
-    noteRest(Of, *Notice.Rest, Now, All);
-  if (Notice.IsMisread)
+  if (Notice.Backoff)
+    noteRest(Of, *Notice.Backoff, Now, All);
+  if (Notice.IsMalformed)
     noteMisread(Of, Now, All);
   return All;
 }
 
-std::vector<NoticeChange> ServerNotices::takeReport(const NoticedServer &From,
-                                                    const LimitReport &Given,
-                                                    TimePoint Now) {
+std::vector<NoticeChange> ServerNotices::applyReport(const NoticeSource &From,
+                                                     const LimitReport &Given,
+                                                     TimePoint Now) {
   Changes All;
   const TimePoint SaidAt = Now - Given.Age;
   const auto Found = this->Entries.find(From.Id);
   const bool IsKnown = Found != this->Entries.end();
   const bool IsOld =
       IsKnown &&
-      ((Found->second.Limit && Found->second.Limit->getHeardAt() >= SaidAt) ||
+      ((Found->second.Limit &&
+        Found->second.Limit->getReceivedAt() >= SaidAt) ||
        (Found->second.LimitEndedAt && *Found->second.LimitEndedAt >= SaidAt));
   const bool HasLimit = IsKnown && Found->second.Limit;
   if (IsOld || (Given.PerSecond <= 0 && !HasLimit))
@@ -192,11 +193,12 @@
 LimitReport ServerNotices::makeReport(ServerId Server, const Entry &Of,
                                       TimePoint Now) {
   if (Of.Limit)
-    return {Server, Of.Limit->getPerSecond(), Now - Of.Limit->getHeardAt()};
+    return {Server, Of.Limit->getPerSecond(), Now - Of.Limit->getReceivedAt()};
   return {Server, 0, Now - Of.LimitEndedAt.value_or(Now)};
 }
 
-std::vector<LimitReport> ServerNotices::takeNews(size_t Most, TimePoint Now) {
+std::vector<LimitReport> ServerNotices::drainLimitReports(size_t Most,
+                                                          TimePoint Now) {
   std::vector<LimitReport> News;
   for (auto &[Id, Of] : this->Entries) {
     if (!Of.HasNews || News.size() >= Most || Now - Of.ToldAt < ReportInterval)
@@ -208,8 +210,8 @@
   return News;
 }
 
-std::vector<LimitReport> ServerNotices::listLimits(size_t Most,
-                                                   TimePoint Now) const {
+std::vector<LimitReport> ServerNotices::listLimitReports(size_t Most,
+                                                         TimePoint Now) const {
   std::vector<LimitReport> Limits;
   for (const auto &[Id, Of] : this->Entries) {
     const bool IsFresh =
@@ -220,7 +222,7 @@
   return Limits;
 }
 
-double ServerNotices::getFactor(ServerId Server, TimePoint Now) const {
+double ServerNotices::getShareFactor(ServerId Server, TimePoint Now) const {
   const auto Found = this->Entries.find(Server);
   if (Found == this->Entries.end())
     return 1;
@@ -229,7 +231,7 @@
     return 0;
   if (!Of.Limit)
     return 1;
-  return Of.Limit->maySend(Now) ? Of.Limit->getBoost() : 0;
+  return Of.Limit->maySend(Now) ? Of.Limit->getWeightFactor() : 0;
 }
 
 Duration ServerNotices::getWait(ServerId Server, TimePoint Now) const {
@@ -244,14 +246,14 @@
   return Of.Limit ? std::max(Rest, Of.Limit->getWait(Now)) : Rest;
 }
 
-void ServerNotices::noteSent(ServerId Server, TimePoint Now) {
+void ServerNotices::recordRequestSent(ServerId Server, TimePoint Now) {
   const auto Found = this->Entries.find(Server);
   if (Found != this->Entries.end() && Found->second.Limit)
-    Found->second.Limit->noteSent(Now);
+    Found->second.Limit->recordRequestSent(Now);
 }
 
-std::optional<NoticeKind> ServerNotices::getState(ServerId Server,
-                                                  TimePoint Now) const {
+std::optional<NoticeKind> ServerNotices::getActiveKind(ServerId Server,
+                                                       TimePoint Now) const {
   const auto Found = this->Entries.find(Server);
   if (Found == this->Entries.end())
     return std::nullopt;
@@ -259,7 +261,7 @@
   if (isAhead(Of.LeavingUntil, Now))
     return NoticeKind::Leaving;
   if (isAhead(Of.RestUntil, Now))
-    return NoticeKind::Rest;
+    return NoticeKind::Backoff;
   if (Of.Limit)
     return NoticeKind::Limit;
   return std::nullopt;
@@ -267,7 +269,7 @@
 
 /// Ends the words of a server that no longer hold.
 void ServerNotices::endOld(Entry &Of, TimePoint Now, Changes &All) {
-  if (Of.Limit && Now - Of.Limit->getHeardAt() > LimitLife)
+  if (Of.Limit && Now - Of.Limit->getReceivedAt() > LimitLife)
     endLimit(Of, Now, All);
   if (Of.LimitEndedAt && Now - *Of.LimitEndedAt > EndedLife)
     Of.LimitEndedAt.reset();
@@ -276,7 +278,7 @@
     Of.LeavingUntil.reset();
   }
   if (Of.RestUntil && !isAhead(Of.RestUntil, Now)) {
-    All.push_back({Of.Key, NoticeKind::Rest, NoticeStep::Ended, 0});
+    All.push_back({Of.Key, NoticeKind::Backoff, NoticeStep::Ended, 0});
     Of.RestUntil.reset();
   }
   if (!isAhead(Of.MisreadUntil, Now))
@@ -300,7 +302,7 @@
   for (const auto &[Id, Of] : this->Entries) {
     Counts.Limited += Of.Limit ? 1 : 0;
     Counts.Leaving += isAhead(Of.LeavingUntil, Now) ? 1 : 0;
-    Counts.Resting += isAhead(Of.RestUntil, Now) ? 1 : 0;
+    Counts.InBackoff += isAhead(Of.RestUntil, Now) ? 1 : 0;
   }
   return Counts;
 }
--- a/lib/Routing/ServerSelector.cpp
+++ b/lib/Routing/ServerSelector.cpp
@@ -62,7 +62,7 @@
   const double Ease = this->getEase(State, Now);
   if (this->ColdStart <= Duration::zero())
     return Ease;
-  const double Age = toSeconds(Now - State.Config.Since);
+  const double Age = toSeconds(Now - State.Config.FirstSeen);
   const double Warmth =
       std::clamp(Age / toSeconds(this->ColdStart), LeastColdShare, 1.0);
   return Ease * Warmth;
@@ -73,13 +73,13 @@
                                  TimePoint Now,
                                  const SelectionRules &Rules) const {
   const ServerState &State = this->Servers[Server];
-  if (State.InFlight >= State.Config.Limit)
+  if (State.InFlight >= State.Config.ConcurrencyLimit)
     return 0;
   double Weight = Shares[Server] * this->getReadiness(Server, Now);
   if (!Rules.IsLoadInShares)
     Weight *= State.Config.Slots;
-  if (!State.Config.IsNear)
-    Weight *= Rules.FarShare;
+  if (!State.Config.IsSameHall)
+    Weight *= Rules.RemoteWeight;
   return Weight;
 }
 
@@ -88,7 +88,7 @@
   double Load = State.InFlight + 1;
   if (Now - State.ReportedAt <= ReportLife)
     Load += State.ReportedLoad * ReportWeight;
-  return Load / State.Config.Slots * (State.Config.IsNear ? 1 : FarFactor);
+  return Load / State.Config.Slots * (State.Config.IsSameHall ? 1 : FarFactor);
 }
 
 static bool contains(const std::vector<size_t> &List, size_t Value) {
@@ -167,7 +167,7 @@
 }
 
 void ServerSelector::restartColdStart(size_t Server, TimePoint Now) {
-  this->Servers[Server].Config.Since = Now;
+  this->Servers[Server].Config.FirstSeen = Now;
 }
 
 int ServerSelector::countInFlight(size_t Server) const {
--- a/lib/Routing/SubsetChooser.cpp
+++ b/lib/Routing/SubsetChooser.cpp
@@ -25,7 +25,7 @@
 
 static int countSharers(const ServerConfig &Server) {
   const int Usable = Server.Connections * UsedPercent / 100;
-  return std::max(1, Usable / LeastConnectionsPerDaemon);
+  return std::max(1, Usable / MinConnectionsPerDaemon);
 }
 
 int getDaemonRank(const std::string &Key, const std::string &Self,
--- a/unittests/Daemon/AllowanceAgentTest.cpp
+++ b/unittests/Daemon/AllowanceAgentTest.cpp
@@ -49,12 +49,12 @@
   PlatformClient Platform{Endpoint{"127.0.0.1", 1}, &this->Counters};
   WorkerPool Calls{WorkerPoolLimits{}};
   FleetRuntimeSlot Fleet;
-  ServerNoticeBoard Notices;
+  ServerNoticeTable Notices;
   ControlContext Context{
       this->Config, this->Counters, this->Caller,  this->Platform,
       this->Calls,  this->Fleet,    this->Notices, 7000};
   MembershipAgent Members{this->Context};
-  OrganisationGate Gate{AllowanceBounds(), Begin, 0};
+  OrganisationQuotas Gate{AllowanceBounds(), Begin, 0};
   AllowanceAgent Agent{this->Context, this->Members, this->Gate};
 };
 
--- a/unittests/Daemon/RepeatLoansTest.cpp
+++ b/unittests/Daemon/RepeatLoansTest.cpp
@@ -34,7 +34,7 @@
   Identity.Started = readSteadyClock() - fromSeconds(60);
   ServiceRuntimeRef Service(
       new ServiceRuntime(Config, Identity, nullptr, readSteadyClock()));
-  Service->setRepeats(Identity.Repeats, Daemons, 0);
+  Service->setRetryLimit(Identity.Repeats, Daemons, 0);
   return Service;
 }
 
@@ -50,7 +50,7 @@
 
   void hear(const RepeatLoan &Loan) {
     ++this->Heard;
-    if (this->Service->tryLendRepeat(readSteadyClock()))
+    if (this->Service->tryLendRetry(readSteadyClock()))
       this->Threads.emplace_back([this, Loan] {
         std::this_thread::sleep_for(this->Delay);
         this->Loans.takeLent(Loan);
@@ -72,14 +72,14 @@
   Lender Peer(makeService(20, 4));
   // A hundred daemons share two: nobody has a whole one.
   const ServiceRuntimeRef Short = makeService(2, 100);
-  CHECK_FALSE(Short->tryRepeat(readSteadyClock()));
+  CHECK_FALSE(Short->tryTakeRetry(readSteadyClock()));
   // 20 * 0.8 / 4 = 4.
   for (int I = 0; I < 4; ++I)
     CHECK(Peer.Loans.borrow(*Short, readSteadyClock()));
   CHECK_FALSE(Peer.Loans.borrow(*Short, readSteadyClock()));
   CHECK(Peer.Counters.get(Counter::RepeatsBorrowed) == 4);
   CHECK(Peer.Counters.get(Counter::RepeatsAskedInVain) == 1);
-  CHECK_FALSE(Peer.Service->tryRepeat(readSteadyClock()));
+  CHECK_FALSE(Peer.Service->tryTakeRetry(readSteadyClock()));
 }
 
 TEST_CASE("peers that have none are not asked again at once") {
@@ -101,7 +101,7 @@
   const ServiceRuntimeRef Short = makeService(2, 100);
   CHECK_FALSE(Loans.borrow(*Short, readSteadyClock()));
   Loans.takeLent({Short->getId(), 1});
-  CHECK_FALSE(Short->tryRepeat(readSteadyClock()));
+  CHECK_FALSE(Short->tryTakeRetry(readSteadyClock()));
   RepeatLoans Mixed(1, Counters, [&](const RepeatLoan &Loan, bool) {
     Mixed.takeLent({Loan.Service + 1, Loan.Number});
   });
--- a/unittests/Daemon/SuspectReportTest.cpp
+++ b/unittests/Daemon/SuspectReportTest.cpp
@@ -46,7 +46,7 @@
 
 /// The place where records are kept, as several daemons see it.
 struct Shelf {
-  SuspectBook open(RequestGuard &Guard) {
+  SuspectBook open(RequestQuarantine &Guard) {
     return SuspectBook(
         Guard, [this] { return this->read(); },
         [this](const std::string &Text, const StorePosition &Expected) {
@@ -83,7 +83,7 @@
   }
 
   CounterTable Counters;
-  RequestGuard Guard{Counters};
+  RequestQuarantine Guard{Counters};
   SuspectBook Book;
 };
 
@@ -212,7 +212,7 @@
   REQUIRE(One.Book.refresh(at(3)));
   Where.Page = {"nonsense", {0, 20}};
   REQUIRE(One.Book.refresh(at(4)));
-  CHECK(One.Guard.isHeldBack(Fatal, at(4).Steady));
+  CHECK(One.Guard.isQuarantined(Fatal, at(4).Steady));
   One.Book.runRound(at(6));
   CHECK(decodeRecords(Where.Page.Text, at(6)).value().size() == 1);
 }
@@ -229,7 +229,7 @@
     Where.Page = {encodeRecords({makeRecord(5, 2)}, at(2)), {1, 1}};
   }
   REQUIRE(One.Book.refresh(at(4)));
-  CHECK(One.Guard.isHeldBack(Fatal, at(4).Steady));
+  CHECK(One.Guard.isQuarantined(Fatal, at(4).Steady));
   One.Book.runRound(at(6));
   const auto Records = decodeRecords(Where.Page.Text, at(6));
   REQUIRE(Records);
--- a/unittests/Proxy/ProxyBench.h
+++ b/unittests/Proxy/ProxyFixture.h
@@ -1,4 +1,4 @@
-//===- ProxyBench.h - A proxy between real sockets for tests ----*- C++ -*-===//
+//===- ProxyFixture.h - A proxy between real sockets for tests --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_PROXY_PROXYBENCH_H
-#define CANVASWICK_UNITTESTS_PROXY_PROXYBENCH_H
+#ifndef CANVASWICK_UNITTESTS_PROXY_PROXYFIXTURE_H
+#define CANVASWICK_UNITTESTS_PROXY_PROXYFIXTURE_H
 
 #include "canvaswick/Proxy/RequestProxy.h"
 #include "canvaswick/StandIn/BackendStandIn.h"
@@ -33,10 +33,10 @@
                      KeyDigest::of("small-key").format());
 }
 
-class ProxyBench {
+class ProxyFixture {
 public:
-  explicit ProxyBench(std::string ServiceSettings = "", int Slots = 3,
-                      const std::string &OrganisationSettings = "")
+  explicit ProxyFixture(std::string ServiceSettings = "", int Slots = 3,
+                        const std::string &OrganisationSettings = "")
       : ServiceSettings(std::move(ServiceSettings)), Upstreams(0), Client(0) {
     for (int I = 0; I < 2; ++I) {
       BackendSetup Setup;
@@ -140,4 +140,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_UNITTESTS_PROXY_PROXYBENCH_H
+#endif // CANVASWICK_UNITTESTS_PROXY_PROXYFIXTURE_H
--- a/unittests/Proxy/RequestNoticeTest.cpp
+++ b/unittests/Proxy/RequestNoticeTest.cpp
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "ProxyBench.h"
+#include "ProxyFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -21,35 +21,35 @@
 using namespace canvaswick;
 
 /// Sends requests one after the other. Returns how many were served.
-static int sendSome(ProxyBench &Under, int Count,
+static int sendSome(ProxyFixture &Fixture, int Count,
                     const std::string &Method = "GET",
                     const std::string &Target = "/read/1") {
   int Served = 0;
   for (int I = 0; I < Count; ++I)
-    Served += Under.send(Method, Target).Status == 200 ? 1 : 0;
+    Served += Fixture.send(Method, Target).Status == 200 ? 1 : 0;
   return Served;
 }
 
 TEST_CASE("a server that names a limit is left to those that share it") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Limited;
   Limited.Percent = 100;
   Limited.Limit = "0.5";
-  Under.Backends[0]->setFaults(Limited);
-  CHECK(sendSome(Under, 40) == 40);
+  Fixture.Backends[0]->setFaults(Limited);
+  CHECK(sendSome(Fixture, 40) == 40);
   // The one that told it, at most: this daemon knows of no fleet to share with.
-  CHECK(Under.Backends[0]->countRuns() <= 1);
-  CHECK(Under.Counters.get(Counter::LimitsHeard) == 1);
-  CHECK(Under.Counters.get(Counter::ServersLeftOut) >= 20);
+  CHECK(Fixture.Backends[0]->countRuns() <= 1);
+  CHECK(Fixture.Counters.get(Counter::LimitsHeard) == 1);
+  CHECK(Fixture.Counters.get(Counter::ServersLeftOut) >= 20);
 }
 
 TEST_CASE("a service all of whose servers are limited refuses at once") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Limited;
   Limited.Limit = "0.2";
-  Under.setFaults(Limited);
-  sendSome(Under, 2);
-  const ExchangeResult Refused = Under.send("POST", "/pay/1");
+  Fixture.setFaults(Limited);
+  sendSome(Fixture, 2);
+  const ExchangeResult Refused = Fixture.send("POST", "/pay/1");
   CHECK(Refused.Status == 503);
   CHECK(getHeader(Refused, OutcomeHeader) == "not-run");
   CHECK(std::stoi(getHeader(Refused, "Retry-After")) >= 1);
@@ -58,11 +58,11 @@
 /// Returns how often a leaving was heard from servers that all say so and do
 /// something wrong besides.
 static uint64_t countHeard(BackendFaults Faults) {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   Faults.SaysLeaving = true;
-  Under.setFaults(Faults);
-  (void)Under.send("GET", "/read/1?bytes=200000");
-  return Under.Counters.get(Counter::LeavingsHeard);
+  Fixture.setFaults(Faults);
+  (void)Fixture.send("GET", "/read/1?bytes=200000");
+  return Fixture.Counters.get(Counter::LeavingsHeard);
 }
 
 TEST_CASE("a word counts whatever becomes of the answer that brought it") {
@@ -84,18 +84,19 @@
 }
 
 TEST_CASE("a word is heard before the answer's body is there") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Stalling;
   Stalling.SaysLeaving = true;
   Stalling.StallAfter = 10;
-  Under.setFaults(Stalling);
-  std::thread Caller([&Under] {
-    (void)Under.sendRaw("GET /read/1?bytes=200000 HTTP/1.1\r\nHost: h\r\n\r\n");
+  Fixture.setFaults(Stalling);
+  std::thread Caller([&Fixture] {
+    (void)Fixture.sendRaw(
+        "GET /read/1?bytes=200000 HTTP/1.1\r\nHost: h\r\n\r\n");
   });
   const TimePoint Until = readSteadyClock() + fromSeconds(4);
-  while (Under.Counters.get(Counter::LeavingsHeard) == 0 &&
+  while (Fixture.Counters.get(Counter::LeavingsHeard) == 0 &&
          readSteadyClock() < Until)
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
-  CHECK(Under.Counters.get(Counter::LeavingsHeard) == 1);
+  CHECK(Fixture.Counters.get(Counter::LeavingsHeard) == 1);
   Caller.join();
 }
--- a/unittests/Proxy/RequestProxyTest.cpp
+++ b/unittests/Proxy/RequestProxyTest.cpp
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "ProxyBench.h"
+#include "ProxyFixture.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -22,31 +22,31 @@
 using namespace canvaswick;
 
 TEST_CASE("a request is served and its answer is whole") {
-  ProxyBench Under;
-  const ExchangeResult Small = Under.send("GET", "/read/1");
+  ProxyFixture Fixture;
+  const ExchangeResult Small = Fixture.send("GET", "/read/1");
   CHECK(Small.Status == 200);
   CHECK(Small.Body.find("served by b") == 0);
-  const ExchangeResult Large = Under.send("GET", "/read/1?bytes=3000000");
+  const ExchangeResult Large = Fixture.send("GET", "/read/1?bytes=3000000");
   CHECK(Large.Status == 200);
   CHECK(Large.Body.size() == 3000000);
   const ExchangeResult Posted =
-      Under.send("POST", "/pay/1", {}, std::string(200000, 'x'));
+      Fixture.send("POST", "/pay/1", {}, std::string(200000, 'x'));
   CHECK(Posted.Status == 200);
-  CHECK(Under.send("HEAD", "/read/1").Status == 200);
+  CHECK(Fixture.send("HEAD", "/read/1").Status == 200);
 }
 
 TEST_CASE("an unknown route is refused and nothing is forwarded") {
-  ProxyBench Under;
-  const ExchangeResult Result = Under.send("GET", "/else");
+  ProxyFixture Fixture;
+  const ExchangeResult Result = Fixture.send("GET", "/else");
   CHECK(Result.Status == 404);
   CHECK(getHeader(Result, OutcomeHeader) == "not-run");
-  CHECK(Under.send("GET", "/read/../pay/1").Status == 400);
-  CHECK(Under.send("GET", "/read/%2e%2E/pay/1").Status == 400);
-  CHECK(Under.countRuns() == 0);
+  CHECK(Fixture.send("GET", "/read/../pay/1").Status == 400);
+  CHECK(Fixture.send("GET", "/read/%2e%2E/pay/1").Status == 400);
+  CHECK(Fixture.countRuns() == 0);
 }
 
 TEST_CASE("requests that could be read in two ways are refused") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   const std::string Host = "Host: x\r\n";
   const std::string Shapes[] = {
       "POST /pay/1 HTTP/1.1\r\n" + Host +
@@ -70,214 +70,214 @@
   };
   for (const std::string &Shape : Shapes) {
     CAPTURE(Shape);
-    const std::string Answer = Under.sendRaw(Shape);
+    const std::string Answer = Fixture.sendRaw(Shape);
     CHECK(Answer.find("HTTP/1.1 400 ") == 0);
     // One answer, then the end: what follows is never read as a request.
     CHECK(Answer.find("HTTP/1.1", 5) == std::string::npos);
   }
-  const std::string Oversize = Under.sendRaw(
+  const std::string Oversize = Fixture.sendRaw(
       "GET /read/1 HTTP/1.1\r\n" + Host + "X: " + std::string(7000, 'a') +
       "\r\nY: " + std::string(7000, 'a') + "\r\nZ: " + std::string(7000, 'a') +
       "\r\nA: " + std::string(7000, 'a') + "\r\nB: " + std::string(7000, 'a') +
       "\r\n\r\n");
   CHECK(Oversize.find("HTTP/1.1 431 ") == 0);
-  CHECK(Under.countRuns() == 0);
+  CHECK(Fixture.countRuns() == 0);
 }
 
 TEST_CASE("header values pass through unchanged") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   for (const std::string Value :
        {"a%20b", "100%", "%2541", "a+b, c", "a%0d%0aY: b"}) {
     const ExchangeResult Result =
-        Under.send("GET", "/read/1", {{"X-Echo", Value}});
+        Fixture.send("GET", "/read/1", {{"X-Echo", Value}});
     CHECK(getHeader(Result, "X-Echo") == Value);
     CHECK(getHeader(Result, "Location") == Value);
   }
 }
 
 TEST_CASE("a failure is repeated only where the route allows it") {
-  ProxyBench Under("retry-percent = 100");
+  ProxyFixture Fixture("retry-percent = 100");
   BackendFaults Fail;
   Fail.Fail = true;
-  Under.Backends[0]->setFaults(Fail);
+  Fixture.Backends[0]->setFaults(Fail);
   int Good = 0;
   for (int I = 0; I < 10; ++I)
-    Good += Under.send("GET", "/read/1").Status == 200;
+    Good += Fixture.send("GET", "/read/1").Status == 200;
   CHECK(Good == 10);
-  Under.setFaults(Fail);
-  const uint64_t Before = Under.countRuns();
-  CHECK(Under.send("POST", "/pay/1").Status == 500);
-  CHECK(Under.countRuns() == Before + 1);
+  Fixture.setFaults(Fail);
+  const uint64_t Before = Fixture.countRuns();
+  CHECK(Fixture.send("POST", "/pay/1").Status == 500);
+  CHECK(Fixture.countRuns() == Before + 1);
 }
 
 TEST_CASE("when every server fails the caller gets a server's own answer") {
-  ProxyBench Under("retry-percent = 100");
+  ProxyFixture Fixture("retry-percent = 100");
   BackendFaults Fail;
   Fail.Fail = true;
-  Under.setFaults(Fail);
-  const ExchangeResult Result = Under.send("GET", "/read/1");
+  Fixture.setFaults(Fail);
+  const ExchangeResult Result = Fixture.send("GET", "/read/1");
   CHECK(Result.Status == 500);
   CHECK(Result.Body == "failed\n");
-  CHECK(Under.countRuns() == 2);
+  CHECK(Fixture.countRuns() == 2);
 }
 
 TEST_CASE("a request without a known outcome is never sent again") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Lose;
   Lose.LoseAnswer = true;
-  Under.setFaults(Lose);
-  const ExchangeResult Result = Under.send("POST", "/pay/1", {}, "order");
+  Fixture.setFaults(Lose);
+  const ExchangeResult Result = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Result.Status == 502);
   CHECK(getHeader(Result, OutcomeHeader) == "not-known");
   CHECK(getHeader(Result, "Retry-After") == "1");
-  CHECK(Under.countRuns() == 1);
+  CHECK(Fixture.countRuns() == 1);
 }
 
 TEST_CASE("a request that was not run goes to another server or says so") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Shed;
   Shed.Shed = true;
   Shed.Rest = "";
-  Under.Backends[0]->setFaults(Shed);
+  Fixture.Backends[0]->setFaults(Shed);
   for (int I = 0; I < 10; ++I)
-    CHECK(Under.send("POST", "/pay/1", {}, "order").Status == 200);
-  Under.setFaults(Shed);
-  const ExchangeResult Result = Under.send("POST", "/pay/1", {}, "order");
+    CHECK(Fixture.send("POST", "/pay/1", {}, "order").Status == 200);
+  Fixture.setFaults(Shed);
+  const ExchangeResult Result = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Result.Status == 502);
   CHECK(getHeader(Result, OutcomeHeader) == "not-run");
-  Under.Backends[0]->stop();
-  Under.Backends[1]->stop();
-  const ExchangeResult Refused = Under.send("POST", "/pay/1", {}, "order");
+  Fixture.Backends[0]->stop();
+  Fixture.Backends[1]->stop();
+  const ExchangeResult Refused = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Refused.Status == 502);
   CHECK(getHeader(Refused, OutcomeHeader) == "not-run");
 }
 
 TEST_CASE("where all servers want rest, the next request is refused at once") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Shed;
   Shed.Shed = true;
   Shed.Rest = "2";
-  Under.setFaults(Shed);
-  const ExchangeResult Result = Under.send("POST", "/pay/1", {}, "order");
+  Fixture.setFaults(Shed);
+  const ExchangeResult Result = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Result.Status == 502);
   CHECK(getHeader(Result, OutcomeHeader) == "not-run");
-  const ExchangeResult Refused = Under.send("POST", "/pay/1", {}, "order");
+  const ExchangeResult Refused = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Refused.Status == 503);
   CHECK(getHeader(Refused, OutcomeHeader) == "not-run");
   CHECK(std::stoi(getHeader(Refused, "Retry-After")) >= 2);
-  CHECK(Under.Counters.get(Counter::UpstreamSheds) == 2);
+  CHECK(Fixture.Counters.get(Counter::UpstreamSheds) == 2);
 }
 
 TEST_CASE("a cut answer is visible as cut") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Cut;
   Cut.CutAfter = 1000;
-  Under.setFaults(Cut);
-  const ExchangeResult Result = Under.send("GET", "/read/1?bytes=200000");
+  Fixture.setFaults(Cut);
+  const ExchangeResult Result = Fixture.send("GET", "/read/1?bytes=200000");
   CHECK(Result.End != ExchangeEnd::Complete);
 }
 
 TEST_CASE("a stalled answer goes on from another server by its bytes") {
-  ProxyBench Under("stall-ms = 300");
+  ProxyFixture Fixture("stall-ms = 300");
   BackendFaults Stall;
   Stall.StallAfter = 70000;
-  Under.Backends[0]->setFaults(Stall);
+  Fixture.Backends[0]->setFaults(Stall);
   // Which server is asked is drawn at random: ask until the stalled one was.
-  for (int I = 0; I < 100 && Under.Counters.get(Counter::ResumedAnswers) == 0;
+  for (int I = 0; I < 100 && Fixture.Counters.get(Counter::ResumedAnswers) == 0;
        ++I) {
-    const ExchangeResult Result = Under.send("GET", "/read/1?bytes=500000");
+    const ExchangeResult Result = Fixture.send("GET", "/read/1?bytes=500000");
     REQUIRE(Result.End == ExchangeEnd::Complete);
     REQUIRE(Result.Body.size() == 500000);
     for (size_t At = 0; At < Result.Body.size(); ++At)
       REQUIRE(Result.Body[At] == static_cast<char>('a' + At % 23));
   }
-  CHECK(Under.Counters.get(Counter::ResumedAnswers) > 0);
+  CHECK(Fixture.Counters.get(Counter::ResumedAnswers) > 0);
 }
 
 TEST_CASE("an over-long answer never meets the next request") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Overlong;
   Overlong.Overlong = true;
-  Under.setFaults(Overlong);
+  Fixture.setFaults(Overlong);
   for (int I = 0; I < 20; ++I) {
-    const ExchangeResult Result = Under.send("GET", "/read/1?bytes=100");
+    const ExchangeResult Result = Fixture.send("GET", "/read/1?bytes=100");
     CHECK(Result.Status == 200);
     CHECK(Result.Body.size() == 100);
   }
 }
 
 TEST_CASE("an answer to another request is not passed on") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Foreign;
   Foreign.ForeignAnswer = true;
-  Under.setFaults(Foreign);
-  const ExchangeResult Result = Under.send("POST", "/pay/1", {}, "order");
+  Fixture.setFaults(Foreign);
+  const ExchangeResult Result = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Result.Status == 502);
   CHECK(getHeader(Result, OutcomeHeader) == "not-known");
-  CHECK(Under.Counters.get(Counter::ForeignAnswers) == 1);
+  CHECK(Fixture.Counters.get(Counter::ForeignAnswers) == 1);
 }
 
 TEST_CASE("an answer whose end cannot be told is not passed on") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Unframed;
   Unframed.Unframed = true;
-  Under.setFaults(Unframed);
-  CHECK(Under.send("POST", "/pay/1", {}, "order").Status == 502);
+  Fixture.setFaults(Unframed);
+  CHECK(Fixture.send("POST", "/pay/1", {}, "order").Status == 502);
 }
 
 TEST_CASE("a deadline is kept and passed on") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Hang;
   Hang.Hang = true;
-  Under.setFaults(Hang);
+  Fixture.setFaults(Hang);
   const TimePoint Before = readSteadyClock();
   const ExchangeResult Result =
-      Under.send("POST", "/pay/1", {{"X-Deadline-Ms", "200"}}, "order");
+      Fixture.send("POST", "/pay/1", {{"X-Deadline-Ms", "200"}}, "order");
   CHECK(Result.Status == 504);
   CHECK(getHeader(Result, OutcomeHeader) == "not-known");
   CHECK(readSteadyClock() - Before < fromSeconds(15));
 }
 
 TEST_CASE("a caller that hangs up cancels at the server") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   BackendFaults Hang;
   Hang.Hang = true;
-  Under.setFaults(Hang);
+  Fixture.setFaults(Hang);
   {
-    const int Descriptor = connectTcp("127.0.0.1", Under.Server->getPort(),
+    const int Descriptor = connectTcp("127.0.0.1", Fixture.Server->getPort(),
                                       readSteadyClock() + fromSeconds(5));
     SocketStream Stream(Descriptor);
     static_cast<httplib::Stream &>(Stream).write(
         "GET /read/1 HTTP/1.1\r\nHost: x\r\n\r\n");
-    while (Under.countRuns() == 0)
+    while (Fixture.countRuns() == 0)
       std::this_thread::yield();
   }
   const TimePoint GiveUp = readSteadyClock() + fromSeconds(20);
-  while (Under.Backends[0]->countCanceled() +
-                 Under.Backends[1]->countCanceled() ==
+  while (Fixture.Backends[0]->countCanceled() +
+                 Fixture.Backends[1]->countCanceled() ==
              0 &&
          readSteadyClock() < GiveUp)
     std::this_thread::yield();
-  CHECK(Under.Backends[0]->countCanceled() +
-            Under.Backends[1]->countCanceled() ==
+  CHECK(Fixture.Backends[0]->countCanceled() +
+            Fixture.Backends[1]->countCanceled() ==
         1);
 }
 
 TEST_CASE("an organisation above its rate is refused at once") {
-  ProxyBench Under("", 3, makeSmallOrganisation());
+  ProxyFixture Fixture("", 3, makeSmallOrganisation());
   const httplib::Headers Small = {{"Authorization", "Bearer small-key"}};
-  CHECK(Under.send("GET", "/read/1", Small).Status == 200);
-  const ExchangeResult Result = Under.send("GET", "/read/1", Small);
+  CHECK(Fixture.send("GET", "/read/1", Small).Status == 200);
+  const ExchangeResult Result = Fixture.send("GET", "/read/1", Small);
   CHECK(Result.Status == 429);
   CHECK(getHeader(Result, "Retry-After") == "1");
   CHECK(getHeader(Result, OutcomeHeader) == "not-run");
 }
 
 TEST_CASE("a keyed request without a store of claims is not run") {
-  ProxyBench Under;
+  ProxyFixture Fixture;
   const ExchangeResult Result =
-      Under.send("POST", "/pay/1", {{IdempotencyHeader, "k"}}, "order");
+      Fixture.send("POST", "/pay/1", {{IdempotencyHeader, "k"}}, "order");
   CHECK(Result.Status == 503);
   CHECK(getHeader(Result, OutcomeHeader) == "not-run");
-  CHECK(Under.countRuns() == 0);
+  CHECK(Fixture.countRuns() == 0);
 }
--- a/unittests/Proxy/NoticeReaderTest.cpp
+++ b/unittests/Proxy/ServerNoticeParserTest.cpp
@@ -1,4 +1,4 @@
-//===- NoticeReaderTest.cpp - Reading servers' notices --------------------===//
+//===- ServerNoticeParserTest.cpp - Reading servers' notices --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Proxy/NoticeReader.h"
+#include "canvaswick/Proxy/ServerNoticeParser.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -29,17 +29,17 @@
 }
 
 static ServerNotice read(int Status, httplib::Headers Headers) {
-  return readServerNotice(makeAnswer(Status, std::move(Headers)),
-                          HeaderDialect(), Calendar);
+  return parseServerNotice(makeAnswer(Status, std::move(Headers)),
+                           HeaderNames(), Calendar);
 }
 
 TEST_CASE("a rest is a number of seconds or a date") {
-  CHECK(readRetryAfter("3", Calendar) == fromSeconds(3));
-  CHECK(readRetryAfter("0.25", Calendar) == fromMillis(250));
-  CHECK(readRetryAfter("0", Calendar) == fromSeconds(0));
-  CHECK(readRetryAfter("Sun, 06 Nov 1994 08:49:40 GMT", Calendar) ==
+  CHECK(parseRetryAfter("3", Calendar) == fromSeconds(3));
+  CHECK(parseRetryAfter("0.25", Calendar) == fromMillis(250));
+  CHECK(parseRetryAfter("0", Calendar) == fromSeconds(0));
+  CHECK(parseRetryAfter("Sun, 06 Nov 1994 08:49:40 GMT", Calendar) ==
         fromSeconds(3));
-  CHECK(readRetryAfter("Sun, 06 Nov 1994 08:49:30 GMT", Calendar) ==
+  CHECK(parseRetryAfter("Sun, 06 Nov 1994 08:49:30 GMT", Calendar) ==
         fromSeconds(0));
 }
 
@@ -47,25 +47,25 @@
   for (const char *Text :
        {"", "soon", "-1", "+1", "1e99", "nan", "inf", "0x10", "3s", " 3", "3 ",
         ".5", "1,5", "--", "Sun, 06 Nov 1994 08:49:40 GMT x", "tomorrow"})
-    CHECK_MESSAGE(!readRetryAfter(Text, Calendar), Text);
+    CHECK_MESSAGE(!parseRetryAfter(Text, Calendar), Text);
 }
 
 TEST_CASE("a rest of more than a day is a mistake and none") {
-  CHECK(readRetryAfter("86400", Calendar) == fromSeconds(86400));
+  CHECK(parseRetryAfter("86400", Calendar) == fromSeconds(86400));
   for (const char *Text : {"86401", "99999999999999999999", "1000000000000",
                            "Tue, 08 Nov 1994 08:49:37 GMT"})
-    CHECK_MESSAGE(!readRetryAfter(Text, Calendar), Text);
+    CHECK_MESSAGE(!parseRetryAfter(Text, Calendar), Text);
   const ServerNotice Notice =
       read(503, {{"Retry-After", "99999999999999999999"}});
-  CHECK(!Notice.Rest);
-  CHECK(Notice.IsMisread);
+  CHECK(!Notice.Backoff);
+  CHECK(Notice.IsMalformed);
 }
 
 TEST_CASE("only an answer that says the server is away asks for rest") {
-  CHECK(read(503, {{"Retry-After", "3"}}).Rest == fromSeconds(3));
-  CHECK(!read(503, {{"Retry-After", "0"}}).Rest);
+  CHECK(read(503, {{"Retry-After", "3"}}).Backoff == fromSeconds(3));
+  CHECK(!read(503, {{"Retry-After", "0"}}).Backoff);
   for (const int Status : {200, 429, 500, 502, 504})
-    CHECK(!read(Status, {{"Retry-After", "3"}}).Rest);
+    CHECK(!read(Status, {{"Retry-After", "3"}}).Backoff);
 }
 
 TEST_CASE("any answer names a limit and says that the server leaves") {
@@ -84,19 +84,20 @@
   CHECK(read(200, {{"Canvaswick-Request-Limit", "4"},
                    {"Canvaswick-Request-Limit", "2"}})
             .RequestsPerSecond == 2);
-  const ServerNotice Misread = read(200, {{"Canvaswick-Request-Limit", "-4"}});
-  CHECK(!Misread.RequestsPerSecond);
-  CHECK(!Misread.MayEndLimit);
+  const ServerNotice Malformed =
+      read(200, {{"Canvaswick-Request-Limit", "-4"}});
+  CHECK(!Malformed.RequestsPerSecond);
+  CHECK(!Malformed.MayEndLimit);
   CHECK(read(200, {}).MayEndLimit);
   CHECK(!read(500, {}).MayEndLimit);
 }
 
 TEST_CASE("only an answer that is proved the server's own ends a limit") {
-  HeaderDialect Names;
+  HeaderNames Names;
   Names.AnswerProof = "Proof";
   const auto MayEnd = [&Names](httplib::Headers Headers) {
-    return readServerNotice(makeAnswer(200, std::move(Headers)), Names,
-                            Calendar)
+    return parseServerNotice(makeAnswer(200, std::move(Headers)), Names,
+                             Calendar)
         .MayEndLimit;
   };
   CHECK(MayEnd({{"Proof", "x"}}));
@@ -105,7 +106,7 @@
 
 TEST_CASE("whatever bytes a server sends, what is read is a bounded time") {
   CHECK(rc::check([](const std::string &Text) {
-    const std::optional<Duration> Rest = readRetryAfter(Text, Calendar);
+    const std::optional<Duration> Rest = parseRetryAfter(Text, Calendar);
     RC_ASSERT(!Rest ||
               (*Rest >= Duration::zero() && *Rest <= fromSeconds(86400)));
   }));
--- a/unittests/Proxy/ServiceBench.h
+++ b/unittests/Proxy/ServiceFixture.h
@@ -1,4 +1,4 @@
-//===- ServiceBench.h - One daemon's service in virtual time ----*- C++ -*-===//
+//===- ServiceFixture.h - One daemon's service in virtual time --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_PROXY_SERVICEBENCH_H
-#define CANVASWICK_UNITTESTS_PROXY_SERVICEBENCH_H
+#ifndef CANVASWICK_UNITTESTS_PROXY_SERVICEFIXTURE_H
+#define CANVASWICK_UNITTESTS_PROXY_SERVICEFIXTURE_H
 
 #include "canvaswick/Proxy/ServiceRuntime.h"
 
@@ -25,11 +25,11 @@
 
 namespace canvaswick {
 
-inline constexpr TimePoint BenchBegin{fromSeconds(1000)};
+inline constexpr TimePoint FixtureStart{fromSeconds(1000)};
 
-class ServiceBench {
+class ServiceFixture {
 public:
-  explicit ServiceBench(int Servers = 4) {
+  explicit ServiceFixture(int Servers = 4) {
     this->Config.Name = "s";
     this->Config.FloorPercent = 70;
     this->Config.MaxInFlight = 512;
@@ -40,8 +40,8 @@
     this->Identity.Hall = "a";
     this->Identity.Daemons = {"d"};
     this->Identity.Source = SettingsSource::Platform;
-    this->Identity.Notices.reset(new ServerNoticeBoard);
-    this->rebuild(BenchBegin);
+    this->Identity.Notices.reset(new ServerNoticeTable);
+    this->rebuild(FixtureStart);
   }
 
   static ServerConfig makeServer(const std::string &Name) {
@@ -64,7 +64,7 @@
     AttemptNeeds Needs;
     Needs.Route = "r";
     Needs.Objective = fromSeconds(1);
-    Needs.Aim = Now + fromSeconds(1);
+    Needs.ObjectiveDeadline = Now + fromSeconds(1);
     Needs.Deadline = Now + fromSeconds(6);
     return Needs;
   }
@@ -84,22 +84,22 @@
         continue;
       }
       ++Sent[this->Service->getServer(Try.Server).Name];
-      (void)this->Service->noteNotice(Try, Notice, Now);
+      (void)this->Service->handleNotice(Try, Notice, Now);
       this->Service->end(Try, Outcome, Now);
     }
     return Sent;
   }
 
   /// Has a server answer a request with a notice.
-  void say(const std::string &Server, const ServerNotice &Notice,
-           RequestOutcome Outcome, TimePoint Now) {
+  void answerWithNotice(const std::string &Server, const ServerNotice &Notice,
+                        RequestOutcome Outcome, TimePoint Now) {
     for (int I = 0; I < 1000; ++I) {
       Attempt Try;
       if (!this->Service->begin(Try, makeNeeds(Now), Now))
         return;
       const bool IsIt = this->Service->getServer(Try.Server).Name == Server;
       if (IsIt)
-        (void)this->Service->noteNotice(Try, Notice, Now);
+        (void)this->Service->handleNotice(Try, Notice, Now);
       this->Service->end(Try, IsIt ? Outcome : RequestOutcome::Good, Now);
       if (IsIt)
         return;
@@ -113,4 +113,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_UNITTESTS_PROXY_SERVICEBENCH_H
+#endif // CANVASWICK_UNITTESTS_PROXY_SERVICEFIXTURE_H
