--- a/unittests/Routing/LimitShareTest.cpp
+++ b/unittests/Routing/RateLimitShareTest.cpp
@@ -1,4 +1,4 @@
-//===- LimitShareTest.cpp - A fleet's daemons and one limit ---------------===//
+//===- RateLimitShareTest.cpp - A fleet's daemons and one limit -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Routing/LimitShare.h"
+#include "canvaswick/Routing/RateLimitShare.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -27,12 +27,13 @@
 static constexpr Duration Window = fromSeconds(4);
 
 /// Returns the shares of all daemons of a hall at a limit that was just named.
-static std::vector<LimitShare> makeShares(size_t Daemons, double PerSecond) {
-  FleetMap Fleet;
+static std::vector<RateLimitShare> makeShares(size_t Daemons,
+                                              double PerSecond) {
+  FleetDaemons Fleet;
   for (size_t I = 0; I < Daemons; ++I)
     Fleet.All.push_back(fmt::format("d{}", I));
   Fleet.Halls["a"] = Fleet.All;
-  std::vector<LimitShare> Shares;
+  std::vector<RateLimitShare> Shares;
   for (const std::string &Name : Fleet.All) {
     Fleet.Self = Name;
     Shares.emplace_back("s/b", "a", PerSecond, Begin, Fleet, Begin);
@@ -42,16 +43,16 @@
 
 /// Has all daemons send whenever they may for a while. Returns the most that
 /// were sent in any window. IsHeard: word of the limit comes all the time.
-static size_t sendAll(std::vector<LimitShare> &Shares, TimePoint From,
+static size_t sendAll(std::vector<RateLimitShare> &Shares, TimePoint From,
                       Duration Length, bool IsHeard) {
   std::vector<TimePoint> Sent;
   size_t Most = 0;
   for (TimePoint Now = From; Now < From + Length; Now += Step)
-    for (LimitShare &Each : Shares) {
+    for (RateLimitShare &Each : Shares) {
       if (IsHeard)
-        Each.hear(Each.getPerSecond(), Now, FleetMap(), Now);
+        Each.updateLimit(Each.getPerSecond(), Now, FleetDaemons(), Now);
       while (Each.maySend(Now)) {
-        Each.noteSent(Now);
+        Each.recordRequestSent(Now);
         Sent.push_back(Now);
       }
       const auto First =
@@ -70,7 +71,7 @@
     const auto Daemons = *rc::gen::inRange<size_t>(1, 60);
     const double Limit = *rc::gen::inRange(1, 300) / 10.0;
     const double Idle = *rc::gen::inRange(0, 400);
-    std::vector<LimitShare> Shares = makeShares(Daemons, Limit);
+    std::vector<RateLimitShare> Shares = makeShares(Daemons, Limit);
     const size_t Most =
         sendAll(Shares, Begin + fromSeconds(Idle), fromSeconds(8), true);
     RC_ASSERT(static_cast<double>(Most) <= getBound(Limit));
@@ -78,13 +79,13 @@
 }
 
 TEST_CASE("whom word of a limit reaches and who does not share it is silent") {
-  std::vector<LimitShare> Shares = makeShares(20, 2);
+  std::vector<RateLimitShare> Shares = makeShares(20, 2);
   size_t Senders = 0;
-  for (LimitShare &Each : Shares) {
+  for (RateLimitShare &Each : Shares) {
     Senders += Each.isSender() ? 1 : 0;
     for (int Ms = 0; Ms < 60000; Ms += 50) {
       const TimePoint Now = Begin + fromMillis(Ms);
-      Each.hear(2, Now, FleetMap(), Now);
+      Each.updateLimit(2, Now, FleetDaemons(), Now);
       CHECK((Each.isSender() || !Each.maySend(Now)));
     }
   }
@@ -92,8 +93,9 @@
 }
 
 TEST_CASE("who hears nothing more tests by turns, and saves no turn up") {
-  std::vector<LimitShare> Shares = makeShares(40, 2);
-  std::erase_if(Shares, [](const LimitShare &Each) { return Each.isSender(); });
+  std::vector<RateLimitShare> Shares = makeShares(40, 2);
+  std::erase_if(Shares,
+                [](const RateLimitShare &Each) { return Each.isSender(); });
   CHECK(sendAll(Shares, Begin, fromSeconds(2.9), false) == 0);
   // All tests together are a quarter of the limit: two in four seconds.
   CHECK(sendAll(Shares, Begin + fromSeconds(500), fromSeconds(8), false) <= 12);
@@ -102,14 +104,14 @@
 }
 
 TEST_CASE("a daemon that comes to share a limit has saved up nothing") {
-  FleetMap Without;
+  FleetDaemons Without;
   Without.Self = "d";
-  LimitShare Share("s/b", "a", 2, Begin, Without, Begin);
+  RateLimitShare Share("s/b", "a", 2, Begin, Without, Begin);
   CHECK(!Share.isSender());
-  FleetMap Alone = Without;
+  FleetDaemons Alone = Without;
   Alone.All = {"d"};
   const TimePoint Later = Begin + fromSeconds(60);
-  Share.hear(2, Later, Without, Later);
+  Share.updateLimit(2, Later, Without, Later);
   Share.setFleet(Alone, Later);
   CHECK(Share.isSender());
   CHECK(!Share.maySend(Later));
@@ -118,15 +120,15 @@
 }
 
 TEST_CASE("a change of who there is leaves a sender its tokens, not more") {
-  std::vector<LimitShare> Shares = makeShares(1, 1);
+  std::vector<RateLimitShare> Shares = makeShares(1, 1);
   const TimePoint Later = Begin + fromSeconds(60);
-  FleetMap Alone;
+  FleetDaemons Alone;
   Alone.Self = "d0";
   Alone.All = {"d0"};
   for (int I = 0; I < 100; ++I)
     Shares[0].setFleet(Alone, Later);
   int Sent = 0;
   for (; Shares[0].maySend(Later); ++Sent)
-    Shares[0].noteSent(Later);
+    Shares[0].recordRequestSent(Later);
   CHECK(Sent == 2);
 }
--- a/unittests/Routing/RouteTableTest.cpp
+++ b/unittests/Routing/RouteTableTest.cpp
@@ -112,8 +112,8 @@
   std::vector<SelectableServer> Servers(Count);
   for (SelectableServer &Server : Servers) {
     Server.Slots = 3;
-    Server.Limit = 3;
-    Server.Since = TimePoint{} - fromSeconds(100);
+    Server.ConcurrencyLimit = 3;
+    Server.FirstSeen = TimePoint{} - fromSeconds(100);
   }
   return Servers;
 }
--- a/unittests/Routing/ServerNoticesTest.cpp
+++ b/unittests/Routing/ServerNoticesTest.cpp
@@ -19,7 +19,7 @@
 
 static constexpr TimePoint Begin{fromSeconds(1000)};
 
-static const NoticedServer Server{7, "s/b0", "a"};
+static const NoticeSource Server{7, "s/b0", "a"};
 
 static ServerNotice nameLimit(double PerSecond) {
   ServerNotice Notice;
@@ -29,7 +29,7 @@
 
 static ServerNotice askRest(double Seconds) {
   ServerNotice Notice;
-  Notice.Rest = fromSeconds(Seconds);
+  Notice.Backoff = fromSeconds(Seconds);
   return Notice;
 }
 
@@ -41,50 +41,51 @@
 
 TEST_CASE("a limit begins, changes and ends once, each time that it is so") {
   ServerNotices Notices;
-  CHECK(Notices.note(Server, sayNothing(), Begin, Begin).empty());
+  CHECK(Notices.recordNotice(Server, sayNothing(), Begin, Begin).empty());
   CHECK(Notices.isEmpty());
-  const auto Begun = Notices.note(Server, nameLimit(2), Begin, Begin);
+  const auto Begun = Notices.recordNotice(Server, nameLimit(2), Begin, Begin);
   REQUIRE(Begun.size() == 1);
   CHECK(Begun[0].Step == NoticeStep::Begun);
   CHECK(Begun[0].Value == 2);
-  CHECK(Notices.note(Server, nameLimit(2), Begin, Begin).empty());
-  const auto Changed = Notices.note(Server, nameLimit(1), Begin, Begin);
+  CHECK(Notices.recordNotice(Server, nameLimit(2), Begin, Begin).empty());
+  const auto Changed = Notices.recordNotice(Server, nameLimit(1), Begin, Begin);
   REQUIRE(Changed.size() == 1);
   CHECK(Changed[0].Step == NoticeStep::Changed);
-  CHECK(Notices.getState(7, Begin) == NoticeKind::Limit);
+  CHECK(Notices.getActiveKind(7, Begin) == NoticeKind::Limit);
   const TimePoint Later = Begin + fromSeconds(1);
-  const auto Ended = Notices.note(Server, sayNothing(), Later, Later);
+  const auto Ended = Notices.recordNotice(Server, sayNothing(), Later, Later);
   REQUIRE(Ended.size() == 1);
   CHECK(Ended[0].Step == NoticeStep::Ended);
-  CHECK(!Notices.getState(7, Later));
+  CHECK(!Notices.getActiveKind(7, Later));
 }
 
 TEST_CASE("an answer that was asked for before the word came does not end it") {
   ServerNotices Notices;
-  Notices.note(Server, nameLimit(2), Begin, Begin);
+  Notices.recordNotice(Server, nameLimit(2), Begin, Begin);
   const TimePoint Later = Begin + fromSeconds(1);
-  Notices.note(Server, sayNothing(), Begin - fromMillis(1), Later);
-  CHECK(Notices.getState(7, Later) == NoticeKind::Limit);
+  Notices.recordNotice(Server, sayNothing(), Begin - fromMillis(1), Later);
+  CHECK(Notices.getActiveKind(7, Later) == NoticeKind::Limit);
 }
 
 TEST_CASE("a failure that names no limit does not end it") {
   ServerNotices Notices;
-  Notices.note(Server, nameLimit(2), Begin, Begin);
+  Notices.recordNotice(Server, nameLimit(2), Begin, Begin);
   const TimePoint Later = Begin + fromSeconds(1);
-  Notices.note(Server, ServerNotice(), Later, Later);
-  CHECK(Notices.getState(7, Later) == NoticeKind::Limit);
+  Notices.recordNotice(Server, ServerNotice(), Later, Later);
+  CHECK(Notices.getActiveKind(7, Later) == NoticeKind::Limit);
 }
 
 TEST_CASE("the longest of several rests holds to its end") {
   ServerNotices Notices;
-  CHECK(Notices.note(Server, askRest(3), Begin, Begin).size() == 1);
+  CHECK(Notices.recordNotice(Server, askRest(3), Begin, Begin).size() == 1);
   const TimePoint Later = Begin + fromSeconds(1);
-  CHECK(Notices.note(Server, askRest(0.5), Later, Later).empty());
-  CHECK(Notices.getState(7, Begin + fromSeconds(2.99)) == NoticeKind::Rest);
-  CHECK(!Notices.getState(7, Begin + fromSeconds(3)));
+  CHECK(Notices.recordNotice(Server, askRest(0.5), Later, Later).empty());
+  CHECK(Notices.getActiveKind(7, Begin + fromSeconds(2.99)) ==
+        NoticeKind::Backoff);
+  CHECK(!Notices.getActiveKind(7, Begin + fromSeconds(3)));
   const auto Ended = Notices.forgetOld(Begin + fromSeconds(3));
   REQUIRE(Ended.size() == 1);
-  CHECK(Ended[0].Kind == NoticeKind::Rest);
+  CHECK(Ended[0].Kind == NoticeKind::Backoff);
   CHECK(Notices.isEmpty());
 }
 
@@ -93,12 +94,13 @@
   ServerNotice All = askRest(1e9);
   All.RequestsPerSecond = 0;
   All.IsLeaving = true;
-  Notices.note(Server, All, Begin, Begin);
-  CHECK(Notices.getState(7, Begin + fromSeconds(299)) == NoticeKind::Leaving);
+  Notices.recordNotice(Server, All, Begin, Begin);
+  CHECK(Notices.getActiveKind(7, Begin + fromSeconds(299)) ==
+        NoticeKind::Leaving);
   const TimePoint After = Begin + fromSeconds(301);
   CHECK(Notices.forgetOld(After).size() == 3);
-  CHECK(!Notices.getState(7, After));
-  CHECK(Notices.getFactor(7, After) == 1);
+  CHECK(!Notices.getActiveKind(7, After));
+  CHECK(Notices.getShareFactor(7, After) == 1);
   // That the limit has ended is remembered a little longer, for peers.
   CHECK(Notices.forgetOld(After + fromSeconds(6)).empty());
   CHECK(Notices.isEmpty());
@@ -108,7 +110,7 @@
   ServerNotices Notices;
   ServerNotice Leaving;
   Leaving.IsLeaving = true;
-  Notices.note(Server, Leaving, Begin, Begin);
-  CHECK(Notices.getState(7, Begin) == NoticeKind::Leaving);
-  CHECK(!Notices.getState(8, Begin));
+  Notices.recordNotice(Server, Leaving, Begin, Begin);
+  CHECK(Notices.getActiveKind(7, Begin) == NoticeKind::Leaving);
+  CHECK(!Notices.getActiveKind(8, Begin));
 }
--- a/unittests/ServerLeaving/ServerLeavingTest.cpp
+++ b/unittests/ServerLeaving/ServerLeavingTest.cpp
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "../Proxy/ProxyBench.h"
-#include "../Proxy/ServiceBench.h"
+#include "../Proxy/ProxyFixture.h"
+#include "../Proxy/ServiceFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -25,48 +25,52 @@
   return Notice;
 }
 
-static constexpr TimePoint Later = BenchBegin + fromSeconds(2);
+static constexpr TimePoint Later = FixtureStart + fromSeconds(2);
 
 TEST_CASE("no request goes to a server after its answer said that it leaves") {
-  ServiceBench Under;
-  Under.say("b0", sayLeaving(), RequestOutcome::Good, BenchBegin);
+  ServiceFixture Under;
+  Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
+                         FixtureStart);
   std::map<std::string, int> Sent = Under.send(400, Later);
   CHECK(Sent["b0"] == 0);
   CHECK(Sent[""] == 0);
 }
 
 TEST_CASE("a new version of the settings does not forget who leaves") {
-  ServiceBench Under;
-  Under.say("b0", sayLeaving(), RequestOutcome::Good, BenchBegin);
-  Under.Config.Servers.push_back(ServiceBench::makeServer("b9"));
+  ServiceFixture Under;
+  Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
+                         FixtureStart);
+  Under.Config.Servers.push_back(ServiceFixture::makeServer("b9"));
   Under.rebuild(Later);
   CHECK(Under.send(400, Later)["b0"] == 0);
 }
 
 TEST_CASE("what a request of an earlier version hears holds for the later") {
-  ServiceBench Under;
+  ServiceFixture Under;
   const ServiceRuntimeRef Earlier = Under.Service;
-  Under.Config.Servers.push_back(ServiceBench::makeServer("b9"));
-  Under.rebuild(BenchBegin);
+  Under.Config.Servers.push_back(ServiceFixture::makeServer("b9"));
+  Under.rebuild(FixtureStart);
   Attempt Try;
-  REQUIRE(Earlier->begin(Try, ServiceBench::makeNeeds(BenchBegin), BenchBegin));
+  REQUIRE(Earlier->begin(Try, ServiceFixture::makeNeeds(FixtureStart),
+                         FixtureStart));
   const std::string Server = Earlier->getServer(Try.Server).Name;
-  (void)Earlier->noteNotice(Try, sayLeaving(), BenchBegin);
-  Earlier->end(Try, RequestOutcome::Good, BenchBegin);
+  (void)Earlier->handleNotice(Try, sayLeaving(), FixtureStart);
+  Earlier->end(Try, RequestOutcome::Good, FixtureStart);
   CHECK(Under.send(400, Later)[Server] == 0);
 }
 
 TEST_CASE("a server's next life is not the one that leaves") {
-  ServiceBench Under;
-  Under.say("b0", sayLeaving(), RequestOutcome::Good, BenchBegin);
-  Under.Config.Servers[0] = ServiceBench::makeServer("b0@1f");
+  ServiceFixture Under;
+  Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
+                         FixtureStart);
+  Under.Config.Servers[0] = ServiceFixture::makeServer("b0@1f");
   Under.rebuild(Later);
   CHECK(Under.send(400, Later)["b0@1f"] > 20);
 }
 
 TEST_CASE("where all servers leave, callers are refused at once") {
-  ServiceBench Under(2);
-  (void)Under.send(100, BenchBegin, RequestOutcome::Good, sayLeaving());
+  ServiceFixture Under(2);
+  (void)Under.send(100, FixtureStart, RequestOutcome::Good, sayLeaving());
   CHECK(Under.send(10, Later)[""] == 10);
   Duration Wait{};
   CHECK(Under.Service->admit("r", fromSeconds(5), Later, Wait) ==
@@ -75,29 +79,31 @@
 }
 
 TEST_CASE("the floor counts without a server that says it leaves") {
-  ServiceBench Under;
+  ServiceFixture Under;
   Under.Config.Servers.resize(2);
   Under.Config.FloorPercent = 50;
   Under.Config.Preference = Weighing::Detection;
   Under.Identity.Source = SettingsSource::Own;
   Under.Service.reset();
-  Under.rebuild(BenchBegin);
-  Under.say("b0", sayLeaving(), RequestOutcome::Good, BenchBegin);
+  Under.rebuild(FixtureStart);
+  Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
+                         FixtureStart);
   // The other one alone is all that the floor may keep, however sick.
   for (int I = 0; I < 20; ++I)
-    CHECK(Under.send(20, BenchBegin + fromSeconds(0.1 * I),
+    CHECK(Under.send(20, FixtureStart + fromSeconds(0.1 * I),
                      RequestOutcome::Failed)[""] == 0);
 }
 
 TEST_CASE("a word that is five minutes old is asked for again") {
-  ServiceBench Under;
-  Under.say("b0", sayLeaving(), RequestOutcome::Good, BenchBegin);
-  CHECK(Under.send(400, BenchBegin + fromSeconds(299))["b0"] == 0);
-  CHECK(Under.send(400, BenchBegin + fromSeconds(301))["b0"] > 0);
+  ServiceFixture Under;
+  Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
+                         FixtureStart);
+  CHECK(Under.send(400, FixtureStart + fromSeconds(299))["b0"] == 0);
+  CHECK(Under.send(400, FixtureStart + fromSeconds(301))["b0"] > 0);
 }
 
 TEST_CASE("over real connections a server that says it leaves is left") {
-  ProxyBench Under;
+  ProxyFixture Under;
   BackendFaults Leaving;
   Leaving.SaysLeaving = true;
   Under.Backends[0]->setFaults(Leaving);
--- a/unittests/ServerLimit/LimitPlay.h
+++ b/unittests/ServerLimit/LimitPlay.h
@@ -129,12 +129,12 @@
   };
 
   struct Daemon {
-    ServerNoticeBoardRef Board;
+    ServerNoticeTableRef Board;
     ServiceRuntimeRef Service;
     std::list<Sent> Out;
     /// When each limited server first told it.
     std::vector<std::optional<TimePoint>> ToldAt;
-    Daemon(ServerNoticeBoardRef Board, int Limited)
+    Daemon(ServerNoticeTableRef Board, int Limited)
         : Board(std::move(Board)), ToldAt(static_cast<size_t>(Limited)) {}
   };
 
@@ -147,13 +147,13 @@
     return Daemon.substr(0, 2);
   }
 
-  ServerNoticeBoardRef makeBoard(const std::string &Name) const {
-    FleetMap Fleet;
+  ServerNoticeTableRef makeBoard(const std::string &Name) const {
+    FleetDaemons Fleet;
     Fleet.Self = Name;
     Fleet.All = this->Names;
     for (const std::string &Each : this->Names)
       Fleet.Halls[getHall(Each)].push_back(Each);
-    ServerNoticeBoardRef Board(new ServerNoticeBoard);
+    ServerNoticeTableRef Board(new ServerNoticeTable);
     Board->with([&](ServerNotices &All) { All.setFleet(Fleet, Begin); });
     return Board;
   }
@@ -247,7 +247,7 @@
       if (Notice.RequestsPerSecond && !Told)
         Told = this->Now;
     }
-    (void)At.Service->noteNotice(Request->Try, Notice, this->Now);
+    (void)At.Service->handleNotice(Request->Try, Notice, this->Now);
     At.Service->end(Request->Try, RequestOutcome::Good, this->Now);
     return At.Out.erase(Request);
   }
@@ -259,11 +259,13 @@
       if (this->isHit(LimitTrouble::Cut, I) ||
           this->isHit(LimitTrouble::Gone, I))
         continue;
-      const std::vector<LimitReport> News = this->Daemons[I].Board->with(
-          [&](ServerNotices &All) { return All.takeNews(5, this->Now); });
+      const std::vector<LimitReport> News =
+          this->Daemons[I].Board->with([&](ServerNotices &All) {
+            return All.drainLimitReports(5, this->Now);
+          });
       const std::vector<LimitReport> Known =
           this->Daemons[I].Board->with([&](const ServerNotices &All) {
-            return All.listLimits(5, this->Now);
+            return All.listLimitReports(5, this->Now);
           });
       std::uniform_int_distribution<int> Turn(0, this->Scenario.DaemonsOfHall *
                                                      FarTellMs / TellMs);
@@ -283,7 +285,7 @@
       return;
     ++this->Outcome.Messages;
     for (const LimitReport &Each : Reports)
-      (void)this->Daemons[To].Service->takeLimit(Each, this->Now);
+      (void)this->Daemons[To].Service->applyPeerLimit(Each, this->Now);
   }
 
   void send(int Ms) {
@@ -304,7 +306,7 @@
     Needs.Class = RouteClass::Once;
     Needs.Route = "r";
     Needs.Objective = fromSeconds(1);
-    Needs.Aim = this->Now + Needs.Objective;
+    Needs.ObjectiveDeadline = this->Now + Needs.Objective;
     Needs.Deadline = this->Now + fromSeconds(6);
     From.Out.emplace_back();
     Sent &Next = From.Out.back();
--- a/unittests/ServerRest/ServerRestTest.cpp
+++ b/unittests/ServerRest/ServerRestTest.cpp
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "../Proxy/ProxyBench.h"
-#include "../Proxy/ServiceBench.h"
+#include "../Proxy/ProxyFixture.h"
+#include "../Proxy/ServiceFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -24,27 +24,27 @@
 
 static ServerNotice askRest(double Seconds) {
   ServerNotice Notice;
-  Notice.Rest = fromSeconds(Seconds);
+  Notice.Backoff = fromSeconds(Seconds);
   return Notice;
 }
 
 static TimePoint after(double Seconds) {
-  return BenchBegin + fromSeconds(Seconds);
+  return FixtureStart + fromSeconds(Seconds);
 }
 
 TEST_CASE("no request goes to a server before the rest it asked for is over") {
-  ServiceBench Under;
-  Under.say("b0", askRest(3), RequestOutcome::Shed, BenchBegin);
+  ServiceFixture Under;
+  Under.answerWithNotice("b0", askRest(3), RequestOutcome::Shed, FixtureStart);
   for (const double At : {0.01, 0.5, 1.0, 2.0, 2.5})
     CHECK(Under.send(100, after(At))["b0"] == 0);
 }
 
 TEST_CASE("a server that has rested has its share again at once") {
-  ServiceBench Under;
-  (void)Under.send(100, BenchBegin);
+  ServiceFixture Under;
+  (void)Under.send(100, FixtureStart);
   for (int I = 0; I < 5; ++I) {
     const TimePoint Now = after(1 + 1.5 * I);
-    Under.say("b0", askRest(1), RequestOutcome::Shed, Now);
+    Under.answerWithNotice("b0", askRest(1), RequestOutcome::Shed, Now);
     CHECK(Under.send(100, Now)["b0"] == 0);
   }
   // Its fair part is a hundred.
@@ -52,8 +52,8 @@
 }
 
 TEST_CASE("a rest is not given up for the floor") {
-  ServiceBench Under(8);
-  Under.say("b0", askRest(3), RequestOutcome::Shed, BenchBegin);
+  ServiceFixture Under(8);
+  Under.answerWithNotice("b0", askRest(3), RequestOutcome::Shed, FixtureStart);
   for (const double At : {0.2, 1.2, 2.2}) {
     CHECK(Under.send(60, after(At), RequestOutcome::Failed)["b0"] == 0);
     CHECK(Under.send(60, after(At + 0.2))["b0"] == 0);
@@ -61,8 +61,8 @@
 }
 
 TEST_CASE("peers' good answers do not end a rest") {
-  ServiceBench Under;
-  Under.say("b0", askRest(3), RequestOutcome::Shed, BenchBegin);
+  ServiceFixture Under;
+  Under.answerWithNotice("b0", askRest(3), RequestOutcome::Shed, FixtureStart);
   for (int I = 0; I < 20; ++I)
     Under.Service->takeObservation(
         {getServerId("s", "b0"), RequestOutcome::Good, 0, 100}, after(1));
@@ -70,8 +70,8 @@
 }
 
 TEST_CASE("where all servers rest, callers are told when the first is back") {
-  ServiceBench Under(2);
-  (void)Under.send(100, BenchBegin, RequestOutcome::Shed, askRest(4));
+  ServiceFixture Under(2);
+  (void)Under.send(100, FixtureStart, RequestOutcome::Shed, askRest(4));
   CHECK(Under.send(10, after(1))[""] == 10);
   Duration Wait{};
   CHECK(Under.Service->admit("r", fromSeconds(5), after(1), Wait) ==
@@ -82,9 +82,10 @@
 }
 
 TEST_CASE("a refusal without a wish is evidence as it was") {
-  ServiceBench Under;
+  ServiceFixture Under;
   for (int I = 0; I < 5; ++I)
-    Under.say("b0", ServerNotice(), RequestOutcome::Shed, BenchBegin);
+    Under.answerWithNotice("b0", ServerNotice(), RequestOutcome::Shed,
+                           FixtureStart);
   CHECK(Under.send(400, after(0.1))["b0"] < 50);
 }
 
@@ -94,7 +95,7 @@
   std::strftime(Date, sizeof(Date), "%a, %d %b %Y %H:%M:%S GMT",
                 std::gmtime(&Until));
   for (const std::string &Rest : {std::string("30"), std::string(Date)}) {
-    ProxyBench Under;
+    ProxyFixture Under;
     BackendFaults Resting;
     Resting.Shed = true;
     Resting.Rest = Rest;
@@ -107,7 +108,7 @@
 
 TEST_CASE("over real connections words that are no time are no rest") {
   for (const char *Rest : {"soon", "-1", "1e99"}) {
-    ProxyBench Under;
+    ProxyFixture Under;
     BackendFaults Resting;
     Resting.Shed = true;
     Resting.Rest = Rest;
