--- a/include/canvaswick/Routing/RateLimitShare.h
+++ b/include/canvaswick/Routing/RateLimitShare.h
@@ -1,4 +1,4 @@
-//===- RateLimitShare.h - One daemon's part of a server's limit -*- C++ -*-===//
+//===- RateLimitShare.h - A daemon's share of a request limit ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,12 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A server's limit holds for all daemons together. A few of them, chosen by
-/// hashing out of those of its hall, share it: they need not tell each other
-/// what they send. The others send nothing while they hear that the limit still
-/// holds. Who has heard nothing of it for a while sends a request now and then,
-/// at times that differ between daemons.
+/// A server's request limit applies to all daemons together. A few senders,
+/// chosen by rendezvous hashing among the daemons of the server's hall, divide
+/// it between them without coordination. All other daemons send nothing while
+/// they receive reports that the limit is still in force. A daemon that has
+/// received none for a while sends an occasional probe, at times that differ
+/// between daemons.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,73 +28,78 @@
 
 namespace canvaswick {
 
-/// The daemons of a fleet as one of them sees it.
+/// The daemons of a fleet as one of them knows them.
 struct FleetDaemons {
   std::string Self;
-  /// By name of the hall. Those of no known hall are in All only.
+  /// Keyed by the name of the hall. Daemons of an unknown hall are in All only.
   std::map<std::string, std::vector<std::string>> Halls;
   std::vector<std::string> All;
 
   bool operator==(const FleetDaemons &) const = default;
 };
 
-/// What one daemon may send to one server that names a limit. Not thread-safe.
+/// The part of a server's request limit that one daemon may use. Not
+/// thread-safe.
 class RateLimitShare {
 public:
-  /// Key is "service/server", and Hall the server's. For the rest see hear.
+  /// Key is "service/server" and Hall is the server's hall. For the other
+  /// parameters see updateLimit.
   RateLimitShare(std::string Key, std::string Hall, double PerSecond,
-                 TimePoint HeardAt, const FleetDaemons &Fleet, TimePoint Now);
+                 TimePoint ReceivedAt, const FleetDaemons &Fleet,
+                 TimePoint Now);
 
-  /// Notes that the server named its limit at HeardAt, in requests a second.
-  void updateLimit(double PerSecond, TimePoint HeardAt,
+  /// Records that the server stated its limit, in requests per second, at
+  /// ReceivedAt.
+  void updateLimit(double PerSecond, TimePoint ReceivedAt,
                    const FleetDaemons &Fleet, TimePoint Now);
 
-  /// Takes who there is.
+  /// Applies a change of the fleet's daemons.
   void setFleet(const FleetDaemons &Fleet, TimePoint Now);
 
   double getPerSecond() const { return this->PerSecond; }
-  TimePoint getReceivedAt() const { return this->HeardAt; }
+  TimePoint getReceivedAt() const { return this->ReceivedAt; }
 
-  /// Returns whether word of the limit is so new that it surely holds.
+  /// Returns whether the limit was reported so recently that it is certainly
+  /// still in force.
   bool isFresh(TimePoint Now) const;
 
-  /// Returns whether this daemon is one of those that share the limit.
+  /// Returns whether this daemon is one of the senders.
   bool isSender() const { return this->IsSender; }
 
   /// Returns whether a request may be sent now.
   bool maySend(TimePoint Now) const;
 
-  /// Returns how many times its usual share the server should get from this
-  /// daemon when a request may be sent: it sends for those that may not, and a
-  /// test should not be missed.
-  double getWeightFactor() const { return this->Boost; }
+  /// Returns the factor by which to raise the server's share in the selection
+  /// while a request may be sent: a sender also sends on behalf of daemons that
+  /// may not, and a probe should not be missed.
+  double getWeightFactor() const { return this->WeightFactor; }
 
-  /// Notes that a request was sent.
+  /// Records that a request was sent.
   void recordRequestSent(TimePoint Now);
 
-  /// Returns how long until a request may be sent.
+  /// Returns the time until a request may be sent.
   Duration getWait(TimePoint Now) const;
 
 private:
   void chooseSenders(const FleetDaemons &Fleet, TimePoint Now);
   double getTokens(TimePoint Now) const;
-  double getTestPeriod() const;
-  double getTestAge(TimePoint Now) const;
+  double getProbePeriod() const;
+  double getProbeAge(TimePoint Now) const;
 
   std::string Key;
   std::string Hall;
   double PerSecond = 0;
-  TimePoint HeardAt{};
+  TimePoint ReceivedAt{};
   bool IsSender = false;
-  /// Requests a second that are this daemon's, if it is a sender.
+  /// The request rate of this daemon, per second, if it is a sender.
   double Rate = 0;
-  double Boost = 1;
+  double WeightFactor = 1;
   double Tokens = 0;
   TimePoint TokensAt{};
-  /// How many daemons there are, and where among their tests this one's lie, in
-  /// [0, 1).
+  /// The number of daemons, and the phase of this daemon's probes within the
+  /// probe period, in [0, 1).
   size_t Daemons = 1;
-  double Phase = 0;
+  double ProbePhase = 0;
   TimePoint SentAt{};
 };
 
--- a/include/canvaswick/Routing/RouteTable.h
+++ b/include/canvaswick/Routing/RouteTable.h
@@ -1,4 +1,4 @@
-//===- RouteTable.h - Which service a request goes to -----------*- C++ -*-===//
+//===- RouteTable.h - Maps requests to routes -------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Finds the route of a host and path: the longest prefix that ends at a path
-/// segment wins, and a route with a host goes before one without.
+/// Finds the route of a host and path. The longest prefix that ends at a path
+/// segment wins, and routes with a host take precedence over those without.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +23,14 @@
 
 namespace canvaswick {
 
-/// All routes of one version of the settings, ready for lookups.
+/// All routes of one version of the settings, indexed for lookups. Immutable.
 class RouteTable {
 public:
   /// Routes must outlive the table.
   explicit RouteTable(const std::vector<RouteConfig> &Routes);
 
-  /// Returns the route, or null if none takes the request. Target may carry a
-  /// query. The time is proportional to the segments of the path.
+  /// Returns the route of a request, or null. Target may include a query. Takes
+  /// time proportional to the number of path segments.
   const RouteConfig *find(const std::string &Host,
                           const std::string &Target) const;
 
@@ -41,11 +41,12 @@
   std::unordered_map<std::string, const RouteConfig *> Routes;
 };
 
-/// Returns the path of a target without its query.
+/// Returns the path of a request target, without query and fragment.
 std::string getTargetPath(const std::string &Target);
 
-/// Returns whether a path could mean another one to a backend server: it holds
-/// dot segments, plain or percent-encoded, empty segments or a backslash.
+/// Returns whether a backend server could read a path as another one: it
+/// contains dot segments, plain or percent-encoded, empty segments or a
+/// backslash.
 bool isAmbiguousPath(const std::string &Path);
 
 } // namespace canvaswick
--- a/include/canvaswick/Routing/ServerNotices.h
+++ b/include/canvaswick/Routing/ServerNotices.h
@@ -1,4 +1,4 @@
-//===- ServerNotices.h - What servers say of themselves ---------*- C++ -*-===//
+//===- ServerNotices.h - State of server notices ----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// In the head of an answer a backend server may say how many requests it takes
-/// from all daemons together, that it leaves, or that it wants nothing for a
-/// while. Here is what a daemon remembers of that, by a server's life: nothing
-/// of one life counts for the next.
+/// With response headers a backend server may limit the request rate of all
+/// daemons together, announce that it leaves, or ask for a backoff. This is
+/// what a daemon remembers of these notices. They are stored per server
+/// instance: a restarted server begins without any.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,17 +30,18 @@
 
 namespace canvaswick {
 
-/// What one answer says of its server.
+/// The notice in one response.
 struct ServerNotice {
-  /// Requests a second that it takes from all daemons together.
+  /// The request rate, per second, that the server accepts from all daemons
+  /// together.
   std::optional<double> RequestsPerSecond;
   bool IsLeaving = false;
-  /// How long it wants nothing from this daemon.
+  /// The time for which the server wants no requests from this daemon.
   std::optional<Duration> Backoff;
-  /// Whether a limit that it no longer names is taken back. A failure need not
-  /// name it.
+  /// Whether a notice without a limit withdraws an earlier one. Failure
+  /// responses need not repeat the limit.
   bool MayEndLimit = false;
-  /// Whether it holds a word that cannot be understood.
+  /// Whether the notice contains a malformed value.
   bool IsMalformed = false;
 
   bool isEmpty() const {
@@ -49,98 +50,101 @@
   }
 };
 
-/// The server of a notice.
+/// The server that sent a notice.
 struct NoticeSource {
-  /// Names one life of it.
+  /// Identifies one instance of the server: one start of its process.
   ServerId Id = 0;
   /// "service/server".
   std::string Key;
   std::string Hall;
 };
 
-/// What a server can say of itself.
+/// The kinds of notices.
 enum class NoticeKind : uint8_t { Limit, Leaving, Backoff, Malformed };
 
-/// Returns the name of a kind as logs print it.
+/// Returns the name of a kind in the log.
 const char *getName(NoticeKind Kind);
 
-/// What became of a word of a server.
+/// The transitions of a notice.
 enum class NoticeStep : uint8_t { Begun, Changed, Ended };
 
-/// Returns the name of a step as logs print it.
+/// Returns the name of a transition in the log.
 const char *getName(NoticeStep Step);
 
-/// A change of what a server says.
+/// A transition of one of a server's notices.
 struct NoticeChange {
   std::string Key;
   NoticeKind Kind = NoticeKind::Limit;
   NoticeStep Step = NoticeStep::Begun;
-  /// Requests a second, or seconds of rest.
+  /// Requests per second, or seconds of backoff.
   double Value = 0;
 };
 
-/// How many servers say what.
+/// The numbers of servers with an active notice.
 struct NoticeCounts {
   size_t Limited = 0;
   size_t Leaving = 0;
   size_t InBackoff = 0;
 };
 
-/// What daemons tell each other of a server's limit.
+/// A server's limit as daemons report it to each other.
 struct LimitReport {
   ServerId Server = 0;
-  /// Requests a second; 0: the limit has ended.
+  /// Requests per second; 0 if the limit has ended.
   double PerSecond = 0;
-  /// How long ago the server said so.
+  /// The time since the server stated the limit or withdrew it.
   Duration Age{};
 
   bool operator==(const LimitReport &) const = default;
 };
 
-/// What servers have said to one daemon. Not thread-safe.
+/// The server notices known to one daemon. Not thread-safe.
 class ServerNotices {
 public:
-  /// Takes who there is: servers' limits are shared among them.
+  /// Applies a change of the fleet's daemons, which share the servers' limits.
   void setFleet(const FleetDaemons &Given, TimePoint Now);
 
-  /// Takes the notice of an answer to a request that was sent at AskedAt.
-  /// Returns what of it is new.
+  /// Records the notice in the response to a request that was sent at SentAt.
+  /// Returns what has changed.
   std::vector<NoticeChange> recordNotice(const NoticeSource &From,
                                          const ServerNotice &Notice,
-                                         TimePoint AskedAt, TimePoint Now);
+                                         TimePoint SentAt, TimePoint Now);
 
-  /// Takes what a peer tells of a server's limit. Returns what of it is new.
+  /// Applies a peer's report of a server's limit. Returns what has changed.
   std::vector<NoticeChange> applyReport(const NoticeSource &From,
                                         const LimitReport &Given,
                                         TimePoint Now);
 
-  /// Returns what servers have said of their limits to this daemon itself and
-  /// peers have not heard of late, and takes it as told.
-  std::vector<LimitReport> drainLimitReports(size_t Most, TimePoint Now);
+  /// Returns reports of at most MaxReports limits that servers stated to this
+  /// daemon and that are due for peers, and marks them as reported.
+  std::vector<LimitReport> drainLimitReports(size_t MaxReports, TimePoint Now);
 
-  /// Returns all limits of which word is new, and those that have just ended.
-  std::vector<LimitReport> listLimitReports(size_t Most, TimePoint Now) const;
+  /// Returns at most MaxReports reports of all fresh limits and of those that
+  /// ended recently.
+  std::vector<LimitReport> listLimitReports(size_t MaxReports,
+                                            TimePoint Now) const;
 
-  /// Returns how many times its usual share a server may get now; 0: nothing
-  /// may be sent there.
+  /// Returns the factor by which to multiply a server's share; 0 if it must not
+  /// get a request now.
   double getShareFactor(ServerId Server, TimePoint Now) const;
 
-  /// Returns how long until something may be sent to a server.
+  /// Returns the time until a server may get a request.
   Duration getWait(ServerId Server, TimePoint Now) const;
 
-  /// Notes that a request is sent to a server.
+  /// Records that a request is sent to a server.
   void recordRequestSent(ServerId Server, TimePoint Now);
 
-  /// Returns what a server says now that matters most, or nothing.
+  /// Returns the active notice with the highest precedence (leaving, backoff,
+  /// limit), or nothing.
   std::optional<NoticeKind> getActiveKind(ServerId Server, TimePoint Now) const;
 
-  /// Forgets what no longer holds, and returns it.
+  /// Removes expired notices. Returns what has changed.
   std::vector<NoticeChange> forgetOld(TimePoint Now);
 
-  /// Returns how many servers say what.
+  /// Counts the servers with active notices.
   NoticeCounts count(TimePoint Now) const;
 
-  /// Returns whether nothing is remembered of any server.
+  /// Returns whether no notice of any server is stored.
   bool isEmpty() const { return this->Entries.empty(); }
 
 private:
@@ -148,28 +152,30 @@
     std::string Key;
     std::string Hall;
     std::optional<RateLimitShare> Limit;
-    /// When the last limit ended.
+    /// The time at which the last limit ended.
     std::optional<TimePoint> LimitEndedAt;
-    /// Whether peers should hear of the limit, and when they last did.
-    bool HasNews = false;
-    TimePoint ToldAt{};
+    /// Whether the limit is to be reported to peers, and when it was last
+    /// reported.
+    bool HasUnreportedLimit = false;
+    TimePoint ReportedAt{};
     std::optional<TimePoint> LeavingUntil;
-    std::optional<TimePoint> RestUntil;
-    std::optional<TimePoint> MisreadUntil;
+    std::optional<TimePoint> BackoffUntil;
+    std::optional<TimePoint> MalformedUntil;
   };
   using Changes = std::vector<NoticeChange>;
 
-  Entry &findEntry(const NoticeSource &Of);
-  void setLimit(Entry &Of, double PerSecond, TimePoint HeardAt, TimePoint Now,
-                Changes &All) const;
-  static void endLimit(Entry &Of, TimePoint At, Changes &All);
-  void noteLimit(Entry &Of, const ServerNotice &Notice, TimePoint AskedAt,
-                 TimePoint Now, Changes &All) const;
-  static void noteLeaving(Entry &Of, TimePoint Now, Changes &All);
-  static void noteRest(Entry &Of, Duration Rest, TimePoint Now, Changes &All);
-  static void noteMisread(Entry &Of, TimePoint Now, Changes &All);
-  static void endOld(Entry &Of, TimePoint Now, Changes &All);
-  static LimitReport makeReport(ServerId Server, const Entry &Of,
+  Entry &findEntry(const NoticeSource &Source);
+  void setLimit(Entry &State, double PerSecond, TimePoint ReceivedAt,
+                TimePoint Now, Changes &All) const;
+  static void endLimit(Entry &State, TimePoint At, Changes &All);
+  void recordLimit(Entry &State, const ServerNotice &Notice, TimePoint SentAt,
+                   TimePoint Now, Changes &All) const;
+  static void recordLeaving(Entry &State, TimePoint Now, Changes &All);
+  static void recordBackoff(Entry &State, Duration Backoff, TimePoint Now,
+                            Changes &All);
+  static void recordMalformed(Entry &State, TimePoint Now, Changes &All);
+  static void endExpired(Entry &State, TimePoint Now, Changes &All);
+  static LimitReport makeReport(ServerId Server, const Entry &State,
                                 TimePoint Now);
 
   FleetDaemons Fleet;
--- a/include/canvaswick/Routing/ServerSelector.h
+++ b/include/canvaswick/Routing/ServerSelector.h
@@ -1,4 +1,4 @@
-//===- ServerSelector.h - Which backend server gets the next request -*- C++
+//===- ServerSelector.h - Selects a server for a request --------*- C++ -*-===//
 //-*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
@@ -8,9 +8,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Picks two candidates at random by their shares and takes the less loaded
-/// one. Knows only this daemon's own requests and load reports that lag, so it
-/// never trusts either alone.
+/// Draws two candidates at random, weighted by their shares, and takes the less
+/// loaded one. The selector knows only this daemon's own requests and load
+/// reports that are delayed, so that it relies on neither alone.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,78 +27,82 @@
 
 namespace canvaswick {
 
-/// Random numbers for decisions. Seeded once per daemon or per simulated run.
+/// Generates the random numbers for decisions. Seeded once per daemon or per
+/// simulated run.
 using RandomSource = std::mt19937_64;
 
-/// What the selector must know of one server.
+/// A server's properties that matter for the selection.
 struct SelectableServer {
   int Slots = 1;
-  /// Requests that this daemon may have at the server at once.
+  /// The maximum number of concurrent requests of this daemon at the server.
   int ConcurrencyLimit = 1;
   bool IsSameHall = true;
-  /// When the server was first seen; it gets its full share after ColdStart.
+  /// The time at which the server was first seen. It gets its full share after
+  /// the cold start time.
   TimePoint FirstSeen{};
 };
 
-/// How a choice weighs distance and load.
+/// How a selection weighs distance and load.
 struct SelectionRules {
-  /// Part of a near server's weight that one in another hall has.
+  /// The weight of a server in another hall, relative to one in the same hall.
   double RemoteWeight = 1;
-  /// Whether shares account for load and slots already.
+  /// Whether the shares already account for load and slots.
   bool IsLoadInShares = false;
 };
 
-/// Returns how much longer than at an idle server a request takes that finds
-/// Load others there: once all slots are taken it waits its turn.
+/// Returns the factor by which Load other requests at a server prolong a
+/// request: once all slots are taken, requests are queued.
 double getQueueFactor(double Load, int Slots);
 
-/// Chooses servers of one service for one daemon.
+/// Selects servers of one service for one daemon. Not thread-safe.
 class ServerSelector {
 public:
   ServerSelector(std::vector<SelectableServer> Servers, Duration ColdStart);
 
-  /// Picks a server, or -1 if none may take a request now. Shares holds the
-  /// part of its fair share that each server gets; Excluded servers were tried
-  /// before.
+  /// Selects a server, or returns -1 if none may take a request now. Shares
+  /// holds the fraction of its fair share that each server gets. Excluded lists
+  /// servers that must not be selected, because they were tried before.
   int pick(const std::vector<double> &Shares,
            const std::vector<size_t> &Excluded, TimePoint Now,
            RandomSource &Random, const SelectionRules &Rules = {}) const;
 
-  /// Notes that a request was sent to a server.
+  /// Records that a request was sent to a server.
   void begin(size_t Server);
 
-  /// Notes that a request has ended.
+  /// Records that a request has ended.
   void end(size_t Server, RequestOutcome Outcome, TimePoint Now);
 
-  /// Takes over what is known of the servers that are in both. Matches holds
+  /// Copies the state of the servers that are in both selectors. Matches holds
   /// for each server its index in Other, or -1.
   void adopt(const ServerSelector &Other, const std::vector<int> &Matches);
 
-  /// Takes a load report: requests at the server from everyone, at most some
-  /// seconds old. It lags or misleads, so it only breaks ties.
+  /// Records a load report: the number of requests from all daemons at the
+  /// server. Reports are a few seconds old and may be wrong, so that they only
+  /// count in part, to break ties.
   void noteReportedLoad(size_t Server, double Load, TimePoint Now);
 
-  /// Restarts the slow start of a server that was away.
+  /// Restarts the slow start of a server that was out of use.
   void restartColdStart(size_t Server, TimePoint Now);
 
-  /// Returns whether a server stands in this daemon's hall.
+  /// Returns whether a server is in this daemon's hall.
   bool isSameHall(size_t Server) const {
     return this->Servers[Server].Config.IsSameHall;
   }
 
-  /// Returns this daemon's requests at a server.
+  /// Returns the number of this daemon's requests at a server.
   int countInFlight(size_t Server) const;
 
-  /// Returns the part of its weight that overload and cold start leave.
+  /// Returns the fraction of a server's weight that remains after load shedding
+  /// and during a cold start.
   double getReadiness(size_t Server, TimePoint Now) const;
 
 private:
   struct ServerState {
     SelectableServer Config;
     int InFlight = 0;
-    /// Falls when the server sheds, and recovers with time.
-    double Ease = 1;
-    TimePoint EaseAt{};
+    /// Decreases when the server sheds load, and recovers over time.
+    double ShedFactor = 1;
+    TimePoint ShedFactorAt{};
     double ReportedLoad = 0;
     TimePoint ReportedAt{};
   };
@@ -106,7 +110,7 @@
   double getWeight(size_t Server, const std::vector<double> &Shares,
                    TimePoint Now, const SelectionRules &Rules) const;
   double getCost(size_t Server, TimePoint Now) const;
-  double getEase(const ServerState &State, TimePoint Now) const;
+  double getShedFactor(const ServerState &State, TimePoint Now) const;
 
   std::vector<ServerState> Servers;
   Duration ColdStart;
--- a/include/canvaswick/Routing/SubsetChooser.h
+++ b/include/canvaswick/Routing/SubsetChooser.h
@@ -1,4 +1,4 @@
-//===- SubsetChooser.h - Which backend servers a daemon connects to -*- C++
+//===- SubsetChooser.h - Chooses the servers of a daemon --------*- C++ -*-===//
 //-*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
@@ -8,9 +8,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A backend server accepts some hundred connections from the whole fleet. Each
-/// server is given to as many daemons as its connections allow, by rendezvous
-/// hashing, so that the bound holds without anyone counting.
+/// A backend server accepts a few hundred connections from the whole fleet.
+/// Rendezvous hashing assigns each server to as many daemons as its connections
+/// allow, so that the bound holds without coordination.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,25 +24,28 @@
 
 namespace canvaswick {
 
-/// Connections that a daemon needs to a server to be of use to it.
+/// The number of connections that a daemon needs for a server to be worth
+/// using.
 inline constexpr int MinConnectionsPerDaemon = 2;
 
-/// What one daemon may use of one service.
+/// The servers of one service that a daemon uses.
 struct ServerSubset {
   /// Indexes of the servers, in the order of the settings.
   std::vector<size_t> Servers;
-  /// For each of them, the connections this daemon may open.
+  /// For each of these servers, the maximum number of connections of this
+  /// daemon.
   std::vector<int> Connections;
 };
 
-/// Chooses for the daemon Self out of Daemons, which must hold Self. With few
-/// daemons every server is chosen.
+/// Chooses the servers for the daemon Self. Daemons must contain Self. In a
+/// small fleet every daemon gets all servers.
 ServerSubset chooseSubset(const ServiceConfig &Service, const std::string &Self,
                           const std::vector<std::string> &Daemons,
                           int ExpectedDaemons);
 
-/// Returns how many of Daemons rank before Self for a server, whose Key is
-/// "service/server". The first ones are in chooseSubset's for it.
+/// Returns how many of Daemons rank before Self for a server. Key is
+/// "service/server". chooseSubset assigns the server to the daemons of the
+/// lowest ranks.
 int getDaemonRank(const std::string &Key, const std::string &Self,
                   const std::vector<std::string> &Daemons);
 
--- a/lib/Routing/RateLimitShare.cpp
+++ b/lib/Routing/RateLimitShare.cpp
@@ -1,4 +1,4 @@
-//===- RateLimitShare.cpp - One daemon's part of a server's limit ---------===//
+//===- RateLimitShare.cpp - A daemon's share of a request limit -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A sender has a bucket of tokens that holds hardly more than one, so that in
-/// any stretch of time all of them send little more than what the limit allows
-/// in it, whenever they were idle before.
+/// Each sender has a token bucket that holds hardly more than one token, so
+/// that in any time window all senders together send little more than the limit
+/// allows, even after they were idle.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,86 +23,93 @@
 
 namespace canvaswick {
 
-/// Senders, where a limit is small: one that dies takes a third with it, and
-/// the tokens of three that were idle are no more than a server in need bears.
-static constexpr size_t LeastSenders = 3;
+/// The minimum number of senders for a small limit. If one of three fails, a
+/// third of the rate is lost; the tokens that three idle senders accumulate are
+/// no more than an overloaded server can take.
+static constexpr size_t MinSenders = 3;
 
-/// Requests a second for which one more sender is chosen.
-static constexpr double RateOfSender = 1;
+/// The request rate, per second, that justifies one more sender.
+static constexpr double RatePerSender = 1;
 
-/// Part of a limit that senders use. The rest is for requests that daemons send
-/// before they have heard of it, and for tests.
-static constexpr double UsedPart = 0.9;
+/// The fraction of a limit that senders use. The rest is for probes and for
+/// requests of daemons that do not know the limit yet.
+static constexpr double SenderFraction = 0.9;
 
-/// Part of a limit that all tests together use.
-static constexpr double TestedPart = 0.25;
+/// The fraction of a limit that all probes together use.
+static constexpr double ProbeFraction = 0.25;
 
-/// A daemon that could not use a test lets it go after this time: kept, the
-/// tests of all would come at once.
-static constexpr Duration TestLife = fromSeconds(2);
+/// A probe that is not sent within this time is dropped. If probes accumulated,
+/// those of all daemons could be sent at once.
+static constexpr Duration ProbeWindow = fromSeconds(2);
 
-/// What a sender saves up at most: one request, and as much more as the server
-/// takes in this time, but no more than that of three senders does not harm.
-static constexpr Duration SavedTime = fromSeconds(1);
-static constexpr double MostSaved = 2;
+/// The capacity of a sender's bucket: one request, plus the requests that the
+/// server accepts in BurstTime, but at most MaxBurst, which is harmless even
+/// from three senders at once. It is larger if the sender's own rate yields
+/// more tokens in BurstTime.
+static constexpr Duration BurstTime = fromSeconds(1);
+static constexpr double MaxBurst = 2;
 
-/// Word of a limit is new for this long, or for as long as the server takes so
-/// many requests, of whose answers some are lost or late.
-static constexpr Duration LeastFresh = fromSeconds(3);
+/// A reported limit is fresh for this time, or for the time in which the server
+/// accepts FreshRequests requests, some of whose responses may be lost or late.
+static constexpr Duration MinFreshTime = fromSeconds(3);
 static constexpr double FreshRequests = 4;
 
 RateLimitShare::RateLimitShare(std::string Key, std::string Hall,
-                               double PerSecond, TimePoint HeardAt,
+                               double PerSecond, TimePoint ReceivedAt,
                                const FleetDaemons &Fleet, TimePoint Now)
     : Key(std::move(Key)), Hall(std::move(Hall)), PerSecond(PerSecond),
-      HeardAt(HeardAt), TokensAt(Now) {
+      ReceivedAt(ReceivedAt), TokensAt(Now) {
   this->chooseSenders(Fleet, Now);
 }
 
-/// Returns how many of the daemons of a server's hall share its limit; 0: those
-/// of all halls do, as it is larger than one daemon's requests matter.
+/// Returns how many daemons of the server's hall share its limit. Returns 0 if
+/// the daemons of all halls share it, because it is large enough for each of
+/// them.
 static size_t countSenders(double PerSecond, size_t OfHall, size_t All) {
-  if (PerSecond > RateOfSender * static_cast<double>(All))
+  if (PerSecond > RatePerSender * static_cast<double>(All))
     return 0;
-  const auto Wanted = static_cast<size_t>(std::ceil(PerSecond / RateOfSender));
-  return std::min(std::max(LeastSenders, Wanted), OfHall);
+  const auto Wanted = static_cast<size_t>(std::ceil(PerSecond / RatePerSender));
+  return std::min(std::max(MinSenders, Wanted), OfHall);
 }
 
 void RateLimitShare::chooseSenders(const FleetDaemons &Fleet, TimePoint Now) {
   const auto Found = Fleet.Halls.find(this->Hall);
   const bool HasHall = Found != Fleet.Halls.end() && !Found->second.empty();
-  const std::vector<std::string> &Near = HasHall ? Found->second : Fleet.All;
+  const std::vector<std::string> &HallDaemons =
+      HasHall ? Found->second : Fleet.All;
   const size_t Wanted =
-      countSenders(this->PerSecond, Near.size(), Fleet.All.size());
-  const std::vector<std::string> &Among = Wanted == 0 ? Fleet.All : Near;
-  const size_t Senders = Wanted == 0 ? Among.size() : Wanted;
-  const bool IsAmong =
-      std::find(Among.begin(), Among.end(), Fleet.Self) != Among.end();
+      countSenders(this->PerSecond, HallDaemons.size(), Fleet.All.size());
+  const std::vector<std::string> &Candidates =
+      Wanted == 0 ? Fleet.All : HallDaemons;
+  const size_t Senders = Wanted == 0 ? Candidates.size() : Wanted;
+  const bool IsCandidate = std::find(Candidates.begin(), Candidates.end(),
+                                     Fleet.Self) != Candidates.end();
   const bool WasSender = std::exchange(
-      this->IsSender, IsAmong && static_cast<size_t>(getDaemonRank(
-                                     this->Key, Fleet.Self, Among)) < Senders);
-  // What another had saved up is not this one's.
+      this->IsSender,
+      IsCandidate && static_cast<size_t>(getDaemonRank(this->Key, Fleet.Self,
+                                                       Candidates)) < Senders);
+  // A new sender must not use the tokens that another one has accumulated.
   this->Tokens = WasSender ? this->getTokens(Now) : 0;
   this->TokensAt = Now;
   const auto Parts = static_cast<double>(std::max<size_t>(1, Senders));
-  this->Rate = UsedPart * this->PerSecond / Parts;
-  this->Boost =
-      static_cast<double>(Among.size()) / (this->IsSender ? Parts : 1);
+  this->Rate = SenderFraction * this->PerSecond / Parts;
+  this->WeightFactor =
+      static_cast<double>(Candidates.size()) / (this->IsSender ? Parts : 1);
   this->Daemons = std::max<size_t>(1, Fleet.All.size());
   static constexpr uint64_t Steps = 1 << 20;
-  this->Phase =
+  this->ProbePhase =
       static_cast<double>(hashText(Fleet.Self, hashText(this->Key)) % Steps) /
       static_cast<double>(Steps);
 }
 
-void RateLimitShare::updateLimit(double Named, TimePoint At,
+void RateLimitShare::updateLimit(double NewLimit, TimePoint At,
                                  const FleetDaemons &Fleet, TimePoint Now) {
-  this->HeardAt = std::max(this->HeardAt, At);
-  if (Named == this->PerSecond)
+  this->ReceivedAt = std::max(this->ReceivedAt, At);
+  if (NewLimit == this->PerSecond)
     return;
   this->Tokens = this->getTokens(Now);
   this->TokensAt = Now;
-  this->PerSecond = Named;
+  this->PerSecond = NewLimit;
   this->chooseSenders(Fleet, Now);
 }
 
@@ -111,38 +118,38 @@
 }
 
 bool RateLimitShare::isFresh(TimePoint Now) const {
-  const Duration Life =
-      std::max(LeastFresh, fromSeconds(FreshRequests / this->PerSecond));
-  return Now - this->HeardAt < Life;
+  const Duration FreshTime =
+      std::max(MinFreshTime, fromSeconds(FreshRequests / this->PerSecond));
+  return Now - this->ReceivedAt < FreshTime;
 }
 
 double RateLimitShare::getTokens(TimePoint Now) const {
-  const double Saved = 1 + this->PerSecond * toSeconds(SavedTime);
-  const double Most =
-      std::max(std::min(Saved, MostSaved), this->Rate * toSeconds(SavedTime));
-  const double Grown =
+  const double Saved = 1 + this->PerSecond * toSeconds(BurstTime);
+  const double Capacity =
+      std::max(std::min(Saved, MaxBurst), this->Rate * toSeconds(BurstTime));
+  const double Refilled =
       this->Rate * std::max(0.0, toSeconds(Now - this->TokensAt));
-  return std::min(Most, this->Tokens + Grown);
+  return std::min(Capacity, this->Tokens + Refilled);
 }
 
-/// Returns the time from one test of this daemon to the next, in seconds.
-double RateLimitShare::getTestPeriod() const {
-  return static_cast<double>(this->Daemons) / (TestedPart * this->PerSecond);
+/// Returns the time between two probes of this daemon, in seconds.
+double RateLimitShare::getProbePeriod() const {
+  return static_cast<double>(this->Daemons) / (ProbeFraction * this->PerSecond);
 }
 
-/// Returns how long ago this daemon's last test became due, in seconds.
-double RateLimitShare::getTestAge(TimePoint Now) const {
-  const double Period = this->getTestPeriod();
-  return std::fmod(toSeconds(Now.time_since_epoch()) + this->Phase * Period,
-                   Period);
+/// Returns the time since this daemon's last probe became due, in seconds.
+double RateLimitShare::getProbeAge(TimePoint Now) const {
+  const double Period = this->getProbePeriod();
+  return std::fmod(
+      toSeconds(Now.time_since_epoch()) + this->ProbePhase * Period, Period);
 }
 
 bool RateLimitShare::maySend(TimePoint Now) const {
   if (this->IsSender)
     return this->getTokens(Now) >= 1;
-  if (this->isFresh(Now) || Now - this->SentAt < TestLife)
+  if (this->isFresh(Now) || Now - this->SentAt < ProbeWindow)
     return false;
-  return this->getTestAge(Now) < toSeconds(TestLife);
+  return this->getProbeAge(Now) < toSeconds(ProbeWindow);
 }
 
 void RateLimitShare::recordRequestSent(TimePoint Now) {
@@ -156,7 +163,7 @@
     return Duration::zero();
   if (this->IsSender)
     return fromSeconds((1 - this->getTokens(Now)) / this->Rate);
-  return fromSeconds(this->getTestPeriod() - this->getTestAge(Now));
+  return fromSeconds(this->getProbePeriod() - this->getProbeAge(Now));
 }
 
 } // namespace canvaswick
--- a/lib/Routing/RouteTable.cpp
+++ b/lib/Routing/RouteTable.cpp
@@ -1,4 +1,4 @@
-//===- RouteTable.cpp - Which service a request goes to -------------------===//
+//===- RouteTable.cpp - Maps requests to routes ---------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One hash table keyed by host and prefix; a lookup shortens the path segment
-/// by segment.
+/// Uses one hash table keyed by host and prefix. A lookup removes the path's
+/// last segment until it finds a prefix.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -40,8 +40,8 @@
   return Host.substr(0, Host.find(':'));
 }
 
-/// A prefix that ends with a slash takes what is below it, not the path without
-/// the slash.
+/// Returns whether a route matches a path. A prefix that ends with a slash
+/// matches the paths below it, but not the path without the slash.
 static bool takesPath(const RouteConfig &Route, const std::string &Path) {
   return !Route.Prefix.ends_with('/') || Path.starts_with(Route.Prefix);
 }
@@ -70,7 +70,7 @@
   return this->findForHost("", Path);
 }
 
-/// Replaces "%2e", "%2f" and "%5c" by what they stand for.
+/// Decodes "%2e", "%2f" and "%5c".
 static std::string decodeSeparators(const std::string &Path) {
   std::string Plain;
   for (size_t I = 0; I < Path.size(); ++I) {
@@ -94,7 +94,7 @@
   const std::string Plain = decodeSeparators(Path) + "/";
   if (Plain.find('\\') != std::string::npos)
     return true;
-  // Only the end of the path may be an empty segment.
+  // Only the last segment of a path may be empty.
   if (Plain.find("//") != std::string::npos &&
       Plain.find("//") != Plain.size() - 2)
     return true;
--- a/lib/Routing/ServerNotices.cpp
+++ b/lib/Routing/ServerNotices.cpp
@@ -1,4 +1,4 @@
-//===- ServerNotices.cpp - What servers say of themselves -----------------===//
+//===- ServerNotices.cpp - State of server notices ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Each word has a bound in time, so that a server that lies or dies is asked
-/// again, and memory is bounded by the servers that spoke of late.
+/// Every notice expires, so that a server that sends wrong notices or crashes
+/// gets requests again. Memory is bounded by the number of servers that sent
+/// notices recently.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,34 +20,36 @@
 
 namespace canvaswick {
 
-/// Limits are taken to be no less and no more than this, in requests a second.
-/// Below it nobody would notice that the server takes more again.
-static constexpr double LeastLimit = 0.1;
-static constexpr double MostLimit = 100000;
+/// Limits are clamped to this range, in requests per second. With a lower
+/// limit, daemons would not notice that the server accepts more again.
+static constexpr double MinLimit = 0.1;
+static constexpr double MaxLimit = 100000;
 
-/// A limit that nobody has named for this long is forgotten.
-static constexpr Duration LimitLife = fromSeconds(300);
+/// A limit that has not been stated for this time expires.
+static constexpr Duration LimitTimeout = fromSeconds(300);
 
-/// That a limit has ended is remembered this long, for peers that hear of it
-/// late.
-static constexpr Duration EndedLife = fromSeconds(5);
+/// The time for which the end of a limit is remembered, because reports from
+/// peers may be late.
+static constexpr Duration LimitEndTimeout = fromSeconds(5);
 
-/// How often peers hear of one limit: a few times while their word is new.
+/// The interval at which a limit is reported to peers: several times while the
+/// report is fresh.
 static constexpr Duration ReportInterval = fromMillis(500);
 
-/// A server that leaves is gone well before; one that is still there then is
-/// asked again.
-static constexpr Duration LeavingLife = fromSeconds(300);
+/// A leaving server stops well before this time. If it is still there, it gets
+/// requests again.
+static constexpr Duration LeavingTimeout = fromSeconds(300);
 
-/// Of a server whose words cannot be understood it is said once in this time.
-static constexpr Duration MisreadLife = fromSeconds(60);
+/// Malformed notices of one server are logged once, and again after none has
+/// arrived for this time.
+static constexpr Duration MalformedTimeout = fromSeconds(60);
 
-/// Where all servers leave, others may take their place at any time: callers
-/// are asked to look again after this.
+/// The wait if all servers are leaving. Others may replace them at any time, so
+/// that callers should retry soon.
 static constexpr Duration SuccessorWait = fromSeconds(1);
 
-/// No rest is taken to be longer.
-static constexpr Duration MostRest = fromSeconds(300);
+/// The upper bound of a backoff.
+static constexpr Duration MaxBackoff = fromSeconds(300);
 
 static constexpr EnumNames<NoticeKind, 4> NoticeKindNames = {{
     {NoticeKind::Limit, "limit"},
@@ -69,8 +72,8 @@
   return getEnumName(NoticeStepNames, Step);
 }
 
-/// Returns whether an instant that may not be set is still to come.
-static bool isAhead(const std::optional<TimePoint> &Until, TimePoint Now) {
+/// Returns whether a time is set and lies in the future.
+static bool isFuture(const std::optional<TimePoint> &Until, TimePoint Now) {
   return Until && Now < *Until;
 }
 
@@ -78,92 +81,96 @@
   if (Given == this->Fleet)
     return;
   this->Fleet = Given;
-  for (auto &[Id, Of] : this->Entries)
-    if (Of.Limit)
-      Of.Limit->setFleet(Given, Now);
+  for (auto &[Id, State] : this->Entries)
+    if (State.Limit)
+      State.Limit->setFleet(Given, Now);
 }
 
-ServerNotices::Entry &ServerNotices::findEntry(const NoticeSource &Of) {
-  Entry &Found = this->Entries[Of.Id];
-  Found.Key = Of.Key;
-  Found.Hall = Of.Hall;
+ServerNotices::Entry &ServerNotices::findEntry(const NoticeSource &Source) {
+  Entry &Found = this->Entries[Source.Id];
+  Found.Key = Source.Key;
+  Found.Hall = Source.Hall;
   return Found;
 }
 
-void ServerNotices::setLimit(Entry &Of, double Asked, TimePoint HeardAt,
+void ServerNotices::setLimit(Entry &State, double Stated, TimePoint ReceivedAt,
                              TimePoint Now, Changes &All) const {
-  const double Named = std::clamp(Asked, LeastLimit, MostLimit);
-  if (!Of.Limit) {
-    All.push_back({Of.Key, NoticeKind::Limit, NoticeStep::Begun, Named});
-    Of.Limit.emplace(Of.Key, Of.Hall, Named, HeardAt, this->Fleet, Now);
+  const double Clamped = std::clamp(Stated, MinLimit, MaxLimit);
+  if (!State.Limit) {
+    All.push_back({State.Key, NoticeKind::Limit, NoticeStep::Begun, Clamped});
+    State.Limit.emplace(State.Key, State.Hall, Clamped, ReceivedAt, this->Fleet,
+                        Now);
     return;
   }
-  if (Of.Limit->getPerSecond() != Named)
-    All.push_back({Of.Key, NoticeKind::Limit, NoticeStep::Changed, Named});
-  Of.Limit->updateLimit(Named, HeardAt, this->Fleet, Now);
+  if (State.Limit->getPerSecond() != Clamped)
+    All.push_back({State.Key, NoticeKind::Limit, NoticeStep::Changed, Clamped});
+  State.Limit->updateLimit(Clamped, ReceivedAt, this->Fleet, Now);
 }
 
-void ServerNotices::endLimit(Entry &Of, TimePoint At, Changes &All) {
-  All.push_back(
-      {Of.Key, NoticeKind::Limit, NoticeStep::Ended, Of.Limit->getPerSecond()});
-  Of.Limit.reset();
-  Of.LimitEndedAt = At;
+void ServerNotices::endLimit(Entry &State, TimePoint At, Changes &All) {
+  All.push_back({State.Key, NoticeKind::Limit, NoticeStep::Ended,
+                 State.Limit->getPerSecond()});
+  State.Limit.reset();
+  State.LimitEndedAt = At;
 }
 
-void ServerNotices::noteLimit(Entry &Of, const ServerNotice &Notice,
-                              TimePoint AskedAt, TimePoint Now,
-                              Changes &All) const {
+void ServerNotices::recordLimit(Entry &State, const ServerNotice &Notice,
+                                TimePoint SentAt, TimePoint Now,
+                                Changes &All) const {
   if (Notice.RequestsPerSecond) {
-    this->setLimit(Of, *Notice.RequestsPerSecond, Now, Now, All);
-    Of.HasNews = true;
+    this->setLimit(State, *Notice.RequestsPerSecond, Now, Now, All);
+    State.HasUnreportedLimit = true;
     return;
   }
-  // An answer that was on its way before the word came says nothing of it.
-  const bool IsTakenBack =
-      Of.Limit && Notice.MayEndLimit && AskedAt > Of.Limit->getReceivedAt();
-  if (!IsTakenBack)
+  // A response to a request that was sent before the limit was received does
+  // not withdraw it.
+  const bool IsWithdrawn = State.Limit && Notice.MayEndLimit &&
+                           SentAt > State.Limit->getReceivedAt();
+  if (!IsWithdrawn)
     return;
-  endLimit(Of, Now, All);
-  Of.HasNews = true;
+  endLimit(State, Now, All);
+  State.HasUnreportedLimit = true;
 }
 
-void ServerNotices::noteLeaving(Entry &Of, TimePoint Now, Changes &All) {
-  if (!isAhead(Of.LeavingUntil, Now))
-    All.push_back({Of.Key, NoticeKind::Leaving, NoticeStep::Begun, 0});
-  Of.LeavingUntil = Now + LeavingLife;
+void ServerNotices::recordLeaving(Entry &State, TimePoint Now, Changes &All) {
+  if (!isFuture(State.LeavingUntil, Now))
+    All.push_back({State.Key, NoticeKind::Leaving, NoticeStep::Begun, 0});
+  State.LeavingUntil = Now + LeavingTimeout;
 }
 
-void ServerNotices::noteRest(Entry &Of, Duration Rest, TimePoint Now,
-                             Changes &All) {
-  const TimePoint Until = Now + std::clamp(Rest, Duration::zero(), MostRest);
-  if (!isAhead(Of.RestUntil, Now))
-    All.push_back({Of.Key, NoticeKind::Backoff, NoticeStep::Begun,
+void ServerNotices::recordBackoff(Entry &State, Duration Backoff, TimePoint Now,
+                                  Changes &All) {
+  const TimePoint Until =
+      Now + std::clamp(Backoff, Duration::zero(), MaxBackoff);
+  if (!isFuture(State.BackoffUntil, Now))
+    All.push_back({State.Key, NoticeKind::Backoff, NoticeStep::Begun,
                    toSeconds(Until - Now)});
-  // Each wish holds to its end, whatever a later one says.
-  Of.RestUntil = Of.RestUntil ? std::max(*Of.RestUntil, Until) : Until;
+  // A backoff lasts until its end, even if a later notice names a shorter one.
+  State.BackoffUntil =
+      State.BackoffUntil ? std::max(*State.BackoffUntil, Until) : Until;
 }
 
-void ServerNotices::noteMisread(Entry &Of, TimePoint Now, Changes &All) {
-  if (!isAhead(Of.MisreadUntil, Now))
-    All.push_back({Of.Key, NoticeKind::Malformed, NoticeStep::Begun, 0});
-  Of.MisreadUntil = Now + MisreadLife;
+void ServerNotices::recordMalformed(Entry &State, TimePoint Now, Changes &All) {
+  if (!isFuture(State.MalformedUntil, Now))
+    All.push_back({State.Key, NoticeKind::Malformed, NoticeStep::Begun, 0});
+  State.MalformedUntil = Now + MalformedTimeout;
 }
 
 std::vector<NoticeChange>
 ServerNotices::recordNotice(const NoticeSource &From,
-                            const ServerNotice &Notice, TimePoint AskedAt,
+                            const ServerNotice &Notice, TimePoint SentAt,
                             TimePoint Now) {
   Changes All;
   if (Notice.isEmpty() && this->Entries.count(From.Id) == 0)
     return All;
-  Entry &Of = this->findEntry(From);
-  this->noteLimit(Of, Notice, AskedAt, Now, All);
+  Entry &State = this->findEntry(From);
+  this->recordLimit(State, Notice, SentAt, Now, All);
   if (Notice.IsLeaving)
-    noteLeaving(Of, Now, All);
+    recordLeaving(State, Now, All);
   if (Notice.Backoff)
-    noteRest(Of, *Notice.Backoff, Now, All);
+    recordBackoff(State, *Notice.Backoff, Now, All);
   if (Notice.IsMalformed)
-    noteMisread(Of, Now, All);
+    recordMalformed(State, Now, All);
   return All;
 }
 
@@ -171,53 +178,55 @@
                                                      const LimitReport &Given,
                                                      TimePoint Now) {
   Changes All;
-  const TimePoint SaidAt = Now - Given.Age;
+  const TimePoint StatedAt = Now - Given.Age;
   const auto Found = this->Entries.find(From.Id);
   const bool IsKnown = Found != this->Entries.end();
   const bool IsOld =
       IsKnown &&
       ((Found->second.Limit &&
-        Found->second.Limit->getReceivedAt() >= SaidAt) ||
-       (Found->second.LimitEndedAt && *Found->second.LimitEndedAt >= SaidAt));
+        Found->second.Limit->getReceivedAt() >= StatedAt) ||
+       (Found->second.LimitEndedAt && *Found->second.LimitEndedAt >= StatedAt));
   const bool HasLimit = IsKnown && Found->second.Limit;
   if (IsOld || (Given.PerSecond <= 0 && !HasLimit))
     return All;
-  Entry &Of = this->findEntry(From);
+  Entry &State = this->findEntry(From);
   if (Given.PerSecond > 0)
-    this->setLimit(Of, Given.PerSecond, SaidAt, Now, All);
+    this->setLimit(State, Given.PerSecond, StatedAt, Now, All);
   else
-    endLimit(Of, SaidAt, All);
+    endLimit(State, StatedAt, All);
   return All;
 }
 
-LimitReport ServerNotices::makeReport(ServerId Server, const Entry &Of,
+LimitReport ServerNotices::makeReport(ServerId Server, const Entry &State,
                                       TimePoint Now) {
-  if (Of.Limit)
-    return {Server, Of.Limit->getPerSecond(), Now - Of.Limit->getReceivedAt()};
-  return {Server, 0, Now - Of.LimitEndedAt.value_or(Now)};
+  if (State.Limit)
+    return {Server, State.Limit->getPerSecond(),
+            Now - State.Limit->getReceivedAt()};
+  return {Server, 0, Now - State.LimitEndedAt.value_or(Now)};
 }
 
-std::vector<LimitReport> ServerNotices::drainLimitReports(size_t Most,
+std::vector<LimitReport> ServerNotices::drainLimitReports(size_t MaxReports,
                                                           TimePoint Now) {
-  std::vector<LimitReport> News;
-  for (auto &[Id, Of] : this->Entries) {
-    if (!Of.HasNews || News.size() >= Most || Now - Of.ToldAt < ReportInterval)
+  std::vector<LimitReport> Reports;
+  for (auto &[Id, State] : this->Entries) {
+    if (!State.HasUnreportedLimit || Reports.size() >= MaxReports ||
+        Now - State.ReportedAt < ReportInterval)
       continue;
-    Of.HasNews = false;
-    Of.ToldAt = Now;
-    News.push_back(makeReport(Id, Of, Now));
+    State.HasUnreportedLimit = false;
+    State.ReportedAt = Now;
+    Reports.push_back(makeReport(Id, State, Now));
   }
-  return News;
+  return Reports;
 }
 
-std::vector<LimitReport> ServerNotices::listLimitReports(size_t Most,
+std::vector<LimitReport> ServerNotices::listLimitReports(size_t MaxReports,
                                                          TimePoint Now) const {
   std::vector<LimitReport> Limits;
-  for (const auto &[Id, Of] : this->Entries) {
-    const bool IsFresh =
-        Of.Limit ? Of.Limit->isFresh(Now) : Of.LimitEndedAt.has_value();
-    if (IsFresh && Limits.size() < Most)
-      Limits.push_back(makeReport(Id, Of, Now));
+  for (const auto &[Id, State] : this->Entries) {
+    const bool IsFresh = State.Limit ? State.Limit->isFresh(Now)
+                                     : State.LimitEndedAt.has_value();
+    if (IsFresh && Limits.size() < MaxReports)
+      Limits.push_back(makeReport(Id, State, Now));
   }
   return Limits;
 }
@@ -226,24 +235,25 @@
   const auto Found = this->Entries.find(Server);
   if (Found == this->Entries.end())
     return 1;
-  const Entry &Of = Found->second;
-  if (isAhead(Of.LeavingUntil, Now) || isAhead(Of.RestUntil, Now))
+  const Entry &State = Found->second;
+  if (isFuture(State.LeavingUntil, Now) || isFuture(State.BackoffUntil, Now))
     return 0;
-  if (!Of.Limit)
+  if (!State.Limit)
     return 1;
-  return Of.Limit->maySend(Now) ? Of.Limit->getWeightFactor() : 0;
+  return State.Limit->maySend(Now) ? State.Limit->getWeightFactor() : 0;
 }
 
 Duration ServerNotices::getWait(ServerId Server, TimePoint Now) const {
   const auto Found = this->Entries.find(Server);
   if (Found == this->Entries.end())
     return Duration::zero();
-  const Entry &Of = Found->second;
-  if (isAhead(Of.LeavingUntil, Now))
+  const Entry &State = Found->second;
+  if (isFuture(State.LeavingUntil, Now))
     return SuccessorWait;
-  const Duration Rest =
-      isAhead(Of.RestUntil, Now) ? *Of.RestUntil - Now : Duration::zero();
-  return Of.Limit ? std::max(Rest, Of.Limit->getWait(Now)) : Rest;
+  const Duration Backoff = isFuture(State.BackoffUntil, Now)
+                               ? *State.BackoffUntil - Now
+                               : Duration::zero();
+  return State.Limit ? std::max(Backoff, State.Limit->getWait(Now)) : Backoff;
 }
 
 void ServerNotices::recordRequestSent(ServerId Server, TimePoint Now) {
@@ -257,52 +267,52 @@
   const auto Found = this->Entries.find(Server);
   if (Found == this->Entries.end())
     return std::nullopt;
-  const Entry &Of = Found->second;
-  if (isAhead(Of.LeavingUntil, Now))
+  const Entry &State = Found->second;
+  if (isFuture(State.LeavingUntil, Now))
     return NoticeKind::Leaving;
-  if (isAhead(Of.RestUntil, Now))
+  if (isFuture(State.BackoffUntil, Now))
     return NoticeKind::Backoff;
-  if (Of.Limit)
+  if (State.Limit)
     return NoticeKind::Limit;
   return std::nullopt;
 }
 
-/// Ends the words of a server that no longer hold.
-void ServerNotices::endOld(Entry &Of, TimePoint Now, Changes &All) {
-  if (Of.Limit && Now - Of.Limit->getReceivedAt() > LimitLife)
-    endLimit(Of, Now, All);
-  if (Of.LimitEndedAt && Now - *Of.LimitEndedAt > EndedLife)
-    Of.LimitEndedAt.reset();
-  if (Of.LeavingUntil && !isAhead(Of.LeavingUntil, Now)) {
-    All.push_back({Of.Key, NoticeKind::Leaving, NoticeStep::Ended, 0});
-    Of.LeavingUntil.reset();
+/// Ends the notices of a server that have expired.
+void ServerNotices::endExpired(Entry &State, TimePoint Now, Changes &All) {
+  if (State.Limit && Now - State.Limit->getReceivedAt() > LimitTimeout)
+    endLimit(State, Now, All);
+  if (State.LimitEndedAt && Now - *State.LimitEndedAt > LimitEndTimeout)
+    State.LimitEndedAt.reset();
+  if (State.LeavingUntil && !isFuture(State.LeavingUntil, Now)) {
+    All.push_back({State.Key, NoticeKind::Leaving, NoticeStep::Ended, 0});
+    State.LeavingUntil.reset();
   }
-  if (Of.RestUntil && !isAhead(Of.RestUntil, Now)) {
-    All.push_back({Of.Key, NoticeKind::Backoff, NoticeStep::Ended, 0});
-    Of.RestUntil.reset();
+  if (State.BackoffUntil && !isFuture(State.BackoffUntil, Now)) {
+    All.push_back({State.Key, NoticeKind::Backoff, NoticeStep::Ended, 0});
+    State.BackoffUntil.reset();
   }
-  if (!isAhead(Of.MisreadUntil, Now))
-    Of.MisreadUntil.reset();
+  if (!isFuture(State.MalformedUntil, Now))
+    State.MalformedUntil.reset();
 }
 
 std::vector<NoticeChange> ServerNotices::forgetOld(TimePoint Now) {
   Changes All;
-  for (auto &[Id, Of] : this->Entries)
-    endOld(Of, Now, All);
+  for (auto &[Id, State] : this->Entries)
+    endExpired(State, Now, All);
   std::erase_if(this->Entries, [](const auto &Each) {
-    const Entry &Of = Each.second;
-    return !Of.Limit && !Of.LimitEndedAt && !Of.LeavingUntil && !Of.RestUntil &&
-           !Of.MisreadUntil;
+    const Entry &State = Each.second;
+    return !State.Limit && !State.LimitEndedAt && !State.LeavingUntil &&
+           !State.BackoffUntil && !State.MalformedUntil;
   });
   return All;
 }
 
 NoticeCounts ServerNotices::count(TimePoint Now) const {
   NoticeCounts Counts;
-  for (const auto &[Id, Of] : this->Entries) {
-    Counts.Limited += Of.Limit ? 1 : 0;
-    Counts.Leaving += isAhead(Of.LeavingUntil, Now) ? 1 : 0;
-    Counts.InBackoff += isAhead(Of.RestUntil, Now) ? 1 : 0;
+  for (const auto &[Id, State] : this->Entries) {
+    Counts.Limited += State.Limit ? 1 : 0;
+    Counts.Leaving += isFuture(State.LeavingUntil, Now) ? 1 : 0;
+    Counts.InBackoff += isFuture(State.BackoffUntil, Now) ? 1 : 0;
   }
   return Counts;
 }
--- a/lib/Routing/ServerSelector.cpp
+++ b/lib/Routing/ServerSelector.cpp
@@ -1,4 +1,4 @@
-//===- ServerSelector.cpp - Which backend server gets the next request ----===//
+//===- ServerSelector.cpp - Selects a server for a request ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Power of two choices, weighted by share, slots and readiness.
+/// Implements the power of two choices, weighted by share, slots and readiness.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,24 +19,25 @@
 
 namespace canvaswick {
 
-/// What is left of a server's weight after each time it sheds.
-static constexpr double EaseAfterShed = 0.7;
-static constexpr double LeastEase = 0.05;
+/// The factor applied to a server's weight each time it sheds a request, and
+/// the minimum of the product.
+static constexpr double ShedDecay = 0.7;
+static constexpr double MinShedFactor = 0.05;
 
-/// How quickly the missing part of the ease comes back.
-static constexpr Duration EaseHalfLife = fromSeconds(2);
+/// The half-life of the reduction.
+static constexpr Duration ShedRecoveryHalfLife = fromSeconds(2);
 
-/// A reported load older than this says nothing.
-static constexpr Duration ReportLife = fromSeconds(5);
+/// Older load reports are ignored.
+static constexpr Duration MaxReportAge = fromSeconds(5);
 
-/// How much a reported request counts against one of our own.
+/// The weight of a reported request, relative to a request of this daemon.
 static constexpr double ReportWeight = 0.5;
 
-/// How much dearer a server in another hall is.
-static constexpr double FarFactor = 1.2;
+/// The factor by which a server in another hall costs more.
+static constexpr double RemoteCostFactor = 1.2;
 
-/// A cold server begins with this part of its share.
-static constexpr double LeastColdShare = 0.1;
+/// The fraction of its share with which a cold server begins.
+static constexpr double MinColdShare = 0.1;
 
 double getQueueFactor(double Load, int Slots) {
   return std::max(1.0, (Load + 1) / Slots);
@@ -52,20 +53,22 @@
   }
 }
 
-double ServerSelector::getEase(const ServerState &State, TimePoint Now) const {
-  const double Lives = toSeconds(Now - State.EaseAt) / toSeconds(EaseHalfLife);
-  return 1 - (1 - State.Ease) * std::exp2(-std::max(0.0, Lives));
+double ServerSelector::getShedFactor(const ServerState &State,
+                                     TimePoint Now) const {
+  const double HalfLives =
+      toSeconds(Now - State.ShedFactorAt) / toSeconds(ShedRecoveryHalfLife);
+  return 1 - (1 - State.ShedFactor) * std::exp2(-std::max(0.0, HalfLives));
 }
 
 double ServerSelector::getReadiness(size_t Server, TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
-  const double Ease = this->getEase(State, Now);
+  const double ShedFactor = this->getShedFactor(State, Now);
   if (this->ColdStart <= Duration::zero())
-    return Ease;
+    return ShedFactor;
   const double Age = toSeconds(Now - State.Config.FirstSeen);
-  const double Warmth =
-      std::clamp(Age / toSeconds(this->ColdStart), LeastColdShare, 1.0);
-  return Ease * Warmth;
+  const double ColdStartFactor =
+      std::clamp(Age / toSeconds(this->ColdStart), MinColdShare, 1.0);
+  return ShedFactor * ColdStartFactor;
 }
 
 double ServerSelector::getWeight(size_t Server,
@@ -86,9 +89,10 @@
 double ServerSelector::getCost(size_t Server, TimePoint Now) const {
   const ServerState &State = this->Servers[Server];
   double Load = State.InFlight + 1;
-  if (Now - State.ReportedAt <= ReportLife)
+  if (Now - State.ReportedAt <= MaxReportAge)
     Load += State.ReportedLoad * ReportWeight;
-  return Load / State.Config.Slots * (State.Config.IsSameHall ? 1 : FarFactor);
+  return Load / State.Config.Slots *
+         (State.Config.IsSameHall ? 1 : RemoteCostFactor);
 }
 
 static bool contains(const std::vector<size_t> &List, size_t Value) {
@@ -99,7 +103,7 @@
                          const std::vector<size_t> &Excluded, TimePoint Now,
                          RandomSource &Random,
                          const SelectionRules &Rules) const {
-  assert(Shares.size() == this->Servers.size() && "one share a server");
+  assert(Shares.size() == this->Servers.size() && "one share per server");
   std::vector<double> Weights(this->Servers.size(), 0);
   double Sum = 0;
   for (size_t I = 0; I < Weights.size(); ++I) {
@@ -126,9 +130,10 @@
   if (Rules.IsLoadInShares)
     return static_cast<int>(First);
   const size_t Second = Draw();
-  // A server with a small share must not win by being idle because of it: the
-  // two draws already follow the shares, the costs compare load alone, and the
-  // second draw counts only if its weight is not far below the first's.
+  // A server with a small share must not win because the small share leaves it
+  // idle. The draws already follow the shares, the costs compare only the load,
+  // and the second draw counts only if its weight is not far below that of the
+  // first.
   const bool IsComparable = Weights[Second] >= 0.5 * Weights[First];
   if (IsComparable && this->getCost(Second, Now) < this->getCost(First, Now))
     return static_cast<int>(Second);
@@ -141,8 +146,8 @@
     if (Matches[I] < 0)
       continue;
     const ServerState &Old = Other.Servers[static_cast<size_t>(Matches[I])];
-    this->Servers[I].Ease = Old.Ease;
-    this->Servers[I].EaseAt = Old.EaseAt;
+    this->Servers[I].ShedFactor = Old.ShedFactor;
+    this->Servers[I].ShedFactorAt = Old.ShedFactorAt;
     this->Servers[I].ReportedLoad = Old.ReportedLoad;
     this->Servers[I].ReportedAt = Old.ReportedAt;
   }
@@ -156,8 +161,9 @@
   --State.InFlight;
   if (Outcome != RequestOutcome::Shed)
     return;
-  State.Ease = std::max(LeastEase, this->getEase(State, Now) * EaseAfterShed);
-  State.EaseAt = Now;
+  State.ShedFactor =
+      std::max(MinShedFactor, this->getShedFactor(State, Now) * ShedDecay);
+  State.ShedFactorAt = Now;
 }
 
 void ServerSelector::noteReportedLoad(size_t Server, double Load,
--- a/lib/Routing/SubsetChooser.cpp
+++ b/lib/Routing/SubsetChooser.cpp
@@ -1,4 +1,4 @@
-//===- SubsetChooser.cpp - Which backend servers a daemon connects to -----===//
+//===- SubsetChooser.cpp - Chooses the servers of a daemon ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// For each server the daemons are ranked by rendezvous hashing; the first ones
-/// use it.
+/// For each server the daemons are ranked by rendezvous hashing, and those of
+/// the lowest ranks use it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,23 +19,23 @@
 
 namespace canvaswick {
 
-/// Views of who is a member differ for some seconds; this part of a server's
-/// connections is left free for that.
-static constexpr int UsedPercent = 80;
+/// The percentage of a server's connections that is assigned. The rest is a
+/// reserve, because daemons' views of the membership differ for some seconds.
+static constexpr int UsableConnectionPercent = 80;
 
-static int countSharers(const ServerConfig &Server) {
-  const int Usable = Server.Connections * UsedPercent / 100;
+static int countDaemonsOfServer(const ServerConfig &Server) {
+  const int Usable = Server.Connections * UsableConnectionPercent / 100;
   return std::max(1, Usable / MinConnectionsPerDaemon);
 }
 
 int getDaemonRank(const std::string &Key, const std::string &Self,
                   const std::vector<std::string> &Daemons) {
   const uint64_t KeyHash = hashText(Key);
-  const uint64_t Own = hashText(Self, KeyHash);
+  const uint64_t SelfHash = hashText(Self, KeyHash);
   int Rank = 0;
   for (const std::string &Daemon : Daemons) {
-    const uint64_t Other = hashText(Daemon, KeyHash);
-    if (Other > Own || (Other == Own && Daemon < Self))
+    const uint64_t DaemonHash = hashText(Daemon, KeyHash);
+    if (DaemonHash > SelfHash || (DaemonHash == SelfHash && Daemon < Self))
       ++Rank;
   }
   return Rank;
@@ -50,22 +50,22 @@
   int BestRank = Count + 1;
   for (size_t I = 0; I < Service.Servers.size(); ++I) {
     const ServerConfig &Server = Service.Servers[I];
-    const int Sharers = countSharers(Server);
+    const int MaxDaemons = countDaemonsOfServer(Server);
     int Rank = 0;
-    if (Count > Sharers)
+    if (Count > MaxDaemons)
       Rank = getDaemonRank(Service.Name + "/" + Server.Name, Self, Daemons);
     if (Rank < BestRank) {
       BestRank = Rank;
       BestServer = I;
     }
-    if (Rank >= Sharers)
+    if (Rank >= MaxDaemons)
       continue;
     Subset.Servers.push_back(I);
-    const int Users = std::min(Count, Sharers);
+    const int Users = std::min(Count, MaxDaemons);
     Subset.Connections.push_back(std::max(1, Server.Connections / Users));
   }
-  // A daemon that is given no server takes the one it ranks best for, with one
-  // connection out of those left free.
+  // A daemon that is assigned no server uses the one for which it ranks best,
+  // with one connection out of the reserve.
   if (Subset.Servers.empty() && !Service.Servers.empty()) {
     Subset.Servers.push_back(BestServer);
     Subset.Connections.push_back(1);
--- a/unittests/Routing/RateLimitShareTest.cpp
+++ b/unittests/Routing/RateLimitShareTest.cpp
@@ -1,4 +1,4 @@
-//===- RateLimitShareTest.cpp - A fleet's daemons and one limit -----------===//
+//===- RateLimitShareTest.cpp - Tests of shared request limits ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What all daemons of a fleet together may send to a server that names a
-/// limit, whenever they want to.
+/// Tests how many requests all daemons of a fleet together send to a server
+/// that states a limit, whenever they have requests to send.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 static constexpr Duration Step = fromMillis(20);
 static constexpr Duration Window = fromSeconds(4);
 
-/// Returns the shares of all daemons of a hall at a limit that was just named.
+/// Returns the shares of all daemons of a hall in a limit that was just stated.
 static std::vector<RateLimitShare> makeShares(size_t Daemons,
                                               double PerSecond) {
   FleetDaemons Fleet;
@@ -41,15 +41,16 @@
   return Shares;
 }
 
-/// Has all daemons send whenever they may for a while. Returns the most that
-/// were sent in any window. IsHeard: word of the limit comes all the time.
+/// Lets all daemons send whenever they may. Returns the maximum number of
+/// requests sent in any window. ReceivesUpdates: daemons receive the limit all
+/// the time.
 static size_t sendAll(std::vector<RateLimitShare> &Shares, TimePoint From,
-                      Duration Length, bool IsHeard) {
+                      Duration Length, bool ReceivesUpdates) {
   std::vector<TimePoint> Sent;
-  size_t Most = 0;
+  size_t MaxSent = 0;
   for (TimePoint Now = From; Now < From + Length; Now += Step)
     for (RateLimitShare &Each : Shares) {
-      if (IsHeard)
+      if (ReceivesUpdates)
         Each.updateLimit(Each.getPerSecond(), Now, FleetDaemons(), Now);
       while (Each.maySend(Now)) {
         Each.recordRequestSent(Now);
@@ -57,28 +58,28 @@
       }
       const auto First =
           std::upper_bound(Sent.begin(), Sent.end(), Now - Window);
-      Most = std::max(Most, static_cast<size_t>(Sent.end() - First));
+      MaxSent = std::max(MaxSent, static_cast<size_t>(Sent.end() - First));
     }
-  return Most;
+  return MaxSent;
 }
 
 static double getBound(double PerSecond) {
   return 1.5 * PerSecond * toSeconds(Window) + 5;
 }
 
-TEST_CASE("whoever wants to send when, all of a fleet keep to a limit") {
+TEST_CASE("all daemons together respect a limit whenever they send") {
   CHECK(rc::check([] {
     const auto Daemons = *rc::gen::inRange<size_t>(1, 60);
     const double Limit = *rc::gen::inRange(1, 300) / 10.0;
     const double Idle = *rc::gen::inRange(0, 400);
     std::vector<RateLimitShare> Shares = makeShares(Daemons, Limit);
-    const size_t Most =
+    const size_t MaxSent =
         sendAll(Shares, Begin + fromSeconds(Idle), fromSeconds(8), true);
-    RC_ASSERT(static_cast<double>(Most) <= getBound(Limit));
+    RC_ASSERT(static_cast<double>(MaxSent) <= getBound(Limit));
   }));
 }
 
-TEST_CASE("whom word of a limit reaches and who does not share it is silent") {
+TEST_CASE("a daemon that receives the limit but is no sender sends nothing") {
   std::vector<RateLimitShare> Shares = makeShares(20, 2);
   size_t Senders = 0;
   for (RateLimitShare &Each : Shares) {
@@ -92,18 +93,18 @@
   CHECK(Senders == 3);
 }
 
-TEST_CASE("who hears nothing more tests by turns, and saves no turn up") {
+TEST_CASE("daemons without reports probe in turn and accumulate no probes") {
   std::vector<RateLimitShare> Shares = makeShares(40, 2);
   std::erase_if(Shares,
                 [](const RateLimitShare &Each) { return Each.isSender(); });
   CHECK(sendAll(Shares, Begin, fromSeconds(2.9), false) == 0);
-  // All tests together are a quarter of the limit: two in four seconds.
+  // All probes together use a quarter of the limit: two in four seconds.
   CHECK(sendAll(Shares, Begin + fromSeconds(500), fromSeconds(8), false) <= 12);
   CHECK(sendAll(Shares, Begin + fromSeconds(600), fromSeconds(100), false) >=
         1);
 }
 
-TEST_CASE("a daemon that comes to share a limit has saved up nothing") {
+TEST_CASE("a daemon that becomes a sender starts without tokens") {
   FleetDaemons Without;
   Without.Self = "d";
   RateLimitShare Share("s/b", "a", 2, Begin, Without, Begin);
@@ -119,7 +120,7 @@
   CHECK(Share.maySend(Later + Share.getWait(Later) + fromMillis(1)));
 }
 
-TEST_CASE("a change of who there is leaves a sender its tokens, not more") {
+TEST_CASE("a change of the fleet leaves a sender its tokens and adds none") {
   std::vector<RateLimitShare> Shares = makeShares(1, 1);
   const TimePoint Later = Begin + fromSeconds(60);
   FleetDaemons Alone;
--- a/unittests/Routing/RouteTableTest.cpp
+++ b/unittests/Routing/RouteTableTest.cpp
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The longest prefix, the bound on connections, and who gets the next request.
+/// Tests the longest prefix match, the bound on connections, and the selection
+/// of servers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +33,7 @@
   return Route;
 }
 
-TEST_CASE("the longest prefix at a segment wins, hosts go first") {
+TEST_CASE("the longest prefix at a segment wins, and hosts take precedence") {
   const std::vector<RouteConfig> Routes = {
       makeRoute("root", "", "/"), makeRoute("frames", "", "/frames"),
       makeRoute("deep", "", "/frames/deep/"),
@@ -50,7 +51,7 @@
   CHECK(Find("x", "nonsense") == "none");
 }
 
-TEST_CASE("paths that could mean another one are ambiguous") {
+TEST_CASE("paths that a server could read as another one are ambiguous") {
   for (const char *Path : {"/a/../b", "/a/./b", "/a//b", "/a/%2e%2E/b", "/a/..",
                            "/a%2fb/../c", "/a\\b", "/a/%5c../b"})
     CHECK_MESSAGE(isAmbiguousPath(Path), Path);
@@ -85,7 +86,8 @@
     for (const std::string &Name : Names) {
       const ServerSubset Subset = chooseSubset(Service, Name, Names, Daemons);
       RC_ASSERT(!Subset.Servers.empty());
-      // Out of the connections left free, one for a daemon with no server.
+      // A daemon that is assigned no server uses one connection out of the
+      // reserve.
       const bool IsAlone =
           Subset.Servers.size() == 1 && Subset.Connections[0] == 1;
       Alone += IsAlone ? 1 : 0;
@@ -97,7 +99,7 @@
   }));
 }
 
-TEST_CASE("with today's sizes each daemon gets its share of connections") {
+TEST_CASE("40 daemons share the connections of 16 servers evenly") {
   std::vector<std::string> Names;
   Names.reserve(40);
   for (int I = 0; I < 40; ++I)
@@ -118,7 +120,7 @@
   return Servers;
 }
 
-TEST_CASE("a server without a share or a free place is never picked") {
+TEST_CASE("a server without a share or a free slot is never selected") {
   ServerSelector Selector(makeServers(3), fromSeconds(10));
   RandomSource Random(1);
   for (int I = 0; I < 3; ++I)
@@ -128,19 +130,20 @@
   CHECK(Selector.pick({0, 1, 1}, {2}, TimePoint{}, Random) == -1);
 }
 
-TEST_CASE("a server on trial gets about its share") {
+TEST_CASE("a server with a small share gets about that share") {
   ServerSelector Selector(makeServers(5), fromSeconds(10));
   RandomSource Random(1);
-  int Trials = 0;
+  int ProbePicks = 0;
   static constexpr int Picks = 20000;
   for (int I = 0; I < Picks; ++I)
-    Trials += Selector.pick({0.04, 1, 1, 1, 1}, {}, TimePoint{}, Random) == 0;
+    ProbePicks +=
+        Selector.pick({0.04, 1, 1, 1, 1}, {}, TimePoint{}, Random) == 0;
   const double Fair = Picks / 5.0;
-  CHECK(Trials < 0.08 * Fair);
-  CHECK(Trials > 0.01 * Fair);
+  CHECK(ProbePicks < 0.08 * Fair);
+  CHECK(ProbePicks > 0.01 * Fair);
 }
 
-TEST_CASE("a server that sheds is eased and recovers") {
+TEST_CASE("a server that sheds load gets less and recovers") {
   ServerSelector Selector(makeServers(2), Duration::zero());
   TimePoint Now{};
   for (int I = 0; I < 5; ++I) {
@@ -151,7 +154,7 @@
   CHECK(Selector.getReadiness(0, Now + fromSeconds(20)) > 0.99);
 }
 
-TEST_CASE("a cold server is given its share by and by") {
+TEST_CASE("a cold server gets its share gradually") {
   ServerSelector Selector(makeServers(2), fromSeconds(10));
   const TimePoint Now = TimePoint{} + fromSeconds(50);
   Selector.restartColdStart(0, Now);
--- a/unittests/Routing/ServerNoticesTest.cpp
+++ b/unittests/Routing/ServerNoticesTest.cpp
@@ -1,4 +1,4 @@
-//===- ServerNoticesTest.cpp - What is remembered of servers' words -------===//
+//===- ServerNoticesTest.cpp - Server notice state tests ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// When a word begins, changes and ends.
+/// Tests when a notice begins, changes and ends.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,65 +21,66 @@
 
 static const NoticeSource Server{7, "s/b0", "a"};
 
-static ServerNotice nameLimit(double PerSecond) {
+static ServerNotice makeLimit(double PerSecond) {
   ServerNotice Notice;
   Notice.RequestsPerSecond = PerSecond;
   return Notice;
 }
 
-static ServerNotice askRest(double Seconds) {
+static ServerNotice makeBackoff(double Seconds) {
   ServerNotice Notice;
   Notice.Backoff = fromSeconds(Seconds);
   return Notice;
 }
 
-static ServerNotice sayNothing() {
+static ServerNotice makeEmptyNotice() {
   ServerNotice Notice;
   Notice.MayEndLimit = true;
   return Notice;
 }
 
-TEST_CASE("a limit begins, changes and ends once, each time that it is so") {
+TEST_CASE("each transition of a limit is reported once") {
   ServerNotices Notices;
-  CHECK(Notices.recordNotice(Server, sayNothing(), Begin, Begin).empty());
+  CHECK(Notices.recordNotice(Server, makeEmptyNotice(), Begin, Begin).empty());
   CHECK(Notices.isEmpty());
-  const auto Begun = Notices.recordNotice(Server, nameLimit(2), Begin, Begin);
+  const auto Begun = Notices.recordNotice(Server, makeLimit(2), Begin, Begin);
   REQUIRE(Begun.size() == 1);
   CHECK(Begun[0].Step == NoticeStep::Begun);
   CHECK(Begun[0].Value == 2);
-  CHECK(Notices.recordNotice(Server, nameLimit(2), Begin, Begin).empty());
-  const auto Changed = Notices.recordNotice(Server, nameLimit(1), Begin, Begin);
+  CHECK(Notices.recordNotice(Server, makeLimit(2), Begin, Begin).empty());
+  const auto Changed = Notices.recordNotice(Server, makeLimit(1), Begin, Begin);
   REQUIRE(Changed.size() == 1);
   CHECK(Changed[0].Step == NoticeStep::Changed);
   CHECK(Notices.getActiveKind(7, Begin) == NoticeKind::Limit);
   const TimePoint Later = Begin + fromSeconds(1);
-  const auto Ended = Notices.recordNotice(Server, sayNothing(), Later, Later);
+  const auto Ended =
+      Notices.recordNotice(Server, makeEmptyNotice(), Later, Later);
   REQUIRE(Ended.size() == 1);
   CHECK(Ended[0].Step == NoticeStep::Ended);
   CHECK(!Notices.getActiveKind(7, Later));
 }
 
-TEST_CASE("an answer that was asked for before the word came does not end it") {
+TEST_CASE("a response to an earlier request does not withdraw a limit") {
   ServerNotices Notices;
-  Notices.recordNotice(Server, nameLimit(2), Begin, Begin);
+  Notices.recordNotice(Server, makeLimit(2), Begin, Begin);
   const TimePoint Later = Begin + fromSeconds(1);
-  Notices.recordNotice(Server, sayNothing(), Begin - fromMillis(1), Later);
+  Notices.recordNotice(Server, makeEmptyNotice(), Begin - fromMillis(1), Later);
   CHECK(Notices.getActiveKind(7, Later) == NoticeKind::Limit);
 }
 
-TEST_CASE("a failure that names no limit does not end it") {
+TEST_CASE("a failure response without a limit does not withdraw it") {
   ServerNotices Notices;
-  Notices.recordNotice(Server, nameLimit(2), Begin, Begin);
+  Notices.recordNotice(Server, makeLimit(2), Begin, Begin);
   const TimePoint Later = Begin + fromSeconds(1);
   Notices.recordNotice(Server, ServerNotice(), Later, Later);
   CHECK(Notices.getActiveKind(7, Later) == NoticeKind::Limit);
 }
 
-TEST_CASE("the longest of several rests holds to its end") {
+TEST_CASE("the longest of several backoffs lasts to its end") {
   ServerNotices Notices;
-  CHECK(Notices.recordNotice(Server, askRest(3), Begin, Begin).size() == 1);
+  CHECK(Notices.recordNotice(Server, makeBackoff(3), Begin, Begin).size() == 1);
   const TimePoint Later = Begin + fromSeconds(1);
-  CHECK(Notices.recordNotice(Server, askRest(0.5), Later, Later).empty());
+  CHECK(Notices.recordNotice(Server, makeBackoff(0.5), Later, Later).empty());
   CHECK(Notices.getActiveKind(7, Begin + fromSeconds(2.99)) ==
         NoticeKind::Backoff);
   CHECK(!Notices.getActiveKind(7, Begin + fromSeconds(3)));
@@ -89,9 +90,9 @@
   CHECK(Notices.isEmpty());
 }
 
-TEST_CASE("no word holds for ever, whatever a server asks for") {
+TEST_CASE("every notice expires, whatever a server sends") {
   ServerNotices Notices;
-  ServerNotice All = askRest(1e9);
+  ServerNotice All = makeBackoff(1e9);
   All.RequestsPerSecond = 0;
   All.IsLeaving = true;
   Notices.recordNotice(Server, All, Begin, Begin);
@@ -101,12 +102,13 @@
   CHECK(Notices.forgetOld(After).size() == 3);
   CHECK(!Notices.getActiveKind(7, After));
   CHECK(Notices.getShareFactor(7, After) == 1);
-  // That the limit has ended is remembered a little longer, for peers.
+  // The end of the limit is remembered a little longer, for late reports of
+  // peers.
   CHECK(Notices.forgetOld(After + fromSeconds(6)).empty());
   CHECK(Notices.isEmpty());
 }
 
-TEST_CASE("a server's next life has said nothing") {
+TEST_CASE("a server's next instance has no notices") {
   ServerNotices Notices;
   ServerNotice Leaving;
   Leaving.IsLeaving = true;
