--- a/include/canvaswick/Proxy/FleetRuntime.h
+++ b/include/canvaswick/Proxy/FleetRuntime.h
@@ -1,4 +1,4 @@
-//===- FleetRuntime.h - One version of the settings as a daemon runs it -*- C++
+//===- FleetRuntime.h - Runtime of one settings version ---------*- C++ -*-===//
 //-*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
@@ -8,8 +8,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Routes and services of one accepted version. A new version replaces the
-/// whole; services that did not change are carried over as they are.
+/// Holds the routes and services of one accepted version of the settings. A new
+/// version replaces the whole object; services whose configuration has not
+/// changed are reused.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +25,7 @@
 
 namespace canvaswick {
 
-/// Everything a request needs of one version.
+/// The routes and services of one version of the settings.
 class FleetRuntime : public boost::intrusive_ref_counter<FleetRuntime> {
 public:
   FleetRuntime(FleetConfigRef Config, const DaemonIdentity &Identity,
@@ -36,10 +37,10 @@
     return this->Services;
   }
 
-  /// Returns a service by name, or null.
+  /// Returns the service with this name, or null.
   ServiceRuntimeRef findService(const std::string &Name) const;
 
-  /// Sets how many connections Pool may open to each server.
+  /// Sets for each server how many connections Pool may open to it.
   void limitConnections(ConnectionPool &Pool) const;
 
 private:
@@ -51,7 +52,7 @@
 /// A counted reference to a FleetRuntime.
 using FleetRuntimeRef = boost::intrusive_ptr<const FleetRuntime>;
 
-/// The version in force. Thread-safe.
+/// Holds the version in force. Thread-safe.
 class FleetRuntimeSlot {
 public:
   FleetRuntimeRef get() const;
--- a/include/canvaswick/Proxy/OrganisationQuotas.h
+++ b/include/canvaswick/Proxy/OrganisationQuotas.h
@@ -1,4 +1,4 @@
-//===- OrganisationQuotas.h - What organisations may send -------*- C++ -*-===//
+//===- OrganisationQuotas.h - Request quotas of organisations ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// FleetAllowance behind a mutex: threads of requests ask it, the link to peers
-/// feeds it.
+/// Guards the fleet quota object of a daemon with a mutex. Request threads ask
+/// it for admission, and the peer exchange merges the usage that other daemons
+/// report.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,43 +22,43 @@
 
 namespace canvaswick {
 
-/// The allowances of one daemon. Thread-safe; no other lock is taken under its
-/// mutex.
+/// The quotas of one daemon. Thread-safe; no other lock is taken while its
+/// mutex is held.
 class OrganisationQuotas {
 public:
   OrganisationQuotas(AllowanceBounds Bounds, TimePoint Started, double Draw)
-      : Allowance(Bounds, Started, Draw) {}
+      : Quota(Bounds, Started, Draw) {}
 
-  /// Runs Work on the allowances while nobody else does anything with them.
+  /// Calls Work with the quotas while the mutex is held.
   template <typename Function> auto with(Function &&Work) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    return Work(this->Allowance);
+    return Work(this->Quota);
   }
 
-  /// Decides on one request.
+  /// Decides whether a request of an organisation is admitted.
   AllowanceAnswer admit(const std::string &Organisation, TimePoint Now) {
     return this->with(
         [&](FleetAllowance &All) { return All.admit(Organisation, Now); });
   }
 
-  /// Takes back that a request was admitted: it was not run after all.
+  /// Refunds an admitted request that was not run.
   void giveBack(const std::string &Organisation, TimePoint Now) {
     this->with([&](FleetAllowance &All) { All.giveBack(Organisation, Now); });
   }
 
-  /// Takes the organisations of a version of the settings.
+  /// Applies the organisations of a version of the settings.
   void configure(const OrganisationDirectoryRef &Directory, TimePoint Now) {
     this->with([&](FleetAllowance &All) { All.configure(Directory, Now); });
   }
 
-  /// Forgets organisations of which nothing need be remembered.
+  /// Removes idle organisations whose state is no longer needed.
   void forgetIdle(TimePoint Now) {
     this->with([&](FleetAllowance &All) { All.forgetIdle(Now); });
   }
 
 private:
   std::mutex Mutex;
-  FleetAllowance Allowance;
+  FleetAllowance Quota;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Proxy/ProxyOptions.h
+++ b/include/canvaswick/Proxy/ProxyOptions.h
@@ -1,4 +1,4 @@
-//===- ProxyOptions.h - How a proxy speaks and holds back -------*- C++ -*-===//
+//===- ProxyOptions.h - Headers and limits of the proxy ---------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The names of the headers between callers, the proxy and backend servers, and
-/// the bounds of what the proxy keeps in memory. The defaults are the product's
-/// own interface; an adapter gives others.
+/// Defines the names of the headers between callers, the proxy and backend
+/// servers, and the limits of what the proxy buffers. The defaults are the
+/// product's own interface; an adapter to another platform sets others.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,66 +23,73 @@
 
 namespace canvaswick {
 
-/// Says on every failure answer what became of the request.
+/// OutcomeHeader tells on every failure response whether the request was run;
+/// ReasonHeader tells why it failed.
 inline constexpr const char *OutcomeHeader = "Canvaswick-Outcome";
 inline constexpr const char *ReasonHeader = "Canvaswick-Reason";
 
-/// What a server that leaves puts in HeaderNames::ServerLeaving.
+/// The value of HeaderNames::ServerLeaving from a server that shuts down.
 inline constexpr const char *LeavingValue = "1";
 
-/// Names of headers. An empty name means that there is no such header.
+/// Names of headers. An empty name means that the header is not used.
 struct HeaderNames {
-  /// Names a request; a server may echo it to prove whose answer it is.
+  /// Identifies a request. A server may echo it to prove which request its
+  /// response belongs to.
   std::string RequestId = "Canvaswick-Request";
-  /// Whether the caller's own id is passed on and echoed, instead of one that
-  /// the proxy makes for each attempt.
+  /// Whether the caller's id is forwarded and echoed. If not, the proxy
+  /// generates an id for each attempt.
   bool PassesCallerId = false;
-  /// Carries the caller's key behind a word for its scheme. Never passed on.
+  /// Carries the caller's API key after the name of the authentication scheme.
+  /// It is never forwarded.
   std::string Key = "Authorization";
   std::string KeyScheme = "Bearer";
-  /// Tells servers the caller's organisation. What a caller says in it is
+  /// Tells servers the caller's organisation. A value that a caller sends is
   /// dropped.
   std::string Organisation = "X-Organisation";
-  /// Carries the time left, in milliseconds, from callers and to servers.
+  /// Carries the time left in milliseconds, both from callers and to servers.
   std::string Deadline = "X-Deadline-Ms";
-  /// Names the one start of a server that may run the request.
+  /// Names the instance of the server that is to run the request: one start of
+  /// its process.
   std::string ExpectedInstance;
-  /// Proof that a successful answer is a server's own.
+  /// Proves that a successful response comes from the server itself.
   std::string AnswerProof;
-  /// The server's load: requests running, requests waiting, slots.
+  /// The server's load: the numbers of running requests, waiting requests and
+  /// slots.
   std::string ServerLoad;
-  /// Names the requests a second that the server takes from all daemons
-  /// together, for as long as it does so.
+  /// The request rate, per second, that the server accepts from all daemons
+  /// together. The limit holds as long as the server sends the header.
   std::string ServerLimit = "Canvaswick-Request-Limit";
-  /// Says, with LeavingValue, that the server leaves.
+  /// Announces, with LeavingValue, that the server shuts down.
   std::string ServerLeaving = "Canvaswick-Leaving";
-  /// Says that the server did not run the request. An empty value: any does.
+  /// Reports that the server did not run the request. If NotRunValue is empty,
+  /// any value of the header does.
   std::string NotRun = OutcomeHeader;
   std::string NotRunValue = "not-run";
   /// Whether Retry-After may carry fractions of a second.
   bool HasFractionalRetryAfter = false;
 };
 
-/// What a proxy is set up with.
+/// Configuration of a RequestProxy.
 struct ProxyOptions {
   HeaderNames Headers;
-  /// Answers up to this length are kept until they are whole, so that a cut
-  /// one can be made good. 0: every answer is streamed.
+  /// Responses of at most this many bytes are buffered until they are complete,
+  /// so that a truncated one can be retried. 0: every response is streamed.
   size_t MaxBufferedResponseBytes = 0;
-  /// Chunked request bodies up to this length are collected, so that they can
-  /// be sent again. A longer one is refused. 0: they are streamed.
+  /// Chunked request bodies of at most this many bytes are buffered, so that
+  /// they can be sent again; longer ones are refused. 0: chunked bodies are
+  /// streamed.
   size_t MaxBufferedBodyBytes = 0;
-  /// Requests that may run once get a connection of their own, which proves
-  /// that the server is reached before anything is sent.
+  /// Whether requests that must not run twice use a new connection, which
+  /// proves that the server is reachable before anything is sent.
   bool UsesFreshConnections = false;
-  /// Longest wait for a connection to a server, in milliseconds.
+  /// Timeout for a connection to a server, in milliseconds.
   int ConnectMs = 1000;
-  /// Status of a request that no server has run after all.
+  /// Status of the response if no server has run the request.
   int NotRunStatus = 502;
-  /// When a refused request may come back, in milliseconds, if nothing better
+  /// The Retry-After of a refused request, in milliseconds, if no better value
   /// is known.
   int DefaultRetryAfterMs = 1000;
-  /// What is borne above organisations' allowances.
+  /// Bounds of the excess over organisations' quotas that is tolerated.
   AllowanceBounds Allowances;
 };
 
--- a/include/canvaswick/Proxy/RequestProxy.h
+++ b/include/canvaswick/Proxy/RequestProxy.h
@@ -1,4 +1,4 @@
-//===- RequestProxy.h - One caller's request from end to end ----*- C++ -*-===//
+//===- RequestProxy.h - Proxies one request ---------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Routes, admits, claims, tries, relays and gives the final answer. Every
-/// refusal says whether the request was run and when to come back.
+/// Routes a request, admits it, claims keyed requests, runs the attempts and
+/// relays the response. Every refusal tells the caller whether the request was
+/// run and when to retry.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,76 +33,80 @@
 
 namespace canvaswick {
 
-/// Names a request that must not run twice.
+/// Carries a key that identifies a request which must not run twice.
 inline constexpr const char *IdempotencyHeader = "Idempotency-Key";
 
-/// What a caller can rely on after a failure.
+/// Whether the request was run, as far as the caller can rely on it after a
+/// failure.
 enum class RunOutcome : uint8_t { NotRun, NotKnown, Ran };
 
-/// Returns the name of an outcome as the header carries it.
+/// Returns the value of the outcome header.
 const char *getName(RunOutcome Outcome);
 
-/// Proxies requests. Thread-safe.
+/// Proxies requests to backend servers. Thread-safe.
 class RequestProxy {
 public:
-  /// All references must outlive the proxy. Claims may be null: then no route
-  /// of the class once takes a key.
+  /// All references must outlive the proxy. Claims may be null; keyed requests
+  /// on routes of the class "once" are then refused.
   RequestProxy(std::string DaemonName, const FleetRuntimeSlot &Fleet,
                ConnectionPool &Upstreams, CounterTable &Counters,
                ClaimGate *Claims, ProxyOptions Options = {});
 
-  /// Handles one request, whatever becomes of it.
+  /// Handles one request from its head to its final response.
   void handle(HttpExchange &Exchange);
 
-  /// Takes new limits of organisations.
+  /// Applies the quotas of organisations from new settings.
   void configure(const FleetConfig &Config);
 
-  /// Asks peers for the right to a repeat of a service, and waits a little.
+  /// Asks peers to lend one retry of a service's fleet budget, and waits for a
+  /// short time. Returns whether a retry was lent.
   using RetrySource = std::function<bool(ServiceRuntime &, TimePoint)>;
 
-  /// Sets whom to ask when the daemon's own part of the fleet's repeats is used
-  /// up. Called before the first request.
-  void setRetrySource(RetrySource Source) { this->Borrow = std::move(Source); }
+  /// Sets the source of retries for when the daemon's own share of the fleet's
+  /// retry budget is used up. Must be called before the first request.
+  void setRetrySource(RetrySource Source) {
+    this->BorrowRetry = std::move(Source);
+  }
 
-  /// Called after an attempt has begun or ended, on the request's thread.
+  /// Called on the request's thread after an attempt has begun or ended.
   using AttemptListener = std::function<void(TimePoint)>;
 
-  /// Sets who hears of attempts. Called before the first request.
+  /// Sets the listener for attempts. Must be called before the first request.
   void setAttemptListener(AttemptListener Listener) {
     this->Listener = std::move(Listener);
   }
 
-  /// Returns what organisations may send.
+  /// Returns the quotas of organisations.
   OrganisationQuotas &getOrganisations() { return this->Organisations; }
 
-  /// Returns what is known of requests under which servers end.
+  /// Returns the quarantine of requests that crash servers.
   RequestQuarantine &getQuarantine() { return this->Quarantine; }
 
-  /// Breaks nothing off any more that a server works on. Requests that come
-  /// from now on get their final answer before Until.
+  /// Begins to shut down: from now on no attempt is abandoned while a server
+  /// works on it, and new requests get their final response before Until.
   void beginStop(TimePoint Until) {
     this->StopUntil = Until;
     this->IsStopping = true;
   }
 
-  /// Refuses at once, from now on, what may take longer than until the end that
-  /// beginStop has set. Where fewer than half of a hall's daemons are ready the
-  /// balancer sends to all of them, also to one that has half a second left.
-  void refuseLateRequests() { this->HasEndedTaking = true; }
+  /// Refuses new requests whose deadline lies after the end set by beginStop.
+  /// They do arrive: if fewer than half of a hall's daemons are ready, the load
+  /// balancer sends to all of them, including one with half a second left.
+  void refuseLateRequests() { this->RefusesLateRequests = true; }
 
-  /// Forgets organisations that are idle.
+  /// Removes the quota state of idle organisations.
   void forgetIdle(TimePoint Now);
 
 private:
   struct RequestContext;
 
-  // RequestProxy.cpp: the steps, and final answers.
+  // RequestProxy.cpp: routing, admission and final responses.
   bool findRoute(RequestContext &Request);
   bool applyStopDeadline(RequestContext &Request);
   ServiceRuntimeRef chooseService(const FleetRuntime &Runtime,
                                   const RouteConfig &Route);
-  bool passGuard(RequestContext &Request);
-  void refuseHeldBack(RequestContext &Request);
+  bool checkQuarantine(RequestContext &Request);
+  void refuseQuarantined(RequestContext &Request);
   void serve(RequestContext &Request);
   void finish(RequestContext &Request, ResponseRelay &Relay);
   void logEnd(const RequestContext &Request, const ResponseRelay &Relay,
@@ -113,46 +118,46 @@
   void refuseUnserved(RequestContext &Request);
   std::string formatRetryAfter(Duration Wait) const;
 
-  // RequestOrganisation.cpp.
+  // RequestOrganisation.cpp: authentication and quotas.
   bool findOrganisation(RequestContext &Request);
   bool isKeyInForce(const RequestContext &Request) const;
   bool admitOrganisation(RequestContext &Request);
   void refundIfNotRun(RequestContext &Request, TimePoint Now);
 
-  // RequestBody.cpp.
+  // RequestBody.cpp: buffering and streaming of request bodies.
   bool readBody(RequestContext &Request);
-  void digest(RequestContext &Request) const;
+  void computeFingerprint(RequestContext &Request) const;
   bool collectBody(RequestContext &Request, uint64_t Limit);
   void refuseBody(RequestContext &Request, int Status, const char *Reason);
   void streamBody(RequestContext &Request, OutgoingRequest &Outgoing) const;
 
-  // RequestClaims.cpp.
+  // RequestClaims.cpp: claims of keyed requests.
   bool claim(RequestContext &Request);
   ClaimVerdict beginClaim(RequestContext &Request);
   void answerFromClaim(RequestContext &Request, const ClaimVerdict &Verdict);
   void resolveClaim(RequestContext &Request, const ResponseRelay &Relay);
 
-  // RequestRepeats.cpp.
+  // RequestRetries.cpp: whether and when to retry.
   bool hasAttemptLeft(const RequestContext &Request, const ResponseRelay &Relay,
                       size_t Unreachable, TimePoint Now) const;
   size_t getMaxAttempts(const RequestContext &Request) const;
   TimePoint chooseAttemptDeadline(RequestContext &Request,
                                   const ResponseRelay &Relay, TimePoint Now,
-                                  bool &IsPatience) const;
-  TimePoint extendPatience(RequestContext &Request, const Attempt &Current,
-                           bool &IsPatience);
-  bool takeRetry(ServiceRuntime &Service, bool IsUnrun, TimePoint Now);
+                                  bool &IsSoftDeadline) const;
+  TimePoint extendSoftDeadline(RequestContext &Request, const Attempt &Current,
+                               bool &IsSoftDeadline);
+  bool takeRetry(ServiceRuntime &Service, bool IsNotRun, TimePoint Now);
   bool mayRetry(RequestContext &Request, const ResponseRelay &Relay);
 
-  // RequestAttempts.cpp.
+  // RequestAttempts.cpp: attempts at servers.
   void runAttempts(RequestContext &Request, ResponseRelay &Relay);
-  void tellChange(TimePoint Now) const;
+  void notifyAttemptListener(TimePoint Now) const;
   void handleServerNotice(const RequestContext &Request, Attempt &Current,
                           const std::string &RequestId,
                           const httplib::Response &Response);
   RequestOutcome runAttempt(RequestContext &Request, ResponseRelay &Relay,
                             Attempt &Current);
-  RelayOptions makeRelayRules(const RequestContext &Request) const;
+  RelayOptions makeRelayOptions(const RequestContext &Request) const;
   OutgoingRequest buildOutgoing(RequestContext &Request,
                                 const ResponseRelay &Relay,
                                 const ServerConfig &Server,
@@ -160,9 +165,10 @@
   void addServerHeaders(RequestContext &Request, const ServerConfig &Server,
                         const std::string &RequestId,
                         OutgoingRequest &Outgoing) const;
-  bool isHeldBackNow(RequestContext &Request, TimePoint Now) const;
-  RequestOutcome tellGuard(RequestContext &Request, const Attempt &Ended,
-                           RequestOutcome Outcome, TimePoint Now);
+  bool recheckQuarantine(RequestContext &Request, TimePoint Now) const;
+  RequestOutcome reportToQuarantine(RequestContext &Request,
+                                    const Attempt &Ended,
+                                    RequestOutcome Outcome, TimePoint Now);
   RequestOutcome classifyExchange(RequestContext &Request,
                                   const ResponseRelay &Relay,
                                   const ExchangeResult &Result);
@@ -178,18 +184,18 @@
   ClaimGate *Claims;
   const ProxyOptions Options;
   RequestQuarantine Quarantine;
-  /// Since when there have been no settings, while there are none.
+  /// The time since which the daemon has waited for its first settings.
   const TimePoint Started;
-  /// Empty where nobody lends.
-  RetrySource Borrow;
+  /// Null if no peer lends retries.
+  RetrySource BorrowRetry;
   AttemptListener Listener;
-  /// Spreads the requests of split routes evenly over their parts.
+  /// Distributes the requests of a split route evenly over its services.
   std::atomic<uint32_t> NextSplit{0};
   OrganisationQuotas Organisations;
   std::atomic<uint64_t> NextRequest{1};
   std::atomic<bool> IsStopping{false};
-  std::atomic<bool> HasEndedTaking{false};
-  /// When a stopping daemon has given its last answers.
+  std::atomic<bool> RefusesLateRequests{false};
+  /// The time by which a stopping daemon has sent all responses.
   std::atomic<TimePoint> StopUntil{TimePoint::max()};
 };
 
--- a/include/canvaswick/Proxy/RequestQuarantine.h
+++ b/include/canvaswick/Proxy/RequestQuarantine.h
@@ -1,4 +1,4 @@
-//===- RequestQuarantine.h - Keeps fatal requests away from -----*- C++ -*-===//
+//===- RequestQuarantine.h - Quarantine of poison requests ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What a daemon's requests, its peers and the place where records are kept
-/// tell of requests under which servers end, behind one mutex.
+/// Keeps poison requests, which crash the servers that run them, away from
+/// servers. Combines what this daemon's requests, its peers and the stored
+/// records report, under one mutex.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,95 +26,103 @@
 
 namespace canvaswick {
 
-/// Whether a request may be sent, and by what right.
+/// Whether a request may be sent.
 struct QuarantineDecision {
   bool MaySend = true;
-  /// Whether it is held back, and this is one of its tries: sent once.
+  /// Whether the request is quarantined and this is a probe, which is sent only
+  /// once.
   bool IsProbe = false;
-  /// When to come back, if it may not be sent.
+  /// The time to wait before the request may be retried, if it may not be sent.
   Duration Wait{};
 };
 
-/// Thread-safe. Its mutex is innermost: no other lock is taken, and no call
-/// made, while it is held.
+/// Thread-safe. Its mutex is innermost: no other lock is taken and no callback
+/// runs while it is held.
 class RequestQuarantine {
 public:
-  /// Takes the right to the next try of a request where records are kept.
-  /// Returns whether it was given: to one daemon of the fleet at most.
+  /// Claims the next probe of a quarantined request where the records are
+  /// stored. Returns whether the claim was granted; it is granted to at most
+  /// one daemon of the fleet.
   using ProbeClaim = std::function<bool(const SuspectRecord &)>;
 
-  /// Told of what this daemon has seen itself, on the request's thread.
+  /// Receives the events that this daemon observed itself, on the request's
+  /// thread.
   using UpdateListener = std::function<void(const SuspectNews &, TimePoint)>;
 
   explicit RequestQuarantine(CounterTable &Counters) : Counters(Counters) {}
 
-  /// Sets where rights to tries come from. Without, no try is made. Called
+  /// Sets how probes are claimed. Without it, no probe is sent. Must be called
   /// before the first request.
   void setProbeClaim(ProbeClaim Claim) { this->Claim = std::move(Claim); }
 
-  /// Sets who hears of news. Called before the first request.
+  /// Sets the listener for local events. Must be called before the first
+  /// request.
   void setUpdateListener(UpdateListener Listener) {
     this->Listener = std::move(Listener);
   }
 
-  /// Decides whether a request may be sent. May take as long as a call to where
-  /// records are kept, when a try is due.
+  /// Decides whether a request may be sent. If a probe is due, this may block
+  /// for a call to the store of the records.
   QuarantineDecision admit(RequestDigest Request, TimePoint Now);
 
-  /// Returns whether a request is held back, without asking for a try.
+  /// Returns whether a request is quarantined, without claiming a probe.
   bool isQuarantined(RequestDigest Request, TimePoint Now) const;
 
-  /// Returns when a request that is held back may come back.
+  /// Returns the time until a quarantined request may be retried.
   Duration getWait(RequestDigest Request, TimePoint Now) const;
 
-  /// Returns whether a server other than Server has ended under a request.
+  /// Returns whether a server other than Server has ended while it ran this
+  /// request.
   bool isSuspect(RequestDigest Request, EndedServer Server) const;
 
-  /// Gives the right to a try back: no server was reached.
+  /// Returns an unused probe after no server could be reached.
   void returnTry(RequestDigest Request);
 
-  /// Notes that a server has ended under a request of this daemon's. Draws the
-  /// end's id.
+  /// Records that a server ended while it ran a request of this daemon, and
+  /// assigns a random id to the event.
   void noteEnd(RequestEnd End, TimePoint Now);
 
-  /// Notes that a server has answered a request of this daemon's.
+  /// Records that a server answered a request of this daemon.
   void recordAnswer(RequestDigest Request, TimePoint Now);
 
-  /// Takes what a peer tells. Returns what of it was news.
-  SuspectNews mergeUpdate(const SuspectNews &News, TimePoint Now);
+  /// Merges an update from a peer. Returns the part that was new.
+  SuspectNews mergeUpdate(const SuspectNews &Update, TimePoint Now);
 
-  /// Returns what a peer that has missed something should know.
+  /// Builds an update for a peer that may have missed earlier ones. MaxRows
+  /// limits its size.
   SuspectNews makeNews(size_t MaxRows, TimePoint Now) const;
 
-  /// Takes all records that are kept.
+  /// Replaces the stored records by those that were read.
   void takeRecords(const std::vector<SuspectRecord> &Records, TimePoint Now);
 
-  /// Notes that the records can no longer be read.
+  /// Marks the stored records as unavailable.
   void loseRecords();
 
-  /// Returns what should be among the records, and what no longer.
+  /// Return the records that are missing in the store, and the requests whose
+  /// records are to be removed from it.
   std::vector<SuspectRecord> listUnrecorded() const;
   std::vector<RequestDigest> listCleared() const;
 
-  /// Lists the suspects.
+  /// Returns the status of all recorded requests.
   std::vector<SuspectStatus> describe() const;
 
-  /// Forgets what no longer counts.
+  /// Removes expired events and records.
   void forgetOld(TimePoint Now);
 
 private:
-  SuspectVerdict beginAsking(RequestDigest Request, TimePoint Now,
-                             SuspectRecord &Record);
-  bool claimTry(const SuspectRecord &Record, TimePoint Now);
-  void logChange(RequestDigest Request, bool WasHeld, TimePoint Now) const;
+  SuspectVerdict beginProbe(RequestDigest Request, TimePoint Now,
+                            SuspectRecord &Record);
+  bool requestProbe(const SuspectRecord &Record, TimePoint Now);
+  void logChange(RequestDigest Request, bool WasQuarantined,
+                 TimePoint Now) const;
 
   CounterTable &Counters;
   ProbeClaim Claim;
   UpdateListener Listener;
   mutable std::mutex Mutex;
   SuspectTable Table;
-  /// Requests for whose try one of this daemon's threads is asking.
-  std::set<RequestDigest> Asking;
+  /// Requests for which a thread of this daemon is claiming a probe.
+  std::set<RequestDigest> ProbesBeingClaimed;
   std::mt19937 Random{std::random_device()()};
 };
 
--- a/include/canvaswick/Proxy/ResponseRelay.h
+++ b/include/canvaswick/Proxy/ResponseRelay.h
@@ -1,4 +1,4 @@
-//===- ResponseRelay.h - Passes an answer on to the caller ------*- C++ -*-===//
+//===- ResponseRelay.h - Relays responses to callers ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Decides at the head of an answer whether the caller gets it, streams the
-/// body or holds a short one back until it is whole, and makes a cut visible: a
-/// cut answer never looks like a shorter whole one.
+/// Decides at the head of a response whether it is relayed, and either streams
+/// the body or buffers a short response until it is complete. A truncated
+/// response is always visible as truncated: the caller's connection is closed
+/// before the declared end of the body.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,130 +26,140 @@
 
 namespace canvaswick {
 
-/// The status of a server that says another one has its address now.
+/// Status of a server that answers in place of another one whose address it now
+/// has (421 Misdirected Request).
 inline constexpr int MisdirectedStatus = 421;
 
-/// What the relay did with an answer at its head.
+/// What the relay does with a response, decided at its head.
 enum class ResponseVerdict : uint8_t {
-  /// No head came.
+  /// No head has arrived.
   None,
-  /// It goes to the caller.
+  /// The response is relayed to the caller.
   Relayed,
-  /// The server says the request was not run.
+  /// The server reports that it did not run the request.
   NotRun,
-  /// A failure that another server may make good.
+  /// The request failed; an attempt at another server may succeed.
   Failed,
-  /// It is the answer to another request.
+  /// The response echoes the id of another request.
   RequestIdMismatch,
-  /// It does not continue what the caller has got.
+  /// The response does not continue the part that the caller already has.
   ResumeMismatch,
 };
 
-/// What the relay may do with a failed answer.
+/// Options that control buffering, copying and the handling of failed
+/// responses.
 struct RelayOptions {
-  /// Set aside an answer of the server that a repeat could better.
+  /// Discards a 5xx response, because a retry may give a better one.
   bool MayDiscardFailure = false;
-  /// Hold an answer of at most this many bytes back until it is whole.
+  /// Buffers a response of at most this many bytes until it is complete. 0:
+  /// every response is streamed.
   size_t MaxBufferedBytes = 0;
-  /// Keep a copy of the answer of at most this many bytes.
+  /// Keeps a copy of a body of at most this many bytes.
   size_t MaxCopiedBytes = 0;
-  /// Read the answer to its end although the caller has left: a repeat of a
-  /// keyed request will ask for it.
+  /// Reads the response to its end even if the caller has disconnected, because
+  /// a retry of a keyed request asks for it.
   bool ContinuesWithoutCaller = false;
 };
 
-/// A copy of an answer, for the repeat of a keyed request.
+/// A copy of a response, which answers retries of a keyed request.
 struct ResponseCopy {
   int Status = 0;
   std::string ContentType;
   std::string Body;
 };
 
-/// Relays the answers of the attempts of one request to one caller.
+/// Relays the responses to the attempts of one request to its caller. Not
+/// thread-safe.
 class ResponseRelay {
 public:
-  /// Exchange is the caller's side. Names must outlive the relay.
+  /// Exchange is the caller's side of the connection. Exchange and Names must
+  /// outlive the relay.
   ResponseRelay(HttpExchange &Exchange, const HeaderNames &Names,
-                RelayOptions Rules);
+                RelayOptions Options);
 
-  /// Prepares for an attempt. RequestId is what a server may echo.
+  /// Resets the state for a new attempt. RequestId is the id that a server may
+  /// echo.
   void beginAttempt(const std::string &RequestId);
 
-  /// Changes what may be set aside, before an attempt.
-  void setRules(const RelayOptions &Rules) { this->Rules = Rules; }
+  /// Replaces the options. Must be called before an attempt.
+  void setOptions(const RelayOptions &Options) { this->Options = Options; }
 
-  /// Takes the head of an answer. Returns false to cancel the exchange.
+  /// Handles the head of a response. Returns false if the exchange must be
+  /// canceled.
   bool handleHead(const httplib::Response &Response);
 
-  /// Takes a piece of the body. Returns false if the caller has left.
+  /// Handles a piece of the body. Returns false if the caller has disconnected.
   bool handleBody(const char *Data, size_t Size);
 
-  /// Ends a relayed answer. IsWhole says whether all of it arrived; if not, the
-  /// caller's connection is cut.
+  /// Completes a relayed response. IsWhole tells whether all of it arrived; if
+  /// not, the caller's connection is closed.
   void finish(bool IsWhole);
 
   ResponseVerdict getVerdict() const { return this->Verdict; }
   int getStatus() const { return this->Status; }
 
-  /// Returns the requests that run or wait at the server, as its answer told,
-  /// or -1.
+  /// Returns the number of requests that run or wait at the server, as its
+  /// response reported, or -1.
   int getLoad() const { return this->Load; }
 
-  /// Returns whether the caller has got any part of an answer.
+  /// Returns whether any part of a response has been written to the caller.
   bool hasBegun() const { return this->HeadWritten; }
 
-  /// Returns whether writing to the caller failed.
+  /// Returns whether a write to the caller failed.
   bool hasCallerLeft() const { return this->CallerLeft; }
 
-  /// Returns whether the rest of a cut answer can be asked for by bytes: it
-  /// was a whole 200 answer to a GET with a strong validator and a length.
+  /// Returns whether the rest of a truncated response can be requested as a
+  /// byte range: it answers a GET request without a Range header, has status
+  /// 200, a strong validator and a length.
   bool canResume() const;
 
-  /// Returns the request headers that ask for the rest.
+  /// Adds the request headers that ask for the rest of the response.
   void addResumeHeaders(httplib::Headers &Headers) const;
 
-  /// Returns whether the kept copy is the whole body so far.
-  bool hasCompleteCopy() const { return !this->IsKeptTooLong; }
+  /// Returns whether the copy holds the complete body received so far.
+  bool hasCompleteCopy() const { return !this->IsCopyTruncated; }
 
-  /// Returns the copy that was kept.
-  const ResponseCopy &getCopy() const { return this->Kept; }
+  /// Returns the copy of the response.
+  const ResponseCopy &getCopy() const { return this->Copy; }
 
 private:
   ResponseVerdict classifyHead(const httplib::Response &Response) const;
-  bool continuesAnswer(const httplib::Response &Response) const;
-  bool isProved(const httplib::Response &Response) const;
-  void readLoad(const httplib::Response &Response);
+  bool continuesResponse(const httplib::Response &Response) const;
+  bool isAuthentic(const httplib::Response &Response) const;
+  void parseLoad(const httplib::Response &Response);
   void prepareHead(const httplib::Response &Response);
   bool writeHead();
-  bool passBody(const char *Data, size_t Size);
-  bool releaseHeld();
+  bool writeBody(const char *Data, size_t Size);
+  bool flushBuffer();
   bool writeToCaller(const char *Data, size_t Size);
 
   HttpExchange &Exchange;
   const HeaderNames &Names;
-  RelayOptions Rules;
+  RelayOptions Options;
   std::string RequestId;
   ResponseVerdict Verdict = ResponseVerdict::None;
   int Status = 0;
   bool HeadWritten = false;
-  /// The head, without its length and end, and the body so far of an answer
-  /// that is held back.
+  /// Head holds the response head without the headers that frame the body;
+  /// BufferedBody holds the part of the body received so far. Both belong to a
+  /// response that is buffered.
   std::string Head;
-  std::string HeldBody;
-  bool IsHolding = false;
+  std::string BufferedBody;
+  bool IsBuffering = false;
   bool IsBodyless = false;
   int Load = -1;
   bool IsChunked = false;
   bool CallerLeft = false;
   bool HasLength = false;
   uint64_t Length = 0;
-  uint64_t Passed = 0;
+  uint64_t BytesRelayed = 0;
   std::string Validator;
-  ResponseCopy Kept;
-  bool IsKeptTooLong = false;
+  ResponseCopy Copy;
+  bool IsCopyTruncated = false;
 };
 
-/// Returns whether a header belongs to one connection and is not passed on.
+/// Returns whether a header applies to a single connection and must not be
+/// forwarded (RFC 9110, 7.6.1), or is replaced when the message is forwarded.
 bool isHopByHopHeader(const std::string &Name, const httplib::Headers &All);
 
 } // namespace canvaswick
--- a/include/canvaswick/Proxy/ServerNoticeParser.h
+++ b/include/canvaswick/Proxy/ServerNoticeParser.h
@@ -1,4 +1,4 @@
-//===- ServerNoticeParser.h - Reads a server's notice off an ----*- C++ -*-===//
+//===- ServerNoticeParser.h - Parses server notices -------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What of an answer's head concerns its server, not the request.
+/// Parses the headers of a response that concern the server and not the
+/// request.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,13 +26,15 @@
 
 namespace canvaswick {
 
-/// Reads a Retry-After (RFC 9110, 10.2.3): seconds, fractions allowed, or a
-/// date, counted from CalendarMillis. A date in the past is no wait. Returns
-/// nothing for any other text.
+/// Parses a Retry-After header (RFC 9110, 10.2.3): a number of seconds, which
+/// may have a fraction, or an HTTP date, which is compared with CalendarMillis
+/// (milliseconds since the epoch). A date in the past gives zero. Returns
+/// nothing if the text is malformed or the time exceeds one day.
 std::optional<Duration> parseRetryAfter(const std::string &Text,
                                         int64_t CalendarMillis);
 
-/// Reads a notice. Words that cannot be understood are left out.
+/// Parses the notice in a response. Malformed values are ignored and set
+/// IsMalformed.
 ServerNotice parseServerNotice(const httplib::Response &Response,
                                const HeaderNames &Names,
                                int64_t CalendarMillis);
--- a/include/canvaswick/Proxy/ServerNoticeTable.h
+++ b/include/canvaswick/Proxy/ServerNoticeTable.h
@@ -1,4 +1,4 @@
-//===- ServerNoticeTable.h - Servers' notices behind one lock ---*- C++ -*-===//
+//===- ServerNoticeTable.h - Thread-safe table of notices -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What servers say of themselves, for all threads and all versions of the
-/// settings: a request that began under an earlier version hears for the later.
+/// Shares the notices of all servers between threads and between versions of
+/// the settings: a notice that arrives for a request of an earlier version also
+/// applies to the current one.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,32 +27,32 @@
 
 namespace canvaswick {
 
-/// The notices of one daemon. Thread-safe; no other lock is taken under its
-/// mutex, and a service's may be held when it is.
+/// The server notices known to one daemon. Thread-safe; no other lock is taken
+/// while its mutex is held. A service's mutex may be held when it is taken.
 class ServerNoticeTable
     : public boost::intrusive_ref_counter<ServerNoticeTable> {
 public:
-  /// Runs Work on the notices while nobody else does anything with them.
+  /// Calls Work with the notices while the mutex is held.
   template <typename Function> auto with(Function &&Work) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    const EmptyMark Mark(*this);
+    const EmptinessUpdater Updater(*this);
     return Work(this->Notices);
   }
 
-  /// Forgets what no longer holds, and logs it.
+  /// Removes expired notices and logs each removal.
   void forgetOld(TimePoint Now);
 
-  /// Returns whether no server says anything, without waiting for anybody.
+  /// Returns whether no server has an active notice. Does not block.
   bool isEmpty() const { return this->IsEmpty; }
 
 private:
-  /// Keeps IsEmpty true to the notices after each piece of work.
-  struct EmptyMark {
-    explicit EmptyMark(ServerNoticeTable &Board) : Board(Board) {}
-    ~EmptyMark() { this->Board.IsEmpty = this->Board.Notices.isEmpty(); }
-    EmptyMark(const EmptyMark &) = delete;
-    EmptyMark &operator=(const EmptyMark &) = delete;
-    ServerNoticeTable &Board;
+  /// Updates IsEmpty when the access to the notices ends.
+  struct EmptinessUpdater {
+    explicit EmptinessUpdater(ServerNoticeTable &Table) : Table(Table) {}
+    ~EmptinessUpdater() { this->Table.IsEmpty = this->Table.Notices.isEmpty(); }
+    EmptinessUpdater(const EmptinessUpdater &) = delete;
+    EmptinessUpdater &operator=(const EmptinessUpdater &) = delete;
+    ServerNoticeTable &Table;
   };
 
   std::mutex Mutex;
@@ -59,8 +60,8 @@
   std::atomic<bool> IsEmpty{true};
 };
 
-/// Logs a change of what a server says, and the request that brought it, if one
-/// did.
+/// Logs a change of a server's notices. RequestId names the request whose
+/// response carried it, or is empty.
 void logNoticeChange(const NoticeChange &Change, const std::string &RequestId);
 
 /// A counted reference to a ServerNoticeTable.
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -1,4 +1,4 @@
-//===- ServiceRuntime.h - One service as a daemon runs it -------*- C++ -*-===//
+//===- ServiceRuntime.h - Runtime state of one service ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The decision objects of one service behind one mutex: who gets the next
-/// request, what is admitted, what the outcomes showed. Shared by counted
-/// references; requests in flight keep the one they began with.
+/// Combines the selection of servers, admission, retry budgets and server
+/// health of one service under one mutex. Instances are shared through counted
+/// references; a request in flight keeps the instance with which it began.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -39,58 +39,60 @@
 
 namespace canvaswick {
 
-/// One try of a request at one server, while it is in flight. Linked into its
-/// service so that late ones are noticed before they end.
+/// One attempt of a request at one server while it is in flight. It is linked
+/// into its service, so that slow attempts are noticed before they end.
 struct Attempt : boost::intrusive::list_base_hook<> {
   size_t Server = 0;
-  /// Name of the request's route.
+  /// The name of the request's route.
   std::string Route;
   TimePoint Began{};
-  /// The usual time of its kind at an idle server; zero: not known.
+  /// The typical time of such a request at an idle server; zero if unknown.
   Duration Usual{};
-  /// When it may take no longer.
+  /// The time by which the attempt must end.
   TimePoint Deadline{};
   bool IsCountedSlow = false;
-  /// Whether it ended without an answer because the time was up.
+  /// Whether the attempt ended without a response because its time was up.
   bool WasTimedOut = false;
-  /// Whether its connection ended before a byte of an answer had come, and not
-  /// by us.
+  /// Whether the connection ended before the first byte of the response, and
+  /// not because this daemon closed it.
   bool WasCutOff = false;
-  /// How much longer than at an idle server its kind usually takes, because of
-  /// those that came before it.
+  /// The factor by which a queue at the server typically prolongs such a
+  /// request, compared with an idle server.
   double QueueFactor = 1;
-  /// The number under which the requests in flight hold it.
+  /// The key of the attempt in the InFlightTable.
   uint64_t InFlightNumber = 0;
-  /// What the answer told of the server's load, or -1.
+  /// The server's load as the response reported it, or -1.
   int Load = -1;
-  /// What the server was chosen by: its share, how likely it was sick, the
-  /// requests there, and whether it was tested.
+  /// The values by which the server was selected: its share, the probability
+  /// that it is unhealthy, its load, and whether the attempt is a probe.
   double Share = 1;
   double Sickness = 0;
   double ServerLoad = 0;
   bool IsTest = false;
-  /// Whether its answer asked for rest.
+  /// Whether the response asked for a backoff (Retry-After).
   bool HasBackoffRequest = false;
-  /// Servers that were left out of the choice by their own word.
+  /// The number of servers that were excluded from the selection because of
+  /// their own notices.
   size_t ExcludedServers = 0;
 };
 
-/// What of a request decides which server it may go to.
+/// The properties of a request that determine which servers it may use.
 struct AttemptNeeds {
   RouteClass Class = RouteClass::Repeatable;
-  /// Name of the route.
+  /// The name of the route.
   std::string Route;
   TimePoint Deadline{};
-  /// Within what time an answer is to come, by the operators, and until when.
+  /// The operators' latency objective, and the time at which it ends for this
+  /// request.
   Duration Objective{};
   TimePoint ObjectiveDeadline{};
-  /// Whether a failure of this attempt would be final.
+  /// Whether no retry is possible if this attempt fails.
   bool IsLast = true;
   /// Servers that were tried before.
   std::vector<size_t> Tried;
 };
 
-/// What an operator may ask about one server.
+/// The status of one server for operators.
 struct ServerStatus {
   std::string Name;
   Endpoint Address;
@@ -98,22 +100,22 @@
   ShareExplanation Explanation;
 };
 
-/// Who runs the service: what all services of a daemon share.
+/// The daemon that runs the service, with the data that all its services share.
 struct DaemonIdentity {
   std::string Name;
   std::string Hall;
   std::vector<std::string> Daemons;
   int ExpectedDaemons = 1;
-  /// Calendar time of the process's start, in milliseconds.
+  /// The calendar time at which the process started, in milliseconds.
   uint64_t StartMillis = 0;
-  /// Which policy judges servers, and whose repeats are counted: a daemon on
-  /// the users' platform shares observations and one budget with the fleet.
+  /// Selects the health policy and the retry budget: a daemon on the users'
+  /// platform shares observations and one retry budget with the fleet.
   SettingsSource Source = SettingsSource::Own;
   RepeatAllowance Repeats;
   TimePoint Started{};
   PolicySwitches Switches;
-  /// What servers say of themselves. Null: the previous version's, or one of
-  /// the service alone.
+  /// The server notices. If null, the table of the previous version is used, or
+  /// a new one for this service alone.
   ServerNoticeTableRef Notices;
 };
 
@@ -122,136 +124,145 @@
 /// A counted reference to a ServiceRuntime.
 using ServiceRuntimeRef = boost::intrusive_ptr<ServiceRuntime>;
 
-/// The live state of one service. Thread-safe; its mutex is the innermost one:
-/// no other lock is taken while it is held.
+/// The live state of one service. Thread-safe. While its mutex is held, no
+/// other lock is taken except that of the ServerNoticeTable.
 class ServiceRuntime : public boost::intrusive_ref_counter<ServiceRuntime> {
 public:
-  /// Takes over the evidence of Previous, which may be null, for the servers
-  /// that are in both.
+  /// Copies the health data of the servers that are also in Previous, which may
+  /// be null.
   ServiceRuntime(ServiceConfig Config, const DaemonIdentity &Identity,
                  const ServiceRuntime *Previous, TimePoint Now);
 
-  /// Admits a request of a route. On refusal says when to come back.
+  /// Admits a request of a route. If it is refused, sets Wait to the time after
+  /// which the caller may retry.
   Refusal admit(const std::string &Route, Duration Left, TimePoint Now,
                 Duration &Wait);
 
-  /// Ends an admitted request and counts it.
+  /// Ends an admitted request and records it in the metrics.
   void finish(AnswerKind Kind, Duration Latency, TimePoint Now);
 
-  /// Chooses a server and links Next, or returns false if none can take it.
+  /// Selects a server and links Next. Returns false if no server can take the
+  /// request.
   bool begin(Attempt &Next, const AttemptNeeds &Needs, TimePoint Now);
 
-  /// Unlinks an attempt and takes its outcome as evidence.
+  /// Unlinks an attempt and records its outcome.
   void end(Attempt &Ended, RequestOutcome Outcome, TimePoint Now);
 
-  /// Takes the right to one repeat.
+  /// Takes one retry from the budget. Returns false if none is left.
   bool tryTakeRetry(TimePoint Now);
 
-  /// Takes the right to send elsewhere what a server declined to run. Only the
-  /// fleet's budget counts such repeats.
+  /// Takes one retry of a request that a server declined to run. Such retries
+  /// count only on the fleet's budget.
   bool tryTakeNotRunRetry(TimePoint Now);
 
-  /// Gives a peer the right to one repeat of the fleet's budget.
+  /// Lends a peer one retry of the fleet's budget. Returns false if none is
+  /// left.
   bool tryLendRetry(TimePoint Now);
 
-  /// Takes a right that a peer gave, to be used before Until.
+  /// Adds a retry that a peer has lent; it expires at Until.
   void borrowRetry(TimePoint Until);
 
-  /// Returns whether repeats are counted on the fleet's budget.
+  /// Returns whether retries are counted on the fleet's budget.
   bool hasFleetRetryBudget() const { return this->FleetRetries != nullptr; }
 
-  /// Returns the name that the service has in messages between daemons.
+  /// Returns the id of the service in messages between daemons.
   ServerId getId() const;
 
   /// Returns whether tryTakeRetry would succeed on the fleet's budget.
   bool hasRetry(TimePoint Now) const;
 
-  /// Notes attempts that are already late and moves the policy on.
+  /// Counts attempts that are already slow, and advances the health policy to
+  /// Now.
   void advance(TimePoint Now);
 
-  /// Returns a report for the owners of the pool if one is due.
+  /// Returns a report for the owners of the evidence pool if one is due.
   std::optional<EvidenceReport> makeReport(TimePoint Now);
 
-  /// Takes a digest of an owner.
-  void takeDigest(const EvidenceDigest &Digest, TimePoint Now);
+  /// Applies a summary from an owner of the evidence pool.
+  void takeDigest(const EvidenceDigest &Summary, TimePoint Now);
 
-  /// Returns the observations that peers should know, and forgets them.
+  /// Returns the observations for peers and clears them.
   std::vector<Observation> drainLocalObservations();
 
-  /// Takes what a peer of this hall saw.
+  /// Applies an observation of a peer in the same hall.
   void takeObservation(const Observation &Seen, TimePoint Now);
 
-  /// Adds what this daemon has in flight at the service's servers.
+  /// Appends the requests that this daemon has in flight at the servers of this
+  /// service.
   void appendInFlight(std::vector<InFlightReport> &Reports,
                       TimePoint Now) const;
 
-  /// Takes all that a peer of this hall has in flight, at any service.
+  /// Replaces the in-flight requests of a peer in the same hall. Reports covers
+  /// all services.
   void applyPeerInFlight(const std::string &Daemon, uint64_t Sequence,
                          const std::vector<InFlightReport> &Reports,
                          TimePoint Now);
 
-  /// Returns what this daemon thinks of the servers in its own hall.
+  /// Returns this daemon's health estimates of the servers in its own hall.
   std::vector<Estimate> getSameHallEstimates(TimePoint Now) const;
 
-  /// Returns what this daemon thinks of all servers that its hall has used.
+  /// Returns this daemon's health estimates of all servers that its hall has
+  /// used.
   std::vector<Estimate> getUsedEstimates(TimePoint Now) const;
 
-  /// Returns how this hall's requests fare of late.
+  /// Returns the recent failure rate of this hall's requests.
   HallRate getRate(TimePoint Now) const;
 
-  /// Takes how another hall's requests fare, if Rate is about this service.
+  /// Applies the failure rate of another hall, if Rate is about this service.
   void takeRate(const std::string &Hall, const HallRate &Rate, TimePoint Now);
 
-  /// Takes what a peer of this hall thinks of a server that is new here.
+  /// Applies a same-hall peer's estimate of a server that is new to this
+  /// daemon.
   void takeNearEstimate(const Estimate &Given, TimePoint Now);
 
-  /// Takes what a daemon of another hall thinks of a server there.
+  /// Applies another hall's estimate of a server in that hall.
   void takeEstimate(const Estimate &Given, TimePoint Now);
 
-  /// Returns after how long without an answer it is first asked whether a
-  /// repeatable request is better sent elsewhere.
+  /// Returns the time without a response after which it is first checked
+  /// whether a retry at another server is better.
   Duration getRetryCheckDelay(const std::string &Route,
                               Duration Objective) const;
 
-  /// Returns whether an attempt that has no answer yet is better given up for
-  /// one at another server. Needs tells which were tried.
+  /// Returns whether an attempt without a response should be abandoned for a
+  /// retry at another server. Needs lists the servers that were tried.
   bool shouldAbandonAttempt(const Attempt &Each, const AttemptNeeds &Needs,
                             TimePoint Now) const;
 
-  /// Marks servers as leaving, by what the platform or the server itself said.
+  /// Sets which servers the platform lists as leaving: those with one of these
+  /// addresses (host, or host and port).
   void setLeavingAddresses(const std::set<std::string> &Addresses,
                            TimePoint Now);
 
-  /// Takes what the answer of an attempt says of its server. Returns what of it
-  /// is new.
+  /// Applies the notice in the response to an attempt. Returns what has
+  /// changed.
   std::vector<NoticeChange>
   handleNotice(Attempt &From, const ServerNotice &Notice, TimePoint Now);
 
-  /// Takes what a peer tells of the limit of one of this service's servers.
-  /// Returns what of it is new.
+  /// Applies a peer's report of the request limit of one of this service's
+  /// servers. Returns what has changed.
   std::vector<NoticeChange> applyPeerLimit(const LimitReport &Given,
                                            TimePoint Now);
 
-  /// Takes a load report of a server.
+  /// Records a load report of a server.
   void recordLoadReport(size_t Server, double Load, TimePoint Now);
 
-  /// Returns what an operator may know.
+  /// Returns the status of all servers for operators.
   std::vector<ServerStatus> describe(TimePoint Now) const;
 
-  /// Sets the fleet's allowance of repeats, how many daemons share it and which
-  /// of them this one is.
-  void setRetryLimit(const RepeatAllowance &Allowance, size_t Daemons,
-                     size_t Rank);
+  /// Sets the fleet's retry limit, the number of daemons that share it, and the
+  /// rank of this daemon among them.
+  void setRetryLimit(const RepeatAllowance &Limit, size_t Daemons, size_t Rank);
 
   const ServiceConfig &getConfig() const { return this->Config; }
   const ServerSubset &getSubset() const { return this->Subset; }
   ServiceMetrics &getMetrics() { return *this->Metrics; }
   const ServerConfig &getServer(size_t Index) const;
 
-  /// Returns how many servers this daemon uses.
+  /// Returns the number of servers that this daemon uses.
   size_t countServers() const { return this->Subset.Servers.size(); }
 
-  /// Returns whether it is for this configuration and these daemons already.
+  /// Returns whether this instance was built for the same configuration,
+  /// servers and connection limits.
   bool matchesConfig(const ServiceConfig &Config,
                      const DaemonIdentity &Identity) const;
 
@@ -265,39 +276,40 @@
   PolicySetup makeSetup(const DaemonIdentity &Identity) const;
   Policies makePolicy(const DaemonIdentity &Identity) const;
   bool isOn(Mechanism Which) const { return this->Switches.isOn(Which); }
-  FleetRepeatBudgetRef makeRepeats(const DaemonIdentity &Identity,
-                                   const ServiceRuntime *Previous) const;
+  FleetRepeatBudgetRef makeRetryBudget(const DaemonIdentity &Identity,
+                                       const ServiceRuntime *Previous) const;
   std::vector<ServerShare> getShares(const AttemptNeeds &Needs,
                                      TimePoint Now) const;
   void applyLeaving(size_t Server, TimePoint Now);
   std::vector<int> matchServers(const ServiceRuntime &Other) const;
   SelectionRules makeSelectionRules(RouteClass Class) const;
   template <typename Predicate>
-  std::vector<Estimate> makeEstimates(const SpellPolicy &Spells, TimePoint Now,
+  std::vector<Estimate> makeEstimates(const SpellPolicy &Markov, TimePoint Now,
                                       Predicate Wants) const;
   RequestOutcome classifyEnd(const Attempt &Ended, RequestOutcome Outcome,
                              Duration Took) const;
-  std::vector<double> getWorths(const SpellPolicy &Spells,
-                                const AttemptNeeds &Needs, TimePoint Now) const;
-  int findBestElsewhere(const SpellPolicy &Spells, const Attempt &Each,
-                        const AttemptNeeds &Needs, TimePoint Now) const;
+  std::vector<double> computeUtilities(const SpellPolicy &Markov,
+                                       const AttemptNeeds &Needs,
+                                       TimePoint Now) const;
+  int findBestAlternative(const SpellPolicy &Markov, const Attempt &Each,
+                          const AttemptNeeds &Needs, TimePoint Now) const;
   std::vector<double> getLoads(TimePoint Now) const;
   void beginInFlight(Attempt &Next, const AttemptNeeds &Needs, TimePoint Now);
-  int computePacePercent(const Attempt &Ended, TimePoint Now) const;
+  int computeLatencyRatioPercent(const Attempt &Ended, TimePoint Now) const;
   ShareExplanation explain(size_t Server, TimePoint Now) const;
 
-  static ServerNoticeTableRef chooseBoard(const DaemonIdentity &Identity,
-                                          const ServiceRuntime *Previous);
-  NoticeSource makeNoticed(size_t Server) const;
+  static ServerNoticeTableRef chooseNoticeTable(const DaemonIdentity &Identity,
+                                                const ServiceRuntime *Previous);
+  NoticeSource makeNoticeSource(size_t Server) const;
   size_t applyNotices(std::vector<double> &Shares, TimePoint Now) const;
-  bool isHeld(size_t Server, TimePoint Now) const;
+  bool isExcludedByNotice(size_t Server, TimePoint Now) const;
   void updateLeaving(TimePoint Now);
   void explainNotice(size_t Server, ShareExplanation &Why, TimePoint Now) const;
-  std::optional<Duration> getHeldWait(TimePoint Now) const;
+  std::optional<Duration> computeNoticeWait(TimePoint Now) const;
 
   const ServiceConfig Config;
   const ServerSubset Subset;
-  /// The names of the servers in messages and notices.
+  /// The ids of the servers in messages and notices.
   const std::vector<ServerId> Ids;
   const ServerNoticeTableRef Notices;
   const PolicySwitches Switches;
@@ -306,13 +318,13 @@
   ServerSelector Selector;
   LatencyTable Latency;
   RetryBudget Retries;
-  /// Takes the place of Retries where the budget is the fleet's. Else null.
+  /// Replaces Retries if the retry budget is the fleet's; null otherwise.
   FleetRepeatBudgetRef FleetRetries;
   InFlightLimit InFlight;
   RandomSource Random;
   AttemptList Attempts;
   std::vector<bool> LeavingByList;
-  /// By the server's own word.
+  /// Set by the servers' own notices.
   std::vector<bool> LeavingByNotice;
   std::vector<bool> IsLeaving;
   std::shared_ptr<ServiceMetrics> Metrics;
--- a/lib/Proxy/FleetRuntime.cpp
+++ b/lib/Proxy/FleetRuntime.cpp
@@ -1,4 +1,4 @@
-//===- FleetRuntime.cpp - One version of the settings as a daemon runs it -===//
+//===- FleetRuntime.cpp - Runtime of one settings version -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Builds the services, reusing those that did not change.
+/// Builds the services and reuses those whose configuration has not changed.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -1,4 +1,4 @@
-//===- RequestAttempts.cpp - The tries of one request at backend servers --===//
+//===- RequestAttempts.cpp - Attempts of one request at servers -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Picks a server, runs the exchange, judges what it showed about the server
-/// and what the caller can be told. Whether another may be tried stands in
-/// RequestRepeats.cpp.
+/// Selects a server, runs the exchange, and derives the outcome for the
+/// server's health and for the caller. RequestRetries.cpp decides whether
+/// another attempt follows.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,77 +24,80 @@
 
 namespace canvaswick {
 
-/// An answer to a keyed request is kept up to this length.
-static constexpr size_t KeptAnswerBytes = 2 * 1024;
+/// Responses to keyed requests are stored up to this size.
+static constexpr size_t MaxStoredAnswerBytes = 2 * 1024;
 
-/// Connections that may fail to come about for one request. They are no
-/// attempts: nothing was sent.
+/// Failed connections that are tolerated for one request. They do not count as
+/// attempts, because nothing was sent.
 static constexpr size_t MaxUnreachable = 4;
 
-/// Notes what came of an attempt for the log.
+/// Appends an attempt to the trail that is logged when the request ends.
 void RequestProxy::addToTrail(RequestContext &Request, const Attempt &Ended,
                               RequestOutcome Outcome, Duration Took) {
-  Request.Trail +=
+  Request.AttemptTrail +=
       fmt::format("{}{}:{}:{}ms:share={:.3f}:sick={:.3f}:load={:.1f}{}",
-                  Request.Trail.empty() ? "" : ",",
+                  Request.AttemptTrail.empty() ? "" : ",",
                   Request.Service->getServer(Ended.Server).Name,
                   Ended.WasCutOff ? "cut-off" : getName(Outcome),
                   toMillis(Took), Ended.Share, Ended.Sickness, Ended.ServerLoad,
                   Ended.IsTest ? ":test" : "");
 }
 
-/// Returns whether another attempt may begin, by the route's attempts, by the
-/// connections that did not come about, and by the time that is left.
+/// Returns whether another attempt may begin, given the route's maximum number
+/// of attempts, the failed connections and the time left.
 bool RequestProxy::hasAttemptLeft(const RequestContext &Request,
                                   const ResponseRelay &Relay,
                                   size_t Unreachable, TimePoint Now) const {
-  if (Request.Tries >= this->getMaxAttempts(Request) ||
+  if (Request.AttemptCount >= this->getMaxAttempts(Request) ||
       Unreachable >= MaxUnreachable)
     return false;
-  // An answer that has begun has its own time limits.
+  // A response that has begun has its own time limits.
   return Now < Request.Deadline || Relay.hasBegun();
 }
 
-/// Returns within what time an answer is to come, by the operators.
+/// Returns the latency objective of a request.
 static Duration getObjective(const RouteConfig &Route,
                              const ServiceConfig &Service) {
   return fromMillis(Route.ObjectiveMs > 0 ? Route.ObjectiveMs
                                           : Service.ObjectiveMs);
 }
 
-void RequestProxy::tellChange(TimePoint Now) const {
+void RequestProxy::notifyAttemptListener(TimePoint Now) const {
   if (this->Listener)
     this->Listener(Now);
 }
 
-/// Returns whether servers have ended under the request too often, also
-/// elsewhere and since it began.
-bool RequestProxy::isHeldBackNow(RequestContext &Request, TimePoint Now) const {
-  Request.IsHeldBack =
-      !Request.HasTry && this->Quarantine.isQuarantined(Request.Digest, Now);
-  if (Request.IsHeldBack)
-    Request.HeldWait = this->Quarantine.getWait(Request.Digest, Now);
-  return Request.IsHeldBack;
+/// Returns whether the request is quarantined now. Servers may have crashed
+/// since the request began, also under requests of other daemons.
+bool RequestProxy::recheckQuarantine(RequestContext &Request,
+                                     TimePoint Now) const {
+  Request.IsQuarantined = !Request.HasProbe && this->Quarantine.isQuarantined(
+                                                   Request.Fingerprint, Now);
+  if (Request.IsQuarantined)
+    Request.QuarantineWait = this->Quarantine.getWait(Request.Fingerprint, Now);
+  return Request.IsQuarantined;
 }
 
-/// Tells the guard what came of an attempt. Returns what it shows of the
-/// server: nothing if other servers have ended under the request too. Charged
-/// to the server, the end would look like a spell, and fewer would be used.
-RequestOutcome RequestProxy::tellGuard(RequestContext &Request,
-                                       const Attempt &Ended,
-                                       RequestOutcome Outcome, TimePoint Now) {
+/// Reports an attempt to the quarantine. Returns the outcome to record for the
+/// server: Canceled if other servers have ended under the request, too. Were
+/// the crash charged to the server, it would look like a failure episode of the
+/// server, and fewer servers would be used.
+RequestOutcome RequestProxy::reportToQuarantine(RequestContext &Request,
+                                                const Attempt &Ended,
+                                                RequestOutcome Outcome,
+                                                TimePoint Now) {
   if (Outcome != RequestOutcome::Unreachable)
-    Request.HasTry = false;
+    Request.HasProbe = false;
   if (Request.IsAnswered && !Request.WasFailed)
-    this->Quarantine.recordAnswer(Request.Digest, Now);
+    this->Quarantine.recordAnswer(Request.Fingerprint, Now);
   const ServerConfig &Server = Request.Service->getServer(Ended.Server);
-  // One that is leaving ends in any case.
+  // A server that is draining ends in any case.
   if (!Ended.WasCutOff || Server.State == ServerState::Draining)
     return Outcome;
   const EndedServer Id =
       getServerId(Request.Service->getConfig().Name, Server.Name);
-  this->Quarantine.noteEnd({Request.Digest, Id, Ended.Began, Now, 0}, Now);
-  return this->Quarantine.isSuspect(Request.Digest, Id)
+  this->Quarantine.noteEnd({Request.Fingerprint, Id, Ended.Began, Now, 0}, Now);
+  return this->Quarantine.isSuspect(Request.Fingerprint, Id)
              ? RequestOutcome::Canceled
              : Outcome;
 }
@@ -115,10 +118,10 @@
       Request.WasCanceled = true;
       break;
     }
-    if (!Relay.hasBegun() && this->isHeldBackNow(Request, Now))
+    if (!Relay.hasBegun() && this->recheckQuarantine(Request, Now))
       break;
     Needs.IsLast = !isRetryable(*Request.Route) ||
-                   Request.Tries + 1 >= this->getMaxAttempts(Request) ||
+                   Request.AttemptCount + 1 >= this->getMaxAttempts(Request) ||
                    !Request.Service->hasRetry(Now);
     Attempt Current;
     if (!Request.Service->begin(Current, Needs, Now)) {
@@ -126,20 +129,20 @@
       break;
     }
     this->Counters.add(Counter::ServersLeftOut, Current.ExcludedServers);
-    this->tellChange(Now);
+    this->notifyAttemptListener(Now);
     const RequestOutcome Outcome = this->runAttempt(Request, Relay, Current);
     Current.Load = Relay.getLoad();
     const TimePoint End = readSteadyClock();
-    Request.Service->end(Current,
-                         this->tellGuard(Request, Current, Outcome, End), End);
-    this->tellChange(End);
+    Request.Service->end(
+        Current, this->reportToQuarantine(Request, Current, Outcome, End), End);
+    this->notifyAttemptListener(End);
     addToTrail(Request, Current, Outcome, End - Now);
     Needs.Tried.push_back(Current.Server);
     if (Outcome == RequestOutcome::Unreachable)
       ++Unreachable;
     else
-      ++Request.Tries;
-    // A right to a repeat is taken only where there is a try left to use it.
+      ++Request.AttemptCount;
+    // A retry is taken from the budget only if an attempt is left to use it.
     if (Request.IsAnswered || Request.WasCanceled ||
         !this->hasAttemptLeft(Request, Relay, Unreachable, End) ||
         !this->mayRetry(Request, Relay))
@@ -147,15 +150,15 @@
     this->Counters.add(Relay.hasBegun() ? Counter::ResumedAnswers
                                         : Counter::Repeats);
   }
-  if (Request.HasTry)
-    this->Quarantine.returnTry(Request.Digest);
+  if (Request.HasProbe)
+    this->Quarantine.returnTry(Request.Fingerprint);
 }
 
-/// Returns whether a header of the caller is replaced by one of ours, or is for
-/// this daemon only. HasKeys: callers show keys, which no server may see. The
-/// four in capitals are the HTTP library's own notes.
-static bool isOwnHeader(const std::string &Name, const HeaderNames &Names,
-                        bool HasKeys) {
+/// Returns whether the proxy replaces a header of the caller or consumes it.
+/// HasKeys tells whether callers authenticate with keys, which no server may
+/// see. cpp-httplib adds the four headers in capitals.
+static bool isReplacedHeader(const std::string &Name, const HeaderNames &Names,
+                             bool HasKeys) {
   return (HasKeys && equalsIgnoringCase(Name, Names.Key)) ||
          equalsIgnoringCase(Name, Names.Organisation) ||
          Name == "REMOTE_ADDR" || Name == "REMOTE_PORT" ||
@@ -166,7 +169,7 @@
          ::strcasecmp(Name.c_str(), "Expect") == 0;
 }
 
-/// Adds what a server should know of the request besides the caller's headers.
+/// Adds the headers by which the proxy informs the server about the request.
 void RequestProxy::addServerHeaders(RequestContext &Request,
                                     const ServerConfig &Server,
                                     const std::string &RequestId,
@@ -196,7 +199,7 @@
   Outgoing.Target = Caller.target;
   const bool HasKeys = Request.Fleet->getConfig().Organisations->needsKeys();
   for (const auto &[Name, Value] : Caller.headers)
-    if (!isOwnHeader(Name, this->Options.Headers, HasKeys) &&
+    if (!isReplacedHeader(Name, this->Options.Headers, HasKeys) &&
         !isHopByHopHeader(Name, Caller.headers))
       Outgoing.Headers.emplace(Name, Value);
   this->addServerHeaders(Request, Server, RequestId, Outgoing);
@@ -207,24 +210,28 @@
   Outgoing.MayEndWithConnection = this->Options.MaxBufferedResponseBytes > 0;
   Relay.addResumeHeaders(Outgoing.Headers);
   Outgoing.StallLimit = fromMillis(Request.Service->getConfig().StallMs);
-  if (Request.HasOwnDeadline)
+  if (Request.HasCallerDeadline)
     Outgoing.BodyDeadline = Request.Deadline;
   Outgoing.Body = Request.Body;
-  if (!Request.IsBodyWhole)
+  if (!Request.IsBodyBuffered)
     this->streamBody(Request, Outgoing);
   return Outgoing;
 }
 
-/// Returns what may be held back, set aside or kept of an attempt's answer.
-RelayOptions RequestProxy::makeRelayRules(const RequestContext &Request) const {
-  RelayOptions Rules;
-  // The second server's own words are worth more than a general failure.
-  Rules.MayDiscardFailure =
-      isRetryable(*Request.Route) && Request.IsBodyWhole && Request.Tries == 0;
-  Rules.MaxBufferedBytes = this->Options.MaxBufferedResponseBytes;
-  Rules.MaxCopiedBytes = Request.HasClaim ? KeptAnswerBytes : 0;
-  Rules.ContinuesWithoutCaller = Request.HasClaim;
-  return Rules;
+/// Returns how the response to the next attempt may be buffered, discarded or
+/// copied.
+RelayOptions
+RequestProxy::makeRelayOptions(const RequestContext &Request) const {
+  RelayOptions RelaySettings;
+  // A later server's own failure response tells the caller more than a generic
+  // one.
+  RelaySettings.MayDiscardFailure = isRetryable(*Request.Route) &&
+                                    Request.IsBodyBuffered &&
+                                    Request.AttemptCount == 0;
+  RelaySettings.MaxBufferedBytes = this->Options.MaxBufferedResponseBytes;
+  RelaySettings.MaxCopiedBytes = Request.HasClaim ? MaxStoredAnswerBytes : 0;
+  RelaySettings.ContinuesWithoutCaller = Request.HasClaim;
+  return RelaySettings;
 }
 
 static Counter getCounter(NoticeKind Kind) {
@@ -242,9 +249,9 @@
   return Counter::LimitsHeard;
 }
 
-/// Takes what an answer says of its server, before anything is passed on. One
-/// to another request may be old, and one that names another server is not of
-/// this one.
+/// Applies the server notice in a response before any of it is relayed. Ignores
+/// responses to other requests, which may be old, and responses from another
+/// server that now has the address.
 void RequestProxy::handleServerNotice(const RequestContext &Request,
                                       Attempt &Current,
                                       const std::string &RequestId,
@@ -271,7 +278,7 @@
       this->Options.Headers.PassesCallerId
           ? Request.CallerId
           : fmt::format("{}-{}", this->DaemonName, this->NextRequest++);
-  Relay.setRules(this->makeRelayRules(Request));
+  Relay.setOptions(this->makeRelayOptions(Request));
   Relay.beginAttempt(RequestId);
   const AnswerSink Sink{[&](const httplib::Response &Response) {
                           this->handleServerNotice(Request, Current, RequestId,
@@ -284,35 +291,37 @@
   const ServerConfig &Server = Request.Service->getServer(Current.Server);
   OutgoingRequest Outgoing =
       this->buildOutgoing(Request, Relay, Server, RequestId);
-  bool IsPatience = false;
+  bool IsSoftDeadline = false;
   const TimePoint Deadline = this->chooseAttemptDeadline(
-      Request, Relay, readSteadyClock(), IsPatience);
-  if (IsPatience)
-    Outgoing.ExtendDeadline = [this, &Request, &Current, &IsPatience] {
-      return this->extendPatience(Request, Current, IsPatience);
+      Request, Relay, readSteadyClock(), IsSoftDeadline);
+  if (IsSoftDeadline)
+    Outgoing.ExtendDeadline = [this, &Request, &Current, &IsSoftDeadline] {
+      return this->extendSoftDeadline(Request, Current, IsSoftDeadline);
     };
-  // A claimed request is run once: its answer is wanted even if this caller
-  // has left.
-  const bool MayCancel = Request.IsBodyWhole && !Request.HasClaim;
-  const int HangUp = MayCancel ? Request.Exchange.Stream.socket() : -1;
+  // A claimed request runs only once, so that its response is needed even if
+  // this caller has disconnected.
+  const bool MayCancel = Request.IsBodyBuffered && !Request.HasClaim;
+  const int CallerSocket = MayCancel ? Request.Exchange.Stream.socket() : -1;
   const ExchangeResult Result = this->Upstreams.exchange(
-      Server.Address, Outgoing, Deadline, HangUp, &Sink);
+      Server.Address, Outgoing, Deadline, CallerSocket, &Sink);
   const RequestOutcome Outcome = this->classifyExchange(Request, Relay, Result);
   Current.WasTimedOut = Result.End == ExchangeEnd::Timeout;
   Current.WasCutOff =
       Result.End == ExchangeEnd::Broken && Result.BytesReceived == 0;
-  // One that ran out of patience is no more than late.
-  return IsPatience && Result.End == ExchangeEnd::Timeout ? RequestOutcome::Slow
-                                                          : Outcome;
+  // An attempt that was abandoned at its soft deadline is only slow.
+  return IsSoftDeadline && Result.End == ExchangeEnd::Timeout
+             ? RequestOutcome::Slow
+             : Outcome;
 }
 
-/// Judges a whole answer.
+/// Classifies a complete response.
 RequestOutcome RequestProxy::classifyResponse(RequestContext &Request,
                                               const ResponseRelay &Relay) {
   switch (Relay.getVerdict()) {
   case ResponseVerdict::NotRun:
     this->Counters.add(Counter::UpstreamSheds);
-    // Another server has taken over the address: this one is not there.
+    // Another server has taken over the address, so that this one is
+    // unreachable.
     return Relay.getStatus() == MisdirectedStatus ? RequestOutcome::Unreachable
                                                   : RequestOutcome::Shed;
   case ResponseVerdict::Relayed:
@@ -334,8 +343,8 @@
   return RequestOutcome::Good;
 }
 
-/// Turns the end of an exchange into evidence about the server, and into what
-/// the caller may be told.
+/// Classifies the end of an exchange: returns the outcome for the server's
+/// health, and sets what the caller may be told.
 RequestOutcome RequestProxy::classifyExchange(RequestContext &Request,
                                               const ResponseRelay &Relay,
                                               const ExchangeResult &Result) {
@@ -366,7 +375,7 @@
   if (Result.End == ExchangeEnd::Canceled &&
       Relay.getVerdict() == ResponseVerdict::ResumeMismatch)
     return RequestOutcome::Canceled;
-  if (Result.End == ExchangeEnd::Canceled || Request.IsBodyBroken) {
+  if (Result.End == ExchangeEnd::Canceled || Request.HasBodyFailed) {
     Request.WasCanceled = true;
     this->Counters.add(Counter::CallerHangUps);
     return RequestOutcome::Canceled;
--- a/lib/Proxy/RequestBody.cpp
+++ b/lib/Proxy/RequestBody.cpp
@@ -1,4 +1,4 @@
-//===- RequestBody.cpp - What becomes of a caller's body ------------------===//
+//===- RequestBody.cpp - Buffers or streams request bodies ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A body is kept whole, collected from its chunks, streamed to the server
-/// while it arrives, or refused.
+/// A request body is buffered, streamed to the server while it arrives, or
+/// refused. A chunked body may be collected, which gives it a known length.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,11 +19,13 @@
 
 namespace canvaswick {
 
-/// Bodies up to this length are kept, so that the request can be tried again.
-static constexpr size_t KeptBodyBytes = 64 * 1024;
+/// Bodies of at most this many bytes are buffered, so that the request can be
+/// retried.
+static constexpr size_t MaxBufferedBodyLength = 64 * 1024;
 
-/// A keyed request's body is kept up to this length, to tell it from another.
-static constexpr size_t KeyedBodyBytes = 1 << 20;
+/// Bodies of keyed requests are buffered up to this size, to compute a
+/// fingerprint of the content.
+static constexpr size_t MaxKeyedBodyLength = 1 << 20;
 
 static bool hasBody(const httplib::Request &Request) {
   return Request.has_header("Transfer-Encoding") ||
@@ -39,8 +41,9 @@
   Request.Reason = Reason;
 }
 
-/// Takes a body off the wire, so that it can be sent again. Returns false if
-/// the request was refused: it is longer than Limit, or was cut.
+/// Reads the body into memory, so that it can be sent again. Returns false if
+/// the request was refused because the body is longer than Limit or was
+/// truncated.
 bool RequestProxy::collectBody(RequestContext &Request, uint64_t Limit) {
   bool IsTooLong = false;
   Request.Exchange.Stream.setDeadline(Request.Deadline);
@@ -59,19 +62,19 @@
   return false;
 }
 
-/// Takes the digest of a request whose body has been read as far as it is kept.
-/// A body that is passed on as it comes counts by its stated length: it has not
-/// been seen when the first server gets it.
-void RequestProxy::digest(RequestContext &Request) const {
+/// Computes the request's fingerprint after the body has been read as far as it
+/// is buffered. A streamed body is represented by its declared length, because
+/// none of it has been read when the first server gets it.
+void RequestProxy::computeFingerprint(RequestContext &Request) const {
   const httplib::Request &Caller = Request.Exchange.Request;
   const std::string Unseen = Caller.get_header_value("Content-Length");
-  Request.Digest = digestRequest({Request.Organisation, Caller.method,
-                                  Request.Route->Host, Caller.target,
-                                  Request.IsBodyWhole ? Request.Body : Unseen});
+  Request.Fingerprint = digestRequest(
+      {Request.Organisation, Caller.method, Request.Route->Host, Caller.target,
+       Request.IsBodyBuffered ? Request.Body : Unseen});
 }
 
-/// Keeps a short body; a long one stays on the wire and is streamed. Returns
-/// false if the request was refused.
+/// Buffers a short body and leaves a long one to be streamed. Returns false if
+/// the request was refused.
 bool RequestProxy::readBody(RequestContext &Request) {
   const httplib::Request &Caller = Request.Exchange.Request;
   if (!isRetryable(*Request.Route))
@@ -88,16 +91,17 @@
   if (IsChunked && this->Options.MaxBufferedBodyBytes > 0)
     return this->collectBody(
         Request, std::min<uint64_t>(Limit, this->Options.MaxBufferedBodyBytes));
-  const size_t Keep = Request.Key.empty() ? KeptBodyBytes : KeyedBodyBytes;
+  const size_t Keep =
+      Request.Key.empty() ? MaxBufferedBodyLength : MaxKeyedBodyLength;
   if (IsChunked || getBodyLength(Caller) > Keep) {
-    Request.IsBodyWhole = false;
+    Request.IsBodyBuffered = false;
     return true;
   }
-  // Its stated length has been held against the limits.
+  // The declared length has already been checked against the limits.
   return this->collectBody(Request, std::numeric_limits<uint64_t>::max());
 }
 
-/// Passes the caller's body on while it arrives.
+/// Streams the caller's body to the server while it arrives.
 void RequestProxy::streamBody(RequestContext &Request,
                               OutgoingRequest &Outgoing) const {
   const httplib::Request &Caller = Request.Exchange.Request;
@@ -114,7 +118,7 @@
           Sent += Size;
           return Sent <= Limit && Sink.write(Data, Size);
         });
-    Request.IsBodyBroken = !IsRead;
+    Request.HasBodyFailed = !IsRead;
     if (IsRead && Sink.done)
       Sink.done();
     return IsRead;
--- a/lib/Proxy/RequestClaims.cpp
+++ b/lib/Proxy/RequestClaims.cpp
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A keyed request of the class once runs under a claim. Who comes second hears
-/// what became of the first.
+/// A keyed request on a route of the class "once" runs under a claim. A request
+/// with the same key that arrives later gets the outcome of the first.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,11 +17,12 @@
 
 namespace canvaswick {
 
-/// Who meets a running first request, or no claims, comes back after this time.
-static constexpr Duration RunningWait = fromSeconds(2);
+/// The Retry-After if the first request is still running or the claims are
+/// unavailable.
+static constexpr Duration ClaimRetryAfter = fromSeconds(2);
 
-/// Hexadecimal digits of a digest that are kept: 128 bits tell keys and
-/// requests apart.
+/// Hexadecimal digits of a digest that are stored: 128 bits suffice to make
+/// collisions of keys or requests negligible.
 static constexpr size_t DigestDigits = 32;
 
 namespace {
@@ -36,13 +37,13 @@
 
 } // namespace
 
-/// Returns how a request is refused whose claim was not granted.
-static ClaimRefusal getRefusal(ClaimKind Kind) {
+/// Returns the refusal for a claim that was not granted.
+static ClaimRefusal getClaimRefusal(ClaimKind Kind) {
   switch (Kind) {
   case ClaimKind::FirstAnswer:
     return {409, RunOutcome::Ran, "answer-not-kept", NoWait};
   case ClaimKind::StillRunning:
-    return {409, RunOutcome::NotKnown, "still-running", RunningWait};
+    return {409, RunOutcome::NotKnown, "still-running", ClaimRetryAfter};
   case ClaimKind::NotKnown:
     return {409, RunOutcome::NotKnown, "outcome-not-known", NoWait};
   case ClaimKind::Different:
@@ -51,36 +52,37 @@
   case ClaimKind::Unavailable:
     break;
   }
-  return {503, RunOutcome::NotRun, "claims-unavailable", RunningWait};
+  return {503, RunOutcome::NotRun, "claims-unavailable", ClaimRetryAfter};
 }
 
-static std::string makeFingerprint(const httplib::Request &Request,
-                                   const std::string &Body) {
+static std::string computeClaimFingerprint(const httplib::Request &Request,
+                                           const std::string &Body) {
   const std::string Length = Request.get_header_value("Content-Length");
   return digestText(Request.method + "\n" + Request.target + "\n" + Length +
                     "\n" + Body)
       .substr(0, DigestDigits);
 }
 
-/// Asks the claims about a keyed request. Without claims none is granted.
+/// Requests a claim for a keyed request. Without a ClaimGate none is granted.
 ClaimVerdict RequestProxy::beginClaim(RequestContext &Request) {
   if (!this->Claims)
     return {};
-  // The stored key says nothing about the caller to who reads the store.
+  // The stored key is hashed, so that it reveals nothing about the caller.
   Request.ClaimKey = digestText(Request.Service->getConfig().Name + "\n" +
                                 Request.Organisation + "\n" + Request.Key)
                          .substr(0, DigestDigits);
   return this->Claims->begin(
-      Request.ClaimKey, makeFingerprint(Request.Exchange.Request, Request.Body),
+      Request.ClaimKey,
+      computeClaimFingerprint(Request.Exchange.Request, Request.Body),
       Request.Deadline);
 }
 
-/// Asks for the right to run a keyed request of the class once. Returns false
-/// if the request has been answered instead.
+/// Claims the right to run a keyed request. Returns false if the request has
+/// been answered instead.
 bool RequestProxy::claim(RequestContext &Request) {
   if (Request.Key.empty())
     return true;
-  if (!Request.IsBodyWhole &&
+  if (!Request.IsBodyBuffered &&
       Request.Exchange.Request.has_header("Transfer-Encoding")) {
     this->refuse(Request.Exchange, 411, RunOutcome::NotRun,
                  "keyed-body-needs-length", NoWait);
@@ -96,7 +98,7 @@
     return true;
   }
   Request.IsAnswered = true;
-  if (!Request.IsBodyWhole)
+  if (!Request.IsBodyBuffered)
     Request.Exchange.MustClose = true;
   this->answerFromClaim(Request, Verdict);
   return false;
@@ -111,7 +113,7 @@
   this->Counters.add(IsRefused ? Counter::ClaimsRefused
                                : Counter::ClaimsRepeated);
   if (Verdict.Kind != ClaimKind::FirstAnswer || !Verdict.Answer.HasBody) {
-    const ClaimRefusal Given = getRefusal(Verdict.Kind);
+    const ClaimRefusal Given = getClaimRefusal(Verdict.Kind);
     this->refuse(Request.Exchange, Given.Status, Given.Outcome, Given.Reason,
                  Given.Wait);
     return;
@@ -122,7 +124,7 @@
   Response.set_content(Verdict.Answer.Body, Verdict.Answer.ContentType);
 }
 
-/// Tells the claims how a request ended that held one.
+/// Records the outcome of a request that holds a claim.
 void RequestProxy::resolveClaim(RequestContext &Request,
                                 const ResponseRelay &Relay) {
   if (!Request.HasClaim)
--- a/lib/Proxy/RequestContext.h
+++ b/lib/Proxy/RequestContext.h
@@ -1,4 +1,4 @@
-//===- RequestContext.h - One request on its way through the ----*- C++ -*-===//
+//===- RequestContext.h - State of one request ------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What the steps of a request hand on to each other. Private to this library.
+/// Defines the state that the steps of a request share. Private to this
+/// library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,38 +23,39 @@
 
 namespace canvaswick {
 
-/// A refusal that does not say when to come back.
+/// Marks a refusal without a Retry-After.
 inline constexpr Duration NoWait = Duration::zero();
 
-/// One request on its way.
+/// The state of one request.
 struct RequestProxy::RequestContext {
   explicit RequestContext(HttpExchange &Exchange) : Exchange(Exchange) {}
 
   HttpExchange &Exchange;
   TimePoint Began{};
   TimePoint Deadline{};
-  bool HasOwnDeadline = false;
+  bool HasCallerDeadline = false;
   FleetRuntimeRef Fleet;
   const RouteConfig *Route = nullptr;
   ServiceRuntimeRef Service;
-  /// What its caller shows. Nothing: no key, or none that can be read.
-  std::optional<KeyDigest> ShownKey;
-  /// Whose key that is, in Fleet's settings, or null.
-  const OrganisationConfig *Member = nullptr;
+  /// The digest of the API key that the caller presented; empty if there is
+  /// none or it is malformed.
+  std::optional<KeyDigest> PresentedKey;
+  /// The organisation with this key in Fleet's settings, or null.
+  const OrganisationConfig *KeyOwner = nullptr;
   /// The name of that organisation, or empty.
   std::string Organisation;
-  /// Whether it is counted on the organisation's allowance.
-  bool IsCounted = false;
+  /// Whether the request counts on the organisation's quota.
+  bool IsChargedToQuota = false;
   std::string Key;
   std::string ClaimKey;
   uint64_t Claim = 0;
   bool HasClaim = false;
   std::string Body;
-  bool IsBodyWhole = true;
-  bool IsBodyBroken = false;
+  bool IsBodyBuffered = true;
+  bool HasBodyFailed = false;
   bool WasBodySent = false;
-  size_t Tries = 0;
-  /// What the next attempt needs.
+  size_t AttemptCount = 0;
+  /// Requirements of the next attempt.
   AttemptNeeds Needs;
   RunOutcome Outcome = RunOutcome::NotRun;
   bool WasFailed = false;
@@ -61,31 +63,34 @@
   bool WasCanceled = false;
   bool HasNoServer = false;
   bool IsAnswered = false;
-  /// Whether the right to the next try has been taken already.
-  bool HasRepeatRight = false;
-  /// The caller's own id, for the log. May be empty.
+  /// Whether a retry has already been taken from the budget for the next
+  /// attempt.
+  bool HasRetryPermit = false;
+  /// The caller's id of the request, for the log; may be empty.
   std::string CallerId;
-  /// The same for all requests that ask for the same thing. 0 until the body is
-  /// there.
-  RequestDigest Digest = 0;
-  /// Whether servers ended under it too often for another, and until when.
-  bool IsHeldBack = false;
-  Duration HeldWait{};
-  /// Whether it is held back but for one try, which it has and has not used.
-  bool HasTry = false;
-  /// What came of each attempt, for the log.
-  std::string Trail;
+  /// The fingerprint by which poison requests are recognised; equal for equal
+  /// requests, and 0 until the body has been read.
+  RequestDigest Fingerprint = 0;
+  /// Whether the request is quarantined because too many servers ended under
+  /// it, and for how long.
+  bool IsQuarantined = false;
+  Duration QuarantineWait{};
+  /// Whether the request is quarantined but may be sent once as a probe, which
+  /// is still unused.
+  bool HasProbe = false;
+  /// The attempts and their outcomes, for the log.
+  std::string AttemptTrail;
   const char *Reason = "";
-  /// Whether any server was sent it, in whole or in part.
+  /// Whether the request was sent to any server, completely or in part.
   bool WasSent = false;
 };
 
-/// Returns whether a request of a route may be run more than once.
+/// Returns whether a request of a route may run more than once.
 inline bool isRetryable(const RouteConfig &Route) {
   return Route.Class != RouteClass::Once;
 }
 
-/// Returns the length that a request states for its body, 0 for none.
+/// Returns the declared length of the body, or 0 if there is none.
 inline uint64_t getBodyLength(const httplib::Request &Request) {
   return std::strtoull(Request.get_header_value("Content-Length").c_str(),
                        nullptr, 10);
--- a/lib/Proxy/RequestOrganisation.cpp
+++ b/lib/Proxy/RequestOrganisation.cpp
@@ -1,4 +1,4 @@
-//===- RequestOrganisation.cpp - Whose request it is ----------------------===//
+//===- RequestOrganisation.cpp - Authentication and quotas ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of RequestProxy that finds a caller's organisation by the key it
-/// shows. Nothing else names an organisation: what a caller says of its own is
-/// dropped. The key is digested where it is read and kept nowhere.
+/// The part of RequestProxy that identifies a caller's organisation by its API
+/// key. Nothing else names an organisation; a name that the caller sends is
+/// dropped. The key is hashed where it is read and is not stored.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,28 +22,31 @@
 
 namespace canvaswick {
 
-/// Longer keys are refused unread: today's have 20 signs, and none of the ways
-/// in which keys are commonly drawn gives more than this.
-static constexpr size_t MostKeyBytes = 256;
+/// Longer keys are refused before they are hashed. Today's keys have 20
+/// characters, and no common way to generate keys produces more than this.
+static constexpr size_t MaxKeyBytes = 256;
 
-/// Returns whether a sign may stand in a key: any that shows in print.
-static bool isKeySign(char Sign) { return Sign > ' ' && Sign < 0x7f; }
+/// Returns whether a character may occur in a key: any printable one except the
+/// space.
+static bool isKeyCharacter(char Character) {
+  return Character > ' ' && Character < 0x7f;
+}
 
-/// Returns the key that a header's value holds behind the word for the scheme,
-/// or an empty text if it is of another form.
+/// Returns the key that follows the authentication scheme in a header's value,
+/// or an empty text if the value has another form.
 static std::string_view findKey(std::string_view Value,
                                 const std::string &Scheme) {
   if (Value.size() <= Scheme.size() || Value[Scheme.size()] != ' ' ||
       !equalsIgnoringCase(std::string(Value.substr(0, Scheme.size())), Scheme))
     return {};
   const std::string_view Key = Value.substr(Scheme.size() + 1);
-  const bool IsKey = Key.size() <= MostKeyBytes &&
-                     std::all_of(Key.begin(), Key.end(), isKeySign);
+  const bool IsKey = Key.size() <= MaxKeyBytes &&
+                     std::all_of(Key.begin(), Key.end(), isKeyCharacter);
   return IsKey ? Key : std::string_view();
 }
 
-/// Returns the digest of the one key that a caller shows, or nothing: several
-/// might be read as different ones by different readers.
+/// Returns the digest of the only key in the request. Returns nothing if there
+/// are several headers, because readers might choose different ones.
 static std::optional<KeyDigest> readKey(const httplib::Request &Request,
                                         const HeaderNames &Names) {
   const auto [First, Last] = Request.headers.equal_range(Names.Key);
@@ -55,19 +58,21 @@
   return KeyDigest::of(Key);
 }
 
-/// Finds whose request it is. Returns false if it was refused: it must show a
-/// key and shows none that is known. On a public route any caller is served; a
-/// known key makes it its organisation's request there as well.
+/// Authenticates the caller. Returns false if the request was refused because
+/// the route requires a key and the request has none that is known. A public
+/// route serves every caller; a known key assigns the request to its
+/// organisation there, too.
 bool RequestProxy::findOrganisation(RequestContext &Request) {
   const OrganisationDirectory &Directory =
       *Request.Fleet->getConfig().Organisations;
   if (!Directory.needsKeys())
     return true;
-  Request.ShownKey = readKey(Request.Exchange.Request, this->Options.Headers);
-  if (Request.ShownKey)
-    Request.Member = Directory.findByKey(*Request.ShownKey);
-  if (Request.Member) {
-    Request.Organisation = Request.Member->Name;
+  Request.PresentedKey =
+      readKey(Request.Exchange.Request, this->Options.Headers);
+  if (Request.PresentedKey)
+    Request.KeyOwner = Directory.findByKey(*Request.PresentedKey);
+  if (Request.KeyOwner) {
+    Request.Organisation = Request.KeyOwner->Name;
     return true;
   }
   if (Request.Route->IsPublic)
@@ -84,22 +89,22 @@
   return false;
 }
 
-/// Returns whether the key that a request was taken by still holds. What is
-/// under way when a key is taken away ends as it would have; nothing more is
-/// begun by it.
+/// Returns whether the key with which the request was authenticated is still
+/// valid. If a key is revoked, the attempt in flight ends normally, but no
+/// other one begins.
 bool RequestProxy::isKeyInForce(const RequestContext &Request) const {
   const FleetRuntimeRef Current = this->Fleet.get();
-  if (!Request.Member || Current == Request.Fleet)
+  if (!Request.KeyOwner || Current == Request.Fleet)
     return true;
   const OrganisationConfig *Now =
-      Current->getConfig().Organisations->findByKey(*Request.ShownKey);
+      Current->getConfig().Organisations->findByKey(*Request.PresentedKey);
   return Now && Now->Name == Request.Organisation;
 }
 
 bool RequestProxy::admitOrganisation(RequestContext &Request) {
   const AllowanceAnswer Answer =
       this->Organisations.admit(Request.Organisation, Request.Began);
-  Request.IsCounted = Answer.IsAdmitted;
+  Request.IsChargedToQuota = Answer.IsAdmitted;
   if (Answer.IsAdmitted)
     return true;
   this->Counters.add(Counter::RefusedOrganisationRate);
@@ -115,12 +120,12 @@
   return false;
 }
 
-/// Takes a request that no server has run off its organisation's allowance:
-/// only what runs counts, and its caller comes again.
+/// Refunds the organisation's quota for a request that no server has run: only
+/// requests that run count, and the caller will retry.
 void RequestProxy::refundIfNotRun(RequestContext &Request, TimePoint Now) {
   const bool HasRun =
       Request.IsAnswered || Request.Outcome != RunOutcome::NotRun;
-  if (!HasRun && std::exchange(Request.IsCounted, false))
+  if (!HasRun && std::exchange(Request.IsChargedToQuota, false))
     this->Organisations.giveBack(Request.Organisation, Now);
 }
 
--- a/lib/Proxy/RequestProxy.cpp
+++ b/lib/Proxy/RequestProxy.cpp
@@ -1,4 +1,4 @@
-//===- RequestProxy.cpp - One caller's request from end to end ------------===//
+//===- RequestProxy.cpp - Proxies one request -----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The steps in order; each either goes on or gives the final answer. What
-/// concerns bodies, claims and tries stands in files of its own.
+/// The steps of a request in order. Each step either lets the request continue
+/// or gives the final response. Bodies, claims, organisations, attempts and
+/// retries are handled in files of their own.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -36,10 +37,10 @@
   return getEnumName(RunOutcomeNames, Outcome);
 }
 
-/// A caller that takes no byte for this long has left.
+/// A caller that accepts no byte for this long is considered gone.
 static constexpr Duration CallerStallLimit = fromSeconds(30);
 
-/// Returns a number in [0, 1) for an id or name, evenly spread.
+/// Maps an id or a name to a number in [0, 1), uniformly distributed.
 static double drawFraction(const std::string &Name) {
   constexpr uint64_t Steps = 1024;
   return static_cast<double>(hashText(Name) % Steps) /
@@ -83,16 +84,17 @@
                        "text/plain");
 }
 
-/// Returns until when a request must be answered. IsOwn: the caller said so.
-static TimePoint computeDeadline(const std::string &Asked,
+/// Returns the time by which a request must be answered. Sets IsFromCaller if
+/// the caller has specified a deadline.
+static TimePoint computeDeadline(const std::string &Requested,
                                  const RouteConfig &Route,
                                  const ServiceConfig &Service, TimePoint Now,
-                                 bool &IsOwn) {
+                                 bool &IsFromCaller) {
   int64_t Millis = Route.TimeoutMs > 0 ? Route.TimeoutMs : Service.DeadlineMs;
-  IsOwn = !Asked.empty();
-  if (IsOwn)
+  IsFromCaller = !Requested.empty();
+  if (IsFromCaller)
     Millis =
-        std::min<int64_t>(Millis, std::strtoll(Asked.c_str(), nullptr, 10));
+        std::min<int64_t>(Millis, std::strtoll(Requested.c_str(), nullptr, 10));
   return Now + fromMillis(std::max<int64_t>(0, Millis));
 }
 
@@ -144,27 +146,28 @@
   Request.Deadline = computeDeadline(
       Exchange.Request.get_header_value(this->Options.Headers.Deadline),
       *Request.Route, Request.Service->getConfig(), Request.Began,
-      Request.HasOwnDeadline);
+      Request.HasCallerDeadline);
   if (this->applyStopDeadline(Request) && this->admitOrganisation(Request))
     this->serve(Request);
 }
 
-/// Ends the request's time with the daemon's. Returns false if it was refused
-/// for that: begun, it might have to be broken off.
+/// Limits the deadline of a request to the end of the daemon's shutdown.
+/// Returns false if the request was refused, because it might have to be
+/// aborted.
 bool RequestProxy::applyStopDeadline(RequestContext &Request) {
   const TimePoint Until = this->StopUntil;
   if (Request.Deadline <= Until)
     return true;
   Request.Deadline = Until;
-  if (!this->HasEndedTaking)
+  if (!this->RefusesLateRequests)
     return true;
   this->refuseUnadmitted(Request, Refusal::Stopping,
                          fromMillis(this->Options.DefaultRetryAfterMs));
   return false;
 }
 
-/// Chooses the part of a split route. The golden ratio spreads any number of
-/// consecutive requests nearly as the weights say.
+/// Chooses the service of a split route. Multiples of the golden ratio
+/// distribute any number of consecutive requests almost exactly by the weights.
 ServiceRuntimeRef RequestProxy::chooseService(const FleetRuntime &Runtime,
                                               const RouteConfig &Route) {
   static constexpr double GoldenRatio = 0.6180339887498949;
@@ -206,7 +209,7 @@
   return Counter::RefusedServiceBusy;
 }
 
-/// Gives the final answer of a request that its service does not admit.
+/// Gives the final response to a request that its service does not admit.
 void RequestProxy::refuseUnadmitted(RequestContext &Request, Refusal Refused,
                                     Duration Wait) {
   this->Counters.add(getCounter(Refused));
@@ -222,30 +225,29 @@
           toMillis(Request.Deadline - Request.Began));
 }
 
-/// Asks whether servers have ended under the request too often. Returns false
-/// if it is held back.
-bool RequestProxy::passGuard(RequestContext &Request) {
+/// Returns whether the request may be sent, or is quarantined because too many
+/// servers have ended under it.
+bool RequestProxy::checkQuarantine(RequestContext &Request) {
   const QuarantineDecision Answer =
-      this->Quarantine.admit(Request.Digest, readSteadyClock());
-  Request.HasTry = Answer.IsProbe;
-  Request.IsHeldBack = !Answer.MaySend;
-  Request.HeldWait = Answer.Wait;
+      this->Quarantine.admit(Request.Fingerprint, readSteadyClock());
+  Request.HasProbe = Answer.IsProbe;
+  Request.IsQuarantined = !Answer.MaySend;
+  Request.QuarantineWait = Answer.Wait;
   return Answer.MaySend;
 }
 
-/// Returns when a request that is held back may come: at its next try, or by up
-/// to half of the wait later, so that callers do not all come at once.
-static Duration chooseHeldWait(const std::string &CallerId, Duration Wait) {
+/// Extends a wait by a random part of up to a half, so that callers do not all
+/// retry at the same time. The part depends only on the request's id.
+static Duration addRetryJitter(const std::string &CallerId, Duration Wait) {
   return fromSeconds(toSeconds(Wait) * (1 + drawFraction(CallerId) / 2));
 }
 
-/// Refuses a request that no server was sent because too many have ended under
-/// it.
-void RequestProxy::refuseHeldBack(RequestContext &Request) {
+/// Refuses a quarantined request that was sent to no server.
+void RequestProxy::refuseQuarantined(RequestContext &Request) {
   this->Counters.add(Counter::RefusedHeldBack);
   Request.Reason = getName(Refusal::HeldBack);
   this->refuse(Request.Exchange, 503, RunOutcome::NotRun, Request.Reason,
-               chooseHeldWait(Request.CallerId, Request.HeldWait));
+               addRetryJitter(Request.CallerId, Request.QuarantineWait));
 }
 
 void RequestProxy::serve(RequestContext &Request) {
@@ -254,31 +256,32 @@
       Request.Route->Name, Request.Deadline - Request.Began, Request.Began,
       Wait);
   if (Refused == Refusal::NoServer)
-    Wait = chooseHeldWait(Request.CallerId, Wait);
+    Wait = addRetryJitter(Request.CallerId, Wait);
   if (Refused != Refusal::None) {
     this->refuseUnadmitted(Request, Refused, Wait);
     return;
   }
-  RelayOptions Rules;
-  ResponseRelay Relay(Request.Exchange, this->Options.Headers, Rules);
+  RelayOptions InitialOptions;
+  ResponseRelay Relay(Request.Exchange, this->Options.Headers, InitialOptions);
   const bool IsRead = this->readBody(Request);
-  this->digest(Request);
-  if (IsRead && this->passGuard(Request) && this->claim(Request)) {
+  this->computeFingerprint(Request);
+  if (IsRead && this->checkQuarantine(Request) && this->claim(Request)) {
     this->runAttempts(Request, Relay);
     this->resolveClaim(Request, Relay);
   }
   this->finish(Request, Relay);
 }
 
-/// Gives the final answer of a request that no server has answered.
+/// Gives the final response to a request that no server has answered.
 void RequestProxy::refuseUnserved(RequestContext &Request) {
-  if (Request.IsHeldBack && !Request.WasSent) {
-    this->refuseHeldBack(Request);
+  if (Request.IsQuarantined && !Request.WasSent) {
+    this->refuseQuarantined(Request);
     return;
   }
-  const Duration Wait = Request.IsHeldBack
-                            ? chooseHeldWait(Request.CallerId, Request.HeldWait)
-                            : fromMillis(this->Options.DefaultRetryAfterMs);
+  const Duration Wait =
+      Request.IsQuarantined
+          ? addRetryJitter(Request.CallerId, Request.QuarantineWait)
+          : fromMillis(this->Options.DefaultRetryAfterMs);
   if (Request.HasNoServer) {
     this->Counters.add(Counter::RefusedNoServer);
     Request.Reason = getName(Refusal::NoServer);
@@ -295,13 +298,13 @@
 
 void RequestProxy::logEnd(const RequestContext &Request,
                           const ResponseRelay &Relay, TimePoint Now) {
-  const bool IsRelayed = Request.IsAnswered && Request.Tries > 0;
+  const bool IsRelayed = Request.IsAnswered && Request.AttemptCount > 0;
   logInfo("request",
           "id={} caller={} organisation={:?} asks={:016x} route={} service={} "
           "version={} "
           "status={} outcome={} reason={} ms={} left-ms={} tries={}",
           Request.CallerId, Request.Exchange.Request.remote_addr,
-          Request.Organisation, Request.Digest, Request.Route->Name,
+          Request.Organisation, Request.Fingerprint, Request.Route->Name,
           Request.Service->getConfig().Name, Request.Fleet->getConfig().Version,
           IsRelayed ? Relay.getStatus() : Request.Exchange.Response.status,
           IsRelayed ? "relayed"
@@ -309,10 +312,10 @@
                                            : getName(Request.Outcome)),
           *Request.Reason ? Request.Reason : "-", toMillis(Now - Request.Began),
           toMillis(Request.Deadline - Now),
-          Request.Trail.empty() ? "-" : Request.Trail);
+          Request.AttemptTrail.empty() ? "-" : Request.AttemptTrail);
 }
 
-/// Gives the final answer if none was given, and counts the request.
+/// Gives the final response if there is none yet, and records the request.
 void RequestProxy::finish(RequestContext &Request, ResponseRelay &Relay) {
   const TimePoint Now = readSteadyClock();
   AnswerKind Kind = AnswerKind::Good;
@@ -324,7 +327,7 @@
       Kind = AnswerKind::Failed;
   } else if (!Request.IsAnswered) {
     Kind = AnswerKind::Failed;
-    if (!Request.IsBodyWhole)
+    if (!Request.IsBodyBuffered)
       Request.Exchange.MustClose = true;
     this->refuseUnserved(Request);
   }
--- a/lib/Proxy/RequestQuarantine.cpp
+++ b/lib/Proxy/RequestQuarantine.cpp
@@ -1,4 +1,4 @@
-//===- RequestQuarantine.cpp - Keeps fatal requests away from servers -----===//
+//===- RequestQuarantine.cpp - Quarantine of poison requests --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Locks, logs and counts around the table of suspects; calls are made outside
-/// the lock.
+/// Adds locking, logging and counters to the table of poison requests.
+/// Callbacks run outside the lock.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,9 +19,9 @@
 
 namespace canvaswick {
 
-/// When a request may come back at the earliest: a try that is just being asked
-/// for is decided within a call to the store.
-static constexpr Duration LeastWait = fromSeconds(1);
+/// The earliest time after which a request may be retried. A probe that is
+/// being claimed is decided within one call to the store.
+static constexpr Duration MinRetryAfter = fromSeconds(1);
 
 static std::string formatServers(const std::vector<RequestEnd> &Ends) {
   std::string Text;
@@ -30,15 +30,16 @@
   return Text;
 }
 
-/// Logs that a request is held back from now on, or has come free. The caller
-/// holds the mutex.
-void RequestQuarantine::logChange(RequestDigest Request, bool WasHeld,
+/// Logs whether a request has entered or left quarantine. The caller holds the
+/// mutex.
+void RequestQuarantine::logChange(RequestDigest Request, bool WasQuarantined,
                                   TimePoint Now) const {
-  const bool IsHeld = this->Table.judge(Request, Now) != SuspectVerdict::Free;
-  if (IsHeld == WasHeld)
+  const bool IsQuarantined =
+      this->Table.judge(Request, Now) != SuspectVerdict::Free;
+  if (IsQuarantined == WasQuarantined)
     return;
   const SuspectRecord Record = this->Table.getRecord(Request);
-  if (IsHeld)
+  if (IsQuarantined)
     logWarning("request-held-back", "asks={:016x} ends={} servers={} tries={}",
                Request, Record.Ends.size(), formatServers(Record.Ends),
                Record.Tries);
@@ -46,24 +47,25 @@
     logInfo("request-freed", "asks={:016x}", Request);
 }
 
-SuspectVerdict RequestQuarantine::beginAsking(RequestDigest Request,
-                                              TimePoint Now,
-                                              SuspectRecord &Record) {
+SuspectVerdict RequestQuarantine::beginProbe(RequestDigest Request,
+                                             TimePoint Now,
+                                             SuspectRecord &Record) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const SuspectVerdict Verdict = this->Table.judge(Request, Now);
   if (Verdict != SuspectVerdict::TryDue)
     return Verdict;
-  if (!this->Claim || !this->Asking.insert(Request).second)
+  if (!this->Claim || !this->ProbesBeingClaimed.insert(Request).second)
     return SuspectVerdict::HeldBack;
   Record = this->Table.getRecord(Request);
   return Verdict;
 }
 
-/// Asks for the try that is due, where records are kept.
-bool RequestQuarantine::claimTry(const SuspectRecord &Record, TimePoint Now) {
+/// Claims the probe that is due where the records are stored.
+bool RequestQuarantine::requestProbe(const SuspectRecord &Record,
+                                     TimePoint Now) {
   const bool IsGranted = this->Claim(Record);
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Asking.erase(Record.Request);
+  this->ProbesBeingClaimed.erase(Record.Request);
   if (!IsGranted) {
     this->Table.missTry(Record.Request, Now);
     return false;
@@ -77,21 +79,22 @@
 QuarantineDecision RequestQuarantine::admit(RequestDigest Request,
                                             TimePoint Now) {
   SuspectRecord Record;
-  const SuspectVerdict Verdict = this->beginAsking(Request, Now, Record);
+  const SuspectVerdict Verdict = this->beginProbe(Request, Now, Record);
   if (Verdict == SuspectVerdict::Free)
     return {};
-  if (Verdict == SuspectVerdict::TryDue && this->claimTry(Record, Now))
+  if (Verdict == SuspectVerdict::TryDue && this->requestProbe(Record, Now))
     return {true, true, Duration::zero()};
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Table.takeReturnedTry(Request))
     return {true, true, Duration::zero()};
-  return {false, false, std::max(LeastWait, this->Table.getWait(Request, Now))};
+  return {false, false,
+          std::max(MinRetryAfter, this->Table.getWait(Request, Now))};
 }
 
 Duration RequestQuarantine::getWait(RequestDigest Request,
                                     TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return std::max(LeastWait, this->Table.getWait(Request, Now));
+  return std::max(MinRetryAfter, this->Table.getWait(Request, Now));
 }
 
 bool RequestQuarantine::isQuarantined(RequestDigest Request,
@@ -116,11 +119,11 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     End.Id = this->Random();
-    const bool WasHeld =
+    const bool WasQuarantined =
         this->Table.judge(End.Request, Now) != SuspectVerdict::Free;
     if (!this->Table.noteEnd(End, true, Now))
       return;
-    this->logChange(End.Request, WasHeld, Now);
+    this->logChange(End.Request, WasQuarantined, Now);
   }
   if (this->Listener)
     this->Listener({{End}, {}}, Now);
@@ -132,37 +135,37 @@
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (this->Table.isEmpty())
       return;
-    const bool WasHeld =
+    const bool WasQuarantined =
         this->Table.judge(Request, Now) != SuspectVerdict::Free;
     if (!this->Table.noteOwnAnswer(Answer))
       return;
-    this->logChange(Request, WasHeld, Now);
+    this->logChange(Request, WasQuarantined, Now);
   }
   if (this->Listener)
     this->Listener({{}, {Answer}}, Now);
 }
 
-SuspectNews RequestQuarantine::mergeUpdate(const SuspectNews &News,
+SuspectNews RequestQuarantine::mergeUpdate(const SuspectNews &Update,
                                            TimePoint Now) {
-  SuspectNews Taken;
+  SuspectNews Merged;
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const RequestEnd &End : News.Ends) {
-    const bool WasHeld =
+  for (const RequestEnd &End : Update.Ends) {
+    const bool WasQuarantined =
         this->Table.judge(End.Request, Now) != SuspectVerdict::Free;
     if (!this->Table.noteEnd(End, false, Now))
       continue;
-    Taken.Ends.push_back(End);
-    this->logChange(End.Request, WasHeld, Now);
+    Merged.Ends.push_back(End);
+    this->logChange(End.Request, WasQuarantined, Now);
   }
-  for (const RequestAnswer &Answer : News.Answers) {
-    const bool WasHeld =
+  for (const RequestAnswer &Answer : Update.Answers) {
+    const bool WasQuarantined =
         this->Table.judge(Answer.Request, Now) != SuspectVerdict::Free;
     if (!this->Table.notePeerAnswer(Answer))
       continue;
-    Taken.Answers.push_back(Answer);
-    this->logChange(Answer.Request, WasHeld, Now);
+    Merged.Answers.push_back(Answer);
+    this->logChange(Answer.Request, WasQuarantined, Now);
   }
-  return Taken;
+  return Merged;
 }
 
 SuspectNews RequestQuarantine::makeNews(size_t MaxRows, TimePoint Now) const {
--- a/lib/Proxy/RequestRetries.cpp
+++ b/lib/Proxy/RequestRetries.cpp
@@ -1,4 +1,4 @@
-//===- RequestRetries.cpp - Whether and when a request goes elsewhere -----===//
+//===- RequestRetries.cpp - Whether and when to retry ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of RequestProxy that decides how long one server is waited for,
-/// whether another may be tried after it, and by whose right.
+/// The part of RequestProxy that decides how long to wait for one server,
+/// whether to retry at another one, and from which budget.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,71 +19,72 @@
 
 namespace canvaswick {
 
-/// Tries of one request, the first included.
+/// Attempts of one request, including the first one.
 static constexpr size_t MaxAttempts = 3;
 
-/// How often it is asked whether a request without an answer is better sent
-/// elsewhere: many times within a usual objective.
-static constexpr Duration PatienceStep = fromMillis(25);
+/// The interval at which a request without a response is checked for a better
+/// alternative: many times within a typical latency objective.
+static constexpr Duration RetryCheckInterval = fromMillis(25);
 
 size_t RequestProxy::getMaxAttempts(const RequestContext &Request) const {
-  const auto Asked = static_cast<size_t>(Request.Route->MaxAttempts);
-  return Asked > 0 ? std::min(Asked, MaxAttempts) : MaxAttempts;
+  const auto Configured = static_cast<size_t>(Request.Route->MaxAttempts);
+  return Configured > 0 ? std::min(Configured, MaxAttempts) : MaxAttempts;
 }
 
-/// Returns until when an attempt may take. A repeatable request that is slow
-/// is sent elsewhere while that can still help.
+/// Returns the deadline of an attempt. It is a soft deadline if the request can
+/// be retried: a slow request is sent to another server while that can still
+/// help.
 TimePoint RequestProxy::chooseAttemptDeadline(RequestContext &Request,
                                               const ResponseRelay &Relay,
                                               TimePoint Now,
-                                              bool &IsPatience) const {
-  IsPatience = false;
-  // The head of an answer to be resumed needs a deadline of its own.
+                                              bool &IsSoftDeadline) const {
+  IsSoftDeadline = false;
+  // A resumed response needs a deadline for its head.
   if (Relay.hasBegun())
     return Now + fromMillis(Request.Service->getConfig().StallMs);
-  const bool IsLast = Request.Tries + 1 >= this->getMaxAttempts(Request);
+  const bool IsLast = Request.AttemptCount + 1 >= this->getMaxAttempts(Request);
   if (this->Options.MaxBufferedResponseBytes == 0 || IsLast ||
-      !Request.IsBodyWhole || !isRetryable(*Request.Route) ||
+      !Request.IsBodyBuffered || !isRetryable(*Request.Route) ||
       !Request.Service->hasRetry(Now))
     return Request.Deadline;
   const TimePoint Until =
       Now + Request.Service->getRetryCheckDelay(Request.Route->Name,
                                                 Request.Needs.Objective);
-  IsPatience = Until < Request.Deadline;
+  IsSoftDeadline = Until < Request.Deadline;
   return std::min(Until, Request.Deadline);
 }
 
-/// Returns until when an attempt whose patience has run out goes on waiting, or
-/// an earlier time to give it up. Nothing is given up without the right to try
-/// elsewhere at hand, and a daemon that is stopping breaks nothing off that a
-/// server works on.
-TimePoint RequestProxy::extendPatience(RequestContext &Request,
-                                       const Attempt &Current,
-                                       bool &IsPatience) {
+/// Called when the soft deadline of an attempt has passed. Returns the time
+/// until which the attempt goes on, or an earlier time to abandon it. An
+/// attempt is abandoned only if a retry has been taken from the budget, and a
+/// daemon that is stopping does not abandon requests on which a server works.
+TimePoint RequestProxy::extendSoftDeadline(RequestContext &Request,
+                                           const Attempt &Current,
+                                           bool &IsSoftDeadline) {
   const TimePoint Now = readSteadyClock();
-  const TimePoint Next = Now + PatienceStep;
+  const TimePoint Next = Now + RetryCheckInterval;
   if (!this->IsStopping && Next < Request.Deadline) {
     if (!Request.Service->shouldAbandonAttempt(Current, Request.Needs, Now))
       return Next;
-    Request.HasRepeatRight = this->takeRetry(*Request.Service, false, Now);
-    if (Request.HasRepeatRight)
+    Request.HasRetryPermit = this->takeRetry(*Request.Service, false, Now);
+    if (Request.HasRetryPermit)
       return TimePoint{};
   }
-  IsPatience = false;
+  IsSoftDeadline = false;
   return Request.Deadline;
 }
 
-/// Takes the right to a repeat: this daemon's own, or one that a peer lends.
-/// IsUnrun: the server declined to run the request.
-bool RequestProxy::takeRetry(ServiceRuntime &Service, bool IsUnrun,
+/// Takes a retry from this daemon's budget, or borrows one from a peer.
+/// IsNotRun: the server declined to run the request.
+bool RequestProxy::takeRetry(ServiceRuntime &Service, bool IsNotRun,
                              TimePoint Now) {
-  const bool IsOwn =
-      IsUnrun ? Service.tryTakeNotRunRetry(Now) : Service.tryTakeRetry(Now);
-  return IsOwn || (this->Borrow && Service.hasFleetRetryBudget() &&
-                   this->Borrow(Service, Now));
+  const bool IsLocal =
+      IsNotRun ? Service.tryTakeNotRunRetry(Now) : Service.tryTakeRetry(Now);
+  return IsLocal || (this->BorrowRetry && Service.hasFleetRetryBudget() &&
+                     this->BorrowRetry(Service, Now));
 }
 
-/// Decides whether another server may be tried after a failure.
+/// Decides whether a failed request may be retried at another server.
 bool RequestProxy::mayRetry(RequestContext &Request,
                             const ResponseRelay &Relay) {
   if (Relay.hasBegun())
@@ -91,14 +92,14 @@
            this->takeRetry(*Request.Service, false, readSteadyClock());
   if (Request.WasBodySent || !this->isKeyInForce(Request))
     return false;
-  if (std::exchange(Request.HasRepeatRight, false))
+  if (std::exchange(Request.HasRetryPermit, false))
     return true;
-  // What was not run may be sent elsewhere, whatever its class. What was never
-  // sent is no repeat.
+  // A request that was not run may be sent to another server, whatever its
+  // class. If it was never sent, this does not count as a retry.
   if (Request.Outcome == RunOutcome::NotRun)
     return !Request.WasSent ||
            this->takeRetry(*Request.Service, true, readSteadyClock());
-  if (!isRetryable(*Request.Route) || !Request.IsBodyWhole)
+  if (!isRetryable(*Request.Route) || !Request.IsBodyBuffered)
     return false;
   return this->takeRetry(*Request.Service, false, readSteadyClock());
 }
--- a/lib/Proxy/ResponseRelay.cpp
+++ b/lib/Proxy/ResponseRelay.cpp
@@ -1,4 +1,4 @@
-//===- ResponseRelay.cpp - Passes an answer on to the caller --------------===//
+//===- ResponseRelay.cpp - Relays responses to callers --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Writes the head and body straight to the caller's stream, so that a slow
-/// caller slows the server. Only what the rules hold back or keep, up to their
-/// bounds, stays here in between.
+/// Writes the head and body directly to the caller's stream, so that a slow
+/// caller slows down the server (backpressure). Only what the options allow is
+/// buffered or copied.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,7 @@
   for (const char *Known : ConnectionHeaders)
     if (equalsIgnoringCase(Name, Known))
       return true;
-  // Whatever a Connection header lists belongs to that connection too.
+  // Headers that a Connection header lists apply to that connection, too.
   const auto Range = All.equal_range("Connection");
   for (auto Each = Range.first; Each != Range.second; ++Each) {
     std::istringstream Stream(Each->second);
@@ -53,43 +53,43 @@
 static constexpr const char *LastChunk = "0\r\n\r\n";
 
 ResponseRelay::ResponseRelay(HttpExchange &Exchange, const HeaderNames &Names,
-                             RelayOptions Rules)
-    : Exchange(Exchange), Names(Names), Rules(Rules) {}
+                             RelayOptions Options)
+    : Exchange(Exchange), Names(Names), Options(Options) {}
 
 void ResponseRelay::beginAttempt(const std::string &RequestId) {
   this->RequestId = RequestId;
   this->Verdict = ResponseVerdict::None;
-  this->IsHolding = false;
-  this->HeldBody.clear();
+  this->IsBuffering = false;
+  this->BufferedBody.clear();
   this->Load = -1;
 }
 
-/// Statuses that tell the caller that its request was not run. Only a server
-/// that marks its answer so may say it.
-static bool promisesNotRun(int Status) {
+/// Returns whether a status tells the caller that its request was not run. Only
+/// a server that marks its response with the NotRun header may report that.
+static bool impliesNotRun(int Status) {
   return Status == 408 || Status == MisdirectedStatus || Status == 429 ||
          Status == 503;
 }
 
-/// Returns whether an answer shows that it is the server's own and whole in
-/// form.
-bool ResponseRelay::isProved(const httplib::Response &Response) const {
+/// Returns whether a response provably comes from the server itself and is not
+/// encoded.
+bool ResponseRelay::isAuthentic(const httplib::Response &Response) const {
   if (this->Names.AnswerProof.empty())
     return true;
-  // Callers ask for no encoding.
+  // Requests never ask for a content encoding.
   if (Response.has_header("Content-Encoding"))
     return false;
-  if (promisesNotRun(Response.status))
+  if (impliesNotRun(Response.status))
     return false;
   const bool IsSuccess = Response.status >= 200 && Response.status < 300;
   return !IsSuccess || (Response.has_header(this->Names.AnswerProof) &&
                         Response.has_header(this->Names.RequestId));
 }
 
-/// Larger loads than this are not believed.
-static constexpr int MostLoad = 10000;
+/// Upper bound of a reported load; larger values are clamped.
+static constexpr int MaxLoad = 10000;
 
-void ResponseRelay::readLoad(const httplib::Response &Response) {
+void ResponseRelay::parseLoad(const httplib::Response &Response) {
   if (this->Names.ServerLoad.empty())
     return;
   const std::string Text = Response.get_header_value(this->Names.ServerLoad);
@@ -97,11 +97,11 @@
   int Waiting = 0;
   if (std::sscanf(Text.c_str(), "%d,%d", &Running, &Waiting) == 2)
     this->Load =
-        std::clamp(Running, 0, MostLoad) + std::clamp(Waiting, 0, MostLoad);
+        std::clamp(Running, 0, MaxLoad) + std::clamp(Waiting, 0, MaxLoad);
 }
 
-bool ResponseRelay::continuesAnswer(const httplib::Response &Response) const {
-  const std::string Expected = fmt::format("bytes {}-{}/{}", this->Passed,
+bool ResponseRelay::continuesResponse(const httplib::Response &Response) const {
+  const std::string Expected = fmt::format("bytes {}-{}/{}", this->BytesRelayed,
                                            this->Length - 1, this->Length);
   return Response.status == 206 &&
          Response.get_header_value("ETag") == this->Validator &&
@@ -114,8 +114,8 @@
   if (!Echo.empty() && Echo != this->RequestId)
     return ResponseVerdict::RequestIdMismatch;
   if (this->HeadWritten)
-    return this->continuesAnswer(Response) ? ResponseVerdict::Relayed
-                                           : ResponseVerdict::ResumeMismatch;
+    return this->continuesResponse(Response) ? ResponseVerdict::Relayed
+                                             : ResponseVerdict::ResumeMismatch;
   const bool IsMarked = Response.has_header(this->Names.NotRun) &&
                         (this->Names.NotRunValue.empty() ||
                          Response.get_header_value(this->Names.NotRun) ==
@@ -125,9 +125,9 @@
   if (!this->Names.ExpectedInstance.empty() &&
       Response.status == MisdirectedStatus)
     return ResponseVerdict::NotRun;
-  if (!this->isProved(Response))
+  if (!this->isAuthentic(Response))
     return ResponseVerdict::Failed;
-  if (Response.status >= 500 && this->Rules.MayDiscardFailure)
+  if (Response.status >= 500 && this->Options.MayDiscardFailure)
     return ResponseVerdict::Failed;
   return ResponseVerdict::Relayed;
 }
@@ -136,16 +136,16 @@
   const bool IsContinuing = this->HeadWritten;
   this->Verdict = this->classifyHead(Response);
   this->Status = Response.status;
-  this->readLoad(Response);
+  this->parseLoad(Response);
   switch (this->Verdict) {
   case ResponseVerdict::Relayed:
     if (IsContinuing)
       return true;
     this->prepareHead(Response);
-    return this->IsHolding || this->writeHead();
+    return this->IsBuffering || this->writeHead();
   case ResponseVerdict::NotRun:
   case ResponseVerdict::Failed:
-    // Read to the end, so that the connection can be kept.
+    // The body is read to its end, so that the connection can be reused.
     return true;
   case ResponseVerdict::None:
   case ResponseVerdict::RequestIdMismatch:
@@ -155,13 +155,12 @@
   return false;
 }
 
-/// Returns whether a validator proves the same bytes, not just the same
-/// meaning.
+/// Returns whether a validator guarantees identical bytes (a strong ETag).
 static bool isStrongValidator(const std::string &Validator) {
   return Validator.size() > 2 && Validator[0] == '"' && Validator.back() == '"';
 }
 
-/// Takes what of an answer's head goes to the caller.
+/// Prepares the head of the response to the caller.
 void ResponseRelay::prepareHead(const httplib::Response &Response) {
   const std::string Length = Response.get_header_value("Content-Length");
   this->HasLength = !Length.empty();
@@ -170,8 +169,8 @@
   this->IsBodyless = Response.status == 204 || Response.status == 304 ||
                      this->Exchange.Request.method == "HEAD";
   this->IsChunked = !this->IsBodyless && !this->HasLength;
-  this->IsHolding = this->Rules.MaxBufferedBytes > 0 && !this->IsBodyless &&
-                    this->Length <= this->Rules.MaxBufferedBytes;
+  this->IsBuffering = this->Options.MaxBufferedBytes > 0 && !this->IsBodyless &&
+                      this->Length <= this->Options.MaxBufferedBytes;
   this->Head =
       fmt::format("HTTP/1.1 {} {}\r\n", Response.status,
                   Response.reason.empty() ? "Unnamed" : Response.reason);
@@ -180,8 +179,8 @@
         (this->Names.PassesCallerId ||
          !equalsIgnoringCase(Name, this->Names.RequestId)))
       this->Head += Name + ": " + Value + "\r\n";
-  this->Kept.Status = Response.status;
-  this->Kept.ContentType = Response.get_header_value("Content-Type");
+  this->Copy.Status = Response.status;
+  this->Copy.ContentType = Response.get_header_value("Content-Type");
 }
 
 bool ResponseRelay::writeHead() {
@@ -196,39 +195,39 @@
   return this->writeToCaller(this->Head.data(), this->Head.size());
 }
 
-/// Gives up holding an answer back and writes what there is of it.
-bool ResponseRelay::releaseHeld() {
-  this->IsHolding = false;
+/// Stops buffering, and writes the head and what has arrived of the body.
+bool ResponseRelay::flushBuffer() {
+  this->IsBuffering = false;
   if (!this->writeHead())
     return false;
-  const std::string Body = std::move(this->HeldBody);
-  this->HeldBody.clear();
-  return Body.empty() || this->passBody(Body.data(), Body.size());
+  const std::string Body = std::move(this->BufferedBody);
+  this->BufferedBody.clear();
+  return Body.empty() || this->writeBody(Body.data(), Body.size());
 }
 
 bool ResponseRelay::writeToCaller(const char *Data, size_t Size) {
   if (!this->CallerLeft && this->Exchange.Stream.write(Data, Size) >= 0)
     return true;
   this->CallerLeft = true;
-  return this->Rules.ContinuesWithoutCaller;
+  return this->Options.ContinuesWithoutCaller;
 }
 
 bool ResponseRelay::handleBody(const char *Data, size_t Size) {
   if (this->Verdict != ResponseVerdict::Relayed)
     return true;
-  if (this->Kept.Body.size() + Size <= this->Rules.MaxCopiedBytes)
-    this->Kept.Body.append(Data, Size);
+  if (this->Copy.Body.size() + Size <= this->Options.MaxCopiedBytes)
+    this->Copy.Body.append(Data, Size);
   else
-    this->IsKeptTooLong = true;
-  this->Passed += Size;
-  if (!this->IsHolding)
-    return this->passBody(Data, Size);
-  this->HeldBody.append(Data, Size);
-  return this->HeldBody.size() <= this->Rules.MaxBufferedBytes ||
-         this->releaseHeld();
+    this->IsCopyTruncated = true;
+  this->BytesRelayed += Size;
+  if (!this->IsBuffering)
+    return this->writeBody(Data, Size);
+  this->BufferedBody.append(Data, Size);
+  return this->BufferedBody.size() <= this->Options.MaxBufferedBytes ||
+         this->flushBuffer();
 }
 
-bool ResponseRelay::passBody(const char *Data, size_t Size) {
+bool ResponseRelay::writeBody(const char *Data, size_t Size) {
   if (!this->IsChunked)
     return this->writeToCaller(Data, Size);
   std::string Chunk = fmt::format("{:x}\r\n", Size);
@@ -238,18 +237,19 @@
 }
 
 void ResponseRelay::finish(bool IsWhole) {
-  if (this->IsHolding && IsWhole) {
-    // Its length is known by now, whatever the server said of it.
+  if (this->IsBuffering && IsWhole) {
+    // The body is complete, so that its length is known even if the server did
+    // not declare it.
     this->HasLength = true;
     this->IsChunked = false;
-    this->Length = this->HeldBody.size();
-    IsWhole = this->releaseHeld();
+    this->Length = this->BufferedBody.size();
+    IsWhole = this->flushBuffer();
   }
   if (!this->HeadWritten)
     return;
   if (IsWhole && this->IsChunked)
     IsWhole = this->writeToCaller(LastChunk, std::strlen(LastChunk));
-  // cpp-httplib must add nothing to what was written.
+  // cpp-httplib must not write anything after the response.
   this->Exchange.Stream.muteWrites(true);
   if (!IsWhole || this->CallerLeft)
     this->Exchange.MustClose = true;
@@ -257,7 +257,7 @@
 
 bool ResponseRelay::canResume() const {
   return this->HeadWritten && !this->CallerLeft && this->HasLength &&
-         this->Kept.Status == 200 && this->Passed < this->Length &&
+         this->Copy.Status == 200 && this->BytesRelayed < this->Length &&
          this->Exchange.Request.method == "GET" &&
          !this->Exchange.Request.has_header("Range") &&
          isStrongValidator(this->Validator);
@@ -266,7 +266,7 @@
 void ResponseRelay::addResumeHeaders(httplib::Headers &Headers) const {
   if (!this->HeadWritten)
     return;
-  Headers.emplace("Range", fmt::format("bytes={}-", this->Passed));
+  Headers.emplace("Range", fmt::format("bytes={}-", this->BytesRelayed));
   Headers.emplace("If-Match", this->Validator);
 }
 
--- a/lib/Proxy/ServerNoticeParser.cpp
+++ b/lib/Proxy/ServerNoticeParser.cpp
@@ -1,4 +1,4 @@
-//===- ServerNoticeParser.cpp - Reads a server's notice off an answer -----===//
+//===- ServerNoticeParser.cpp - Parses server notices ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A number is written in plain digits; signs, exponents, words and what does
-/// not fit a double are no numbers.
+/// Numbers are written in plain digits with an optional fraction. Signs,
+/// exponents, words and values that do not fit into a double are malformed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,19 +20,18 @@
 
 namespace canvaswick {
 
-/// A server says that it is overloaded or away with this status, and may say
-/// for how long.
+/// The status with which a server reports that it is overloaded or unavailable,
+/// and for how long (Retry-After).
 static constexpr int UnavailableStatus = 503;
 
-/// Answers below this status are no failures of the server.
-static constexpr int FirstFailureStatus = 500;
+/// Responses with a lower status are not failures of the server.
+static constexpr int MinFailureStatus = 500;
 
-/// A server that asks for more than a day of rest has made a mistake, and is
-/// taken for one that names no time.
-static constexpr Duration MostBelieved = fromSeconds(86400);
+/// A longer backoff is taken for a mistake, and the value for malformed.
+static constexpr Duration MaxPlausibleBackoff = fromSeconds(86400);
 
-/// Reads a number that is not negative.
-static std::optional<double> readNumber(const std::string &Text) {
+/// Parses a number that is not negative.
+static std::optional<double> parseNumber(const std::string &Text) {
   double Value = 0;
   const char *End = Text.data() + Text.size();
   const auto [Last, Failure] =
@@ -45,30 +44,30 @@
 
 std::optional<Duration> parseRetryAfter(const std::string &Text,
                                         int64_t CalendarMillis) {
-  if (const std::optional<double> Seconds = readNumber(Text)) {
-    if (*Seconds > toSeconds(MostBelieved))
+  if (const std::optional<double> Seconds = parseNumber(Text)) {
+    if (*Seconds > toSeconds(MaxPlausibleBackoff))
       return std::nullopt;
     return fromSeconds(*Seconds);
   }
   std::tm Date{};
-  const char *Rest =
+  const char *Unparsed =
       ::strptime(Text.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &Date);
-  if (!Rest || *Rest != '\0')
+  if (!Unparsed || *Unparsed != '\0')
     return std::nullopt;
   const int64_t Until = static_cast<int64_t>(::timegm(&Date)) * 1000;
-  if (Until - CalendarMillis > toMillis(MostBelieved))
+  if (Until - CalendarMillis > toMillis(MaxPlausibleBackoff))
     return std::nullopt;
   return fromMillis(std::max<int64_t>(Until - CalendarMillis, 0));
 }
 
-/// Of a limit that is named more than once the lowest counts.
-static std::optional<double> readLimit(const httplib::Response &Response,
-                                       const std::string &Name,
-                                       bool &IsMalformed) {
+/// If the limit is named several times, the lowest value applies.
+static std::optional<double> parseLimit(const httplib::Response &Response,
+                                        const std::string &Name,
+                                        bool &IsMalformed) {
   std::optional<double> Lowest;
   const auto Range = Response.headers.equal_range(Name);
   for (auto Each = Range.first; Each != Range.second; ++Each) {
-    const std::optional<double> Limit = readNumber(Each->second);
+    const std::optional<double> Limit = parseNumber(Each->second);
     IsMalformed |= !Limit;
     if (Limit)
       Lowest = std::min(Lowest.value_or(*Limit), *Limit);
@@ -76,18 +75,18 @@
   return Lowest;
 }
 
-/// Of a rest that is asked for more than once the longest counts.
-static std::optional<Duration> readRest(const httplib::Response &Response,
-                                        int64_t CalendarMillis,
-                                        bool &IsMalformed) {
+/// If several backoffs are named, the longest one applies.
+static std::optional<Duration> parseBackoff(const httplib::Response &Response,
+                                            int64_t CalendarMillis,
+                                            bool &IsMalformed) {
   std::optional<Duration> Longest;
   const auto Range = Response.headers.equal_range("Retry-After");
   for (auto Each = Range.first; Each != Range.second; ++Each) {
-    const std::optional<Duration> Rest =
+    const std::optional<Duration> Backoff =
         parseRetryAfter(Each->second, CalendarMillis);
-    IsMalformed |= !Rest;
-    if (Rest)
-      Longest = std::max(Longest.value_or(*Rest), *Rest);
+    IsMalformed |= !Backoff;
+    if (Backoff)
+      Longest = std::max(Longest.value_or(*Backoff), *Backoff);
   }
   if (Longest == Duration::zero())
     return std::nullopt;
@@ -100,17 +99,17 @@
   ServerNotice Notice;
   if (!Names.ServerLimit.empty())
     Notice.RequestsPerSecond =
-        readLimit(Response, Names.ServerLimit, Notice.IsMalformed);
+        parseLimit(Response, Names.ServerLimit, Notice.IsMalformed);
   Notice.IsLeaving =
       !Names.ServerLeaving.empty() &&
       Response.get_header_value(Names.ServerLeaving) == LeavingValue;
   if (Response.status == UnavailableStatus)
-    Notice.Backoff = readRest(Response, CalendarMillis, Notice.IsMalformed);
-  // A limit that was named and could not be read is not taken back, nor by an
-  // answer that may not be the server's own.
+    Notice.Backoff = parseBackoff(Response, CalendarMillis, Notice.IsMalformed);
+  // Only a response of the server itself withdraws the limit, and only if it
+  // does not name one that is malformed.
   const bool IsProved =
       Names.AnswerProof.empty() || Response.has_header(Names.AnswerProof);
-  Notice.MayEndLimit = IsProved && Response.status < FirstFailureStatus &&
+  Notice.MayEndLimit = IsProved && Response.status < MinFailureStatus &&
                        !Response.has_header(Names.ServerLimit);
   return Notice;
 }
--- a/lib/Proxy/ServerNoticeTable.cpp
+++ b/lib/Proxy/ServerNoticeTable.cpp
@@ -1,4 +1,4 @@
-//===- ServerNoticeTable.cpp - Servers' notices behind one lock -----------===//
+//===- ServerNoticeTable.cpp - Thread-safe table of notices ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What changes is logged here, outside the lock.
+/// Logs changes outside the lock.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Proxy/ServiceEvidence.cpp
+++ b/lib/Proxy/ServiceEvidence.cpp
@@ -1,4 +1,4 @@
-//===- ServiceEvidence.cpp - What a service knows of its servers ----------===//
+//===- ServiceEvidence.cpp - Health evidence of one service ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of ServiceRuntime that takes outcomes as evidence, exchanges it
-/// with peers and explains what came of it. Which exchange applies is a matter
-/// of the policy: the others do nothing.
+/// The part of ServiceRuntime that records outcomes as evidence of server
+/// health, exchanges evidence with peers and explains the result. The health
+/// policy determines which exchanges apply; the others do nothing.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,33 +21,33 @@
 
 namespace canvaswick {
 
-/// An Estimate counts in thousandths.
+/// An Estimate expresses its probability in thousandths and its load in tenths.
 static constexpr int EstimateParts = 1000;
 static constexpr double LoadParts = 10;
 
-/// Parts of one in a pace, and the largest that is told.
-static constexpr double PaceParts = 100;
-static constexpr double MostPace = 100;
+/// Units per one in a reported latency ratio, and the largest ratio reported.
+static constexpr double LatencyRatioParts = 100;
+static constexpr double MaxLatencyRatio = 100;
 
 std::vector<double> ServiceRuntime::getLoads(TimePoint Now) const {
   std::vector<double> Loads(this->countServers(), 0);
-  const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  if (!Spells || !this->isOn(Mechanism::LoadFactor))
+  const auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  if (!Markov || !this->isOn(Mechanism::LoadFactor))
     return Loads;
   for (size_t I = 0; I < Loads.size(); ++I)
-    Loads[I] = Spells->getInFlight().getLoad(I, Now);
+    Loads[I] = Markov->getInFlight().getLoad(I, Now);
   return Loads;
 }
 
-/// Adds an attempt to what this daemon has in flight.
+/// Adds an attempt to the requests that this daemon has in flight.
 void ServiceRuntime::beginInFlight(Attempt &Next, const AttemptNeeds &Needs,
                                    TimePoint Now) {
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  if (!Spells)
+  auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  if (!Markov)
     return;
-  Spells->noteUse(Next.Server, Now);
-  InFlightTable &InFlight = Spells->getInFlight();
-  Next.Sickness = Spells->getSickness(Next.Server, Now);
+  Markov->noteUse(Next.Server, Now);
+  InFlightTable &InFlight = Markov->getInFlight();
+  Next.Sickness = Markov->getSickness(Next.Server, Now);
   Next.ServerLoad = InFlight.getLoad(Next.Server, Now);
   Next.QueueFactor =
       getQueueFactor(Next.ServerLoad, this->getServer(Next.Server).Slots);
@@ -56,24 +56,25 @@
   Next.InFlightNumber = InFlight.begin({Next.Server, Now, fromSeconds(Usual)});
 }
 
-/// Returns how long an attempt took, in percent of what is usual for its kind
-/// and place in the queue, or -1 if that is not known.
-int ServiceRuntime::computePacePercent(const Attempt &Ended,
-                                       TimePoint Now) const {
+/// Returns how long an attempt took, in percent of the typical time of such a
+/// request at its place in the queue, or -1 if that time is unknown.
+int ServiceRuntime::computeLatencyRatioPercent(const Attempt &Ended,
+                                               TimePoint Now) const {
   const double Usual = toSeconds(Ended.Usual) * Ended.QueueFactor;
   if (Usual <= 0)
     return -1;
-  const double Pace = toSeconds(Now - Ended.Began) / Usual;
-  return static_cast<int>(std::lround(std::min(Pace, MostPace) * PaceParts));
+  const double LatencyRatio = toSeconds(Now - Ended.Began) / Usual;
+  return static_cast<int>(
+      std::lround(std::min(LatencyRatio, MaxLatencyRatio) * LatencyRatioParts));
 }
 
 void ServiceRuntime::appendInFlight(std::vector<InFlightReport> &Reports,
                                     TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  if (!Spells)
+  const auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  if (!Markov)
     return;
-  for (const InFlightRequest &Each : Spells->getInFlight().getOwn())
+  for (const InFlightRequest &Each : Markov->getInFlight().getOwn())
     Reports.push_back({this->Ids[Each.Server],
                        static_cast<int>(toMillis(Now - Each.Began)),
                        static_cast<int>(toMillis(Each.Usual))});
@@ -83,23 +84,23 @@
     const std::string &Daemon, uint64_t Sequence,
     const std::vector<InFlightReport> &Reports, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  if (!Spells)
+  auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  if (!Markov)
     return;
   std::vector<InFlightRequest> Known;
   for (const InFlightReport &Each : Reports) {
-    const int Server = Spells->findServer(Each.Server);
+    const int Server = Markov->findServer(Each.Server);
     if (Server >= 0)
       Known.push_back({static_cast<size_t>(Server),
                        Now - fromMillis(Each.AgeMs), fromMillis(Each.UsualMs)});
   }
-  Spells->getInFlight().replacePeer(Daemon, Sequence, Known, Now);
+  Markov->getInFlight().replacePeer(Daemon, Sequence, Known, Now);
 }
 
-/// Counts an attempt as slow before it ends, for the policy that does not
-/// follow what is in flight.
-static void noteLate(PooledPolicy &Policy, Attempt &Each, Duration SlowAfter,
-                     TimePoint Now) {
+/// Counts an attempt as slow before it ends. Only for the policy that does not
+/// track requests in flight.
+static void countIfSlow(PooledPolicy &Policy, Attempt &Each, Duration SlowAfter,
+                        TimePoint Now) {
   if (Each.IsCountedSlow || Now - Each.Began <= SlowAfter)
     return;
   Each.IsCountedSlow = true;
@@ -111,8 +112,9 @@
   this->updateLeaving(Now);
   if (auto *Pooled = std::get_if<PooledPolicy>(&this->Policy))
     for (Attempt &Each : this->Attempts)
-      noteLate(*Pooled, Each, this->Latency.getSlowAfter(Each.Route), Now);
-  std::visit([Now](auto &Own) { Own.advance(Now); }, this->Policy);
+      countIfSlow(*Pooled, Each, this->Latency.getSlowAfter(Each.Route), Now);
+  std::visit([Now](auto &ActivePolicy) { ActivePolicy.advance(Now); },
+             this->Policy);
 }
 
 void ServiceRuntime::recordLoadReport(size_t Server, double Load,
@@ -123,32 +125,32 @@
 
 std::vector<Observation> ServiceRuntime::drainLocalObservations() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    return Spells->takeNews();
+  if (auto *Markov = std::get_if<SpellPolicy>(&this->Policy))
+    return Markov->takeNews();
   return {};
 }
 
-/// Returns the index of a server that peers speak of, or -1. Spells is null
-/// where another policy judges.
-static int findServer(const SpellPolicy *Spells, ServerId Id) {
-  return Spells ? Spells->findServer(Id) : -1;
+/// Returns the index of a server that a peer has named, or -1. Markov is null
+/// if another policy is in use.
+static int findServer(const SpellPolicy *Markov, ServerId Id) {
+  return Markov ? Markov->findServer(Id) : -1;
 }
 
 void ServiceRuntime::takeObservation(const Observation &Seen, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  const int Server = findServer(Spells, Seen.Server);
+  auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  const int Server = findServer(Markov, Seen.Server);
   if (Server < 0)
     return;
   const auto Index = static_cast<size_t>(Server);
-  Spells->takeObservation(Index, Seen.Outcome, Now, Seen.PacePercent);
+  Markov->takeObservation(Index, Seen.Outcome, Now, Seen.PacePercent);
   if (Seen.Load >= 0)
-    Spells->getInFlight().noteReportedLoad(Index, Seen.Load, Now);
+    Markov->getInFlight().noteReportedLoad(Index, Seen.Load, Now);
 }
 
-/// Returns what Spells thinks of the servers that Wants picks, by their index.
+/// Returns the estimates of the servers for whose index Wants returns true.
 template <typename Predicate>
-std::vector<Estimate> ServiceRuntime::makeEstimates(const SpellPolicy &Spells,
+std::vector<Estimate> ServiceRuntime::makeEstimates(const SpellPolicy &Markov,
                                                     TimePoint Now,
                                                     Predicate Wants) const {
   std::vector<Estimate> Estimates;
@@ -156,17 +158,17 @@
     if (Wants(I))
       Estimates.push_back(
           {this->Ids[I],
-           static_cast<int>(Spells.getSickness(I, Now) * EstimateParts),
+           static_cast<int>(Markov.getSickness(I, Now) * EstimateParts),
            static_cast<int>(
-               std::lround(Spells.getInFlight().getLoad(I, Now) * LoadParts))});
+               std::lround(Markov.getInFlight().getLoad(I, Now) * LoadParts))});
   return Estimates;
 }
 
 std::vector<Estimate>
 ServiceRuntime::getSameHallEstimates(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    return this->makeEstimates(*Spells, Now, [this](size_t Server) {
+  if (const auto *Markov = std::get_if<SpellPolicy>(&this->Policy))
+    return this->makeEstimates(*Markov, Now, [this](size_t Server) {
       return this->Selector.isSameHall(Server);
     });
   return {};
@@ -174,34 +176,34 @@
 
 std::vector<Estimate> ServiceRuntime::getUsedEstimates(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    return this->makeEstimates(*Spells, Now, [Spells](size_t Server) {
-      return Spells->isUsed(Server);
+  if (const auto *Markov = std::get_if<SpellPolicy>(&this->Policy))
+    return this->makeEstimates(*Markov, Now, [Markov](size_t Server) {
+      return Markov->isUsed(Server);
     });
   return {};
 }
 
-/// Returns the probability that an estimate tells.
+/// Returns the probability that an estimate carries.
 static double getSickness(const Estimate &Given) {
   return Given.PerMille / static_cast<double>(EstimateParts);
 }
 
 void ServiceRuntime::takeNearEstimate(const Estimate &Given, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  const int Server = findServer(Spells, Given.Server);
+  auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  const int Server = findServer(Markov, Given.Server);
   if (Server >= 0)
-    Spells->takeNearEstimate(static_cast<size_t>(Server), getSickness(Given),
+    Markov->takeNearEstimate(static_cast<size_t>(Server), getSickness(Given),
                              Now);
 }
 
 void ServiceRuntime::takeEstimate(const Estimate &Given, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  const int Server = findServer(Spells, Given.Server);
-  // What happens near this daemon it knows better.
+  auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  const int Server = findServer(Markov, Given.Server);
+  // This daemon has better evidence of the servers in its own hall.
   if (Server >= 0 && !this->Selector.isSameHall(static_cast<size_t>(Server)))
-    Spells->takeEstimate(static_cast<size_t>(Server), getSickness(Given), Now,
+    Markov->takeEstimate(static_cast<size_t>(Server), getSickness(Given), Now,
                          Given.LoadTenths / LoadParts);
 }
 
@@ -212,8 +214,8 @@
 HallRate ServiceRuntime::getRate(TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   HallRate Rate;
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    Rate = Spells->getRate(Now);
+  if (const auto *Markov = std::get_if<SpellPolicy>(&this->Policy))
+    Rate = Markov->getRate(Now);
   Rate.Service = this->getId();
   return Rate;
 }
@@ -221,9 +223,9 @@
 void ServiceRuntime::takeRate(const std::string &Hall, const HallRate &Rate,
                               TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  if (Spells && Rate.Service == this->getId())
-    Spells->takeRate(Hall, Rate, Now);
+  auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  if (Markov && Rate.Service == this->getId())
+    Markov->takeRate(Hall, Rate, Now);
 }
 
 std::optional<EvidenceReport> ServiceRuntime::makeReport(TimePoint Now) {
@@ -233,16 +235,16 @@
   return std::nullopt;
 }
 
-void ServiceRuntime::takeDigest(const EvidenceDigest &Digest, TimePoint Now) {
+void ServiceRuntime::takeDigest(const EvidenceDigest &Summary, TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (auto *Pooled = std::get_if<PooledPolicy>(&this->Policy))
-    Pooled->takeDigest(Digest, Now);
+    Pooled->takeDigest(Summary, Now);
 }
 
 ShareExplanation ServiceRuntime::explain(size_t Server, TimePoint Now) const {
   ShareExplanation Why;
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    Why = Spells->explain(Server, Now);
+  if (const auto *Markov = std::get_if<SpellPolicy>(&this->Policy))
+    Why = Markov->explain(Server, Now);
   else
     Why = std::get<PooledPolicy>(this->Policy).explain(Server);
   this->explainNotice(Server, Why, Now);
--- a/lib/Proxy/ServiceNotices.cpp
+++ b/lib/Proxy/ServiceNotices.cpp
@@ -1,4 +1,4 @@
-//===- ServiceNotices.cpp - What a service's servers say of themselves ----===//
+//===- ServiceNotices.cpp - Applies server notices ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of ServiceRuntime that takes notices and keeps to them. Every
-/// choice of a server passes applyNotices, whatever it is for.
+/// The part of ServiceRuntime that handles server notices. Every selection of a
+/// server applies them through applyNotices.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,15 +20,15 @@
 namespace canvaswick {
 
 ServerNoticeTableRef
-ServiceRuntime::chooseBoard(const DaemonIdentity &Identity,
-                            const ServiceRuntime *Previous) {
+ServiceRuntime::chooseNoticeTable(const DaemonIdentity &Identity,
+                                  const ServiceRuntime *Previous) {
   if (Identity.Notices)
     return Identity.Notices;
   return Previous ? Previous->Notices : new ServerNoticeTable;
 }
 
-/// Returns how notices name a server.
-NoticeSource ServiceRuntime::makeNoticed(size_t Server) const {
+/// Returns the description of a server in the table of notices.
+NoticeSource ServiceRuntime::makeNoticeSource(size_t Server) const {
   const ServerConfig &Config = this->getServer(Server);
   return {this->Ids[Server], this->Config.Name + "/" + Config.Name,
           Config.Hall};
@@ -42,7 +42,7 @@
     return {};
   std::vector<NoticeChange> Changes =
       this->Notices->with([&](ServerNotices &All) {
-        return All.recordNotice(this->makeNoticed(From.Server), Notice,
+        return All.recordNotice(this->makeNoticeSource(From.Server), Notice,
                                 From.Began, Now);
       });
   if (Notice.IsLeaving) {
@@ -52,8 +52,8 @@
   return Changes;
 }
 
-/// Tells the policy which servers leave by their own word: its floor counts
-/// without them. The caller holds the mutex.
+/// Updates in the policy which servers have announced that they leave: its
+/// floor counts without them. The caller holds the mutex.
 void ServiceRuntime::updateLeaving(TimePoint Now) {
   for (size_t I = 0; I < this->Ids.size(); ++I) {
     const bool IsLeaving =
@@ -76,13 +76,13 @@
     return {};
   const auto Server = static_cast<size_t>(Found - this->Ids.begin());
   return this->Notices->with([&](ServerNotices &All) {
-    return All.applyReport(this->makeNoticed(Server), Given, Now);
+    return All.applyReport(this->makeNoticeSource(Server), Given, Now);
   });
 }
 
-/// Takes servers that may be sent nothing now out of the choice, and gives
-/// those to which this daemon sends for others more. Returns how many are left
-/// out.
+/// Removes servers that may not get a request now from the selection, and
+/// raises the share of servers to which this daemon sends on behalf of others.
+/// Returns how many servers were removed.
 size_t ServiceRuntime::applyNotices(std::vector<double> &Shares,
                                     TimePoint Now) const {
   size_t ExcludedServers = 0;
@@ -98,26 +98,27 @@
   return ExcludedServers;
 }
 
-/// Returns whether a server may be sent nothing now.
-bool ServiceRuntime::isHeld(size_t Server, TimePoint Now) const {
+/// Returns whether a server may not get a request now.
+bool ServiceRuntime::isExcludedByNotice(size_t Server, TimePoint Now) const {
   return !this->Notices->isEmpty() &&
          this->Notices->with([&](const ServerNotices &All) {
            return All.getShareFactor(this->Ids[Server], Now) <= 0;
          });
 }
 
-/// Returns how long no server may be sent anything, or nothing if one may.
-std::optional<Duration> ServiceRuntime::getHeldWait(TimePoint Now) const {
+/// Returns the time until any server may get a request, or nothing if one may
+/// get it now.
+std::optional<Duration> ServiceRuntime::computeNoticeWait(TimePoint Now) const {
   if (this->Notices->isEmpty() || this->Ids.empty())
     return std::nullopt;
-  Duration Least = Duration::max();
+  Duration Shortest = Duration::max();
   this->Notices->with([&](const ServerNotices &All) {
     for (const ServerId Id : this->Ids)
-      Least = std::min(Least, All.getWait(Id, Now));
+      Shortest = std::min(Shortest, All.getWait(Id, Now));
   });
-  if (Least <= Duration::zero())
+  if (Shortest <= Duration::zero())
     return std::nullopt;
-  return Least;
+  return Shortest;
 }
 
 static ShareReason getReason(NoticeKind Kind) {
@@ -135,17 +136,18 @@
   return ShareReason::Healthy;
 }
 
-/// What a server says of itself explains its share before all else.
+/// A server's own notice takes precedence over all other explanations of its
+/// share.
 void ServiceRuntime::explainNotice(size_t Server, ShareExplanation &Why,
                                    TimePoint Now) const {
   if (this->Notices->isEmpty())
     return;
   this->Notices->with([&](const ServerNotices &All) {
-    const std::optional<NoticeKind> Said =
+    const std::optional<NoticeKind> ActiveKind =
         All.getActiveKind(this->Ids[Server], Now);
-    if (!Said)
+    if (!ActiveKind)
       return;
-    Why.Reason = getReason(*Said);
+    Why.Reason = getReason(*ActiveKind);
     Why.Share *= All.getShareFactor(this->Ids[Server], Now);
   });
 }
--- a/lib/Proxy/ServiceRetries.cpp
+++ b/lib/Proxy/ServiceRetries.cpp
@@ -1,4 +1,4 @@
-//===- ServiceRetries.cpp - What a service may send again, and when -------===//
+//===- ServiceRetries.cpp - Retries of one service ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of ServiceRuntime that gives out rights to repeats, this daemon's
-/// own and borrowed ones, and says how long a server is waited for before one
-/// is used.
+/// The part of ServiceRuntime that gives out retries, from its own budget or
+/// borrowed, and that decides how long to wait for a server before a retry.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,15 +19,15 @@
 
 namespace canvaswick {
 
-/// Returns what a request's chances are worth: of an answer in time, and of one
-/// at all.
-static double weigh(const AnswerChances &Chances) {
+/// Returns the expected utility of a request, from the probabilities of a
+/// response in time and of any response.
+static double computeUtility(const AnswerChances &Chances) {
   return Chances.InTime + LateWorth * (Chances.AtAll - Chances.InTime);
 }
 
 FleetRepeatBudgetRef
-ServiceRuntime::makeRepeats(const DaemonIdentity &Identity,
-                            const ServiceRuntime *Previous) const {
+ServiceRuntime::makeRetryBudget(const DaemonIdentity &Identity,
+                                const ServiceRuntime *Previous) const {
   if (Identity.Source != SettingsSource::Platform)
     return nullptr;
   FleetRepeatBudgetRef Budget;
@@ -67,11 +66,11 @@
   return this->FleetRetries && this->FleetRetries->hasRoom(Now);
 }
 
-void ServiceRuntime::setRetryLimit(const RepeatAllowance &Allowance,
-                                   size_t Daemons, size_t Rank) {
+void ServiceRuntime::setRetryLimit(const RepeatAllowance &Limit, size_t Daemons,
+                                   size_t Rank) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->FleetRetries)
-    this->FleetRetries->configure(Allowance, Daemons, Rank);
+    this->FleetRetries->configure(Limit, Daemons, Rank);
 }
 
 Duration ServiceRuntime::getRetryCheckDelay(const std::string &Route,
@@ -80,37 +79,39 @@
   return this->Latency.getUsual(Route, Objective);
 }
 
-std::vector<double> ServiceRuntime::getWorths(const SpellPolicy &Spells,
-                                              const AttemptNeeds &Needs,
-                                              TimePoint Now) const {
-  const Duration Alone = this->Latency.getUsual(Needs.Route, Needs.Objective);
+std::vector<double> ServiceRuntime::computeUtilities(const SpellPolicy &Markov,
+                                                     const AttemptNeeds &Needs,
+                                                     TimePoint Now) const {
+  const Duration IdleServerTime =
+      this->Latency.getUsual(Needs.Route, Needs.Objective);
   const std::vector<double> Loads = this->getLoads(Now);
-  std::vector<double> Worths;
+  std::vector<double> Utilities;
   for (size_t I = 0; I < this->countServers(); ++I) {
     const double Factor = getQueueFactor(Loads[I], this->getServer(I).Slots);
-    const Duration Usual = fromSeconds(toSeconds(Alone) * Factor);
-    Worths.push_back(weigh(Spells.getNewAnswerChances(
+    const Duration Usual = fromSeconds(toSeconds(IdleServerTime) * Factor);
+    Utilities.push_back(computeUtility(Markov.getNewAnswerChances(
         I, Usual, Needs.ObjectiveDeadline, Needs.Deadline, Now)));
   }
-  return Worths;
+  return Utilities;
 }
 
-/// Returns the best server for an attempt that could begin now elsewhere, or
-/// -1.
-int ServiceRuntime::findBestElsewhere(const SpellPolicy &Spells,
-                                      const Attempt &Each,
-                                      const AttemptNeeds &Needs,
-                                      TimePoint Now) const {
-  const std::vector<double> Worths = this->getWorths(Spells, Needs, Now);
+/// Returns the index of the best server for a retry that begins now, or -1.
+int ServiceRuntime::findBestAlternative(const SpellPolicy &Markov,
+                                        const Attempt &Each,
+                                        const AttemptNeeds &Needs,
+                                        TimePoint Now) const {
+  const std::vector<double> Utilities =
+      this->computeUtilities(Markov, Needs, Now);
   int Best = -1;
   for (size_t I = 0; I < this->countServers(); ++I) {
     const bool WasTried = std::find(Needs.Tried.begin(), Needs.Tried.end(),
                                     I) != Needs.Tried.end();
-    // Few go far away: what is there is no reason to leave.
+    // Few requests go to other halls, so that servers there are no reason to
+    // abandon an attempt.
     if (I == Each.Server || WasTried || !this->Selector.isSameHall(I) ||
-        this->isHeld(I, Now))
+        this->isExcludedByNotice(I, Now))
       continue;
-    if (Best < 0 || Worths[I] > Worths[static_cast<size_t>(Best)])
+    if (Best < 0 || Utilities[I] > Utilities[static_cast<size_t>(Best)])
       Best = static_cast<int>(I);
   }
   return Best;
@@ -120,27 +121,27 @@
                                           const AttemptNeeds &Needs,
                                           TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto *Spells = std::get_if<SpellPolicy>(&this->Policy);
-  if (!Spells || !this->isOn(Mechanism::WeighedRepeats))
+  const auto *Markov = std::get_if<SpellPolicy>(&this->Policy);
+  if (!Markov || !this->isOn(Mechanism::WeighedRepeats))
     return false;
-  const int Best = this->findBestElsewhere(*Spells, Each, Needs, Now);
+  const int Best = this->findBestAlternative(*Markov, Each, Needs, Now);
   if (Best < 0)
     return false;
-  const auto Elsewhere = static_cast<size_t>(Best);
+  const auto Alternative = static_cast<size_t>(Best);
   SilentAttempt Silent;
   Silent.Out = Now - Each.Began;
   Silent.Usual = fromSeconds(toSeconds(Each.Usual) * Each.QueueFactor);
-  Silent.Sickness = Spells->getSickness(Each.Server, Now);
-  Silent.AnswersElsewhere = Spells->getAnswerPart(Elsewhere, Now);
+  Silent.Sickness = Markov->getSickness(Each.Server, Now);
+  Silent.AnswersElsewhere = Markov->getAnswerPart(Alternative, Now);
   Silent.UsualElsewhere = fromSeconds(
       toSeconds(this->Latency.getUsual(Needs.Route, Needs.Objective)) *
-      getQueueFactor(Spells->getInFlight().getLoad(Elsewhere, Now),
-                     this->getServer(Elsewhere).Slots));
+      getQueueFactor(Markov->getInFlight().getLoad(Alternative, Now),
+                     this->getServer(Alternative).Slots));
   Silent.UntilAim = Needs.ObjectiveDeadline - Now;
   Silent.UntilDeadline = Needs.Deadline - Now;
   Silent.Price = getRepeatPrice(
       this->FleetRetries ? this->FleetRetries->getUsedPart(Now) : 0);
-  return shouldLeave(Silent, Spells->getAnswerTimes());
+  return shouldLeave(Silent, Markov->getAnswerTimes());
 }
 
 } // namespace canvaswick
--- a/lib/Proxy/ServiceRuntime.cpp
+++ b/lib/Proxy/ServiceRuntime.cpp
@@ -1,4 +1,4 @@
-//===- ServiceRuntime.cpp - One service as a daemon runs it ---------------===//
+//===- ServiceRuntime.cpp - Runtime state of one service ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Every method takes the one mutex, works on plain decision objects and
-/// returns; none waits for anything. What concerns evidence stands in
-/// ServiceEvidence.cpp, what concerns repeats in ServiceRepeats.cpp.
+/// Every method takes the mutex, works on plain decision objects and returns
+/// without waiting. ServiceEvidence.cpp handles evidence, ServiceNotices.cpp
+/// server notices and ServiceRetries.cpp retries.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,18 +21,19 @@
 
 namespace canvaswick {
 
-/// When nothing can take a request now, coming back sooner makes no sense.
-static constexpr Duration BusyWait = fromSeconds(1);
+/// The Retry-After of a refused request: an earlier retry would hardly be
+/// admitted.
+static constexpr Duration BusyRetryAfter = fromSeconds(1);
 
-/// Bounds of the wait that is told where no server may be sent anything now.
-static constexpr Duration LeastHeldWait = fromMillis(100);
-static constexpr Duration MostHeldWait = fromSeconds(30);
+/// Bounds of the Retry-After if server notices exclude all servers.
+static constexpr Duration MinNoticeWait = fromMillis(100);
+static constexpr Duration MaxNoticeWait = fromSeconds(30);
 
-/// Part of a near server's share that one in another hall gets on the users'
-/// platform: bytes between halls have a price there, and a large answer costs
-/// more than it is worth.
-static constexpr double FarShareOfSmall = 0.06;
-static constexpr double FarShareOfLarge = 0.001;
+/// The weight of a server in another hall relative to one in the same hall, on
+/// the users' platform. Traffic between halls has a price there, and a large
+/// response costs more than it is worth.
+static constexpr double RemoteWeightOfSmall = 0.06;
+static constexpr double RemoteWeightOfLarge = 0.001;
 
 static uint64_t makeSeed(const std::string &Service, const std::string &Daemon,
                          TimePoint Now) {
@@ -40,7 +41,7 @@
                   static_cast<uint64_t>(Now.time_since_epoch().count()));
 }
 
-/// Returns the names that the servers of a subset have in messages.
+/// Returns the ids of the subset's servers in messages.
 static std::vector<ServerId> makeIds(const ServiceConfig &Config,
                                      const ServerSubset &Subset) {
   std::vector<ServerId> Ids;
@@ -57,13 +58,13 @@
       Subset(chooseSubset(this->Config, Identity.Name, Identity.Daemons,
                           Identity.ExpectedDaemons)),
       Ids(makeIds(this->Config, this->Subset)),
-      Notices(chooseBoard(Identity, Previous)), Switches(Identity.Switches),
-      Policy(this->makePolicy(Identity)),
+      Notices(chooseNoticeTable(Identity, Previous)),
+      Switches(Identity.Switches), Policy(this->makePolicy(Identity)),
       Selector(this->makeSelectable(Identity, Previous, Now),
                fromMillis(this->Config.ColdStartMs)),
       Latency(fromMillis(this->Config.SlowAfterMs)),
       Retries(this->Config.RetryPercent),
-      FleetRetries(this->makeRepeats(Identity, Previous)),
+      FleetRetries(this->makeRetryBudget(Identity, Previous)),
       InFlight(this->Config.MaxInFlight),
       Random(makeSeed(this->Config.Name, Identity.Name, Now)),
       LeavingByList(this->Subset.Servers.size(), false),
@@ -74,10 +75,10 @@
   if (Previous) {
     std::lock_guard<std::mutex> Lock(Previous->Mutex);
     std::visit(
-        [&](auto &Own) {
-          using PolicyT = std::decay_t<decltype(Own)>;
+        [&](auto &ActivePolicy) {
+          using PolicyT = std::decay_t<decltype(ActivePolicy)>;
           if (const auto *Old = std::get_if<PolicyT>(&Previous->Policy))
-            Own.adopt(*Old, Now);
+            ActivePolicy.adopt(*Old, Now);
         },
         this->Policy);
     this->Selector.adopt(Previous->Selector, this->matchServers(*Previous));
@@ -86,7 +87,8 @@
   for (size_t I = 0; I < this->countServers(); ++I)
     this->applyLeaving(I, Now);
   this->updateLeaving(Now);
-  std::visit([Now](auto &Own) { Own.advance(Now); }, this->Policy);
+  std::visit([Now](auto &ActivePolicy) { ActivePolicy.advance(Now); },
+             this->Policy);
 }
 
 /// Returns for each server its index in Other, or -1.
@@ -110,8 +112,9 @@
   return PooledPolicy(this->makeSetup(Identity));
 }
 
-/// A large answer from another hall costs more than it is worth: it takes more
-/// to turn away from the servers of the own one.
+/// A large response from another hall costs more than it is worth, so that
+/// downloads need stronger evidence before they avoid the servers of their own
+/// hall.
 static Caution chooseCaution(const AttemptNeeds &Needs) {
   if (Needs.Class == RouteClass::Download)
     return Needs.IsLast ? Caution::Utmost : Caution::Least;
@@ -120,10 +123,10 @@
 
 std::vector<ServerShare> ServiceRuntime::getShares(const AttemptNeeds &Needs,
                                                    TimePoint Now) const {
-  const Caution Care = chooseCaution(Needs);
-  if (const auto *Spells = std::get_if<SpellPolicy>(&this->Policy))
-    return Spells->getSharesByWorth(this->getWorths(*Spells, Needs, Now), Care,
-                                    Now);
+  const Caution Cost = chooseCaution(Needs);
+  if (const auto *Markov = std::get_if<SpellPolicy>(&this->Policy))
+    return Markov->getSharesByWorth(this->computeUtilities(*Markov, Needs, Now),
+                                    Cost, Now);
   const auto &Pooled = std::get<PooledPolicy>(this->Policy);
   std::vector<ServerShare> Shares;
   Shares.reserve(this->countServers());
@@ -162,7 +165,7 @@
     Entry.ConcurrencyLimit =
         std::min(Server.Slots, this->Subset.Connections[I]);
     Entry.IsSameHall = Server.Hall == Identity.Hall;
-    // Only a server that was added to a running service is a cold one.
+    // Only a server that is added to a running service needs a cold start.
     const bool IsNew = Previous && Known.count(Server.Name) == 0;
     Entry.FirstSeen = IsNew ? Now : Now - fromMillis(this->Config.ColdStartMs);
     if (Server.WarmAt != TimePoint{})
@@ -194,18 +197,21 @@
   if (this->IsLeaving[Server] && !IsLeaving)
     this->Selector.restartColdStart(Server, Now);
   this->IsLeaving[Server] = IsLeaving;
-  std::visit([&](auto &Own) { Own.setLeaving(Server, IsLeaving, Now); },
-             this->Policy);
+  std::visit(
+      [&](auto &ActivePolicy) {
+        ActivePolicy.setLeaving(Server, IsLeaving, Now);
+      },
+      this->Policy);
 }
 
 Refusal ServiceRuntime::admit(const std::string &Route, Duration Left,
                               TimePoint Now, Duration &Wait) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  Wait = BusyWait;
+  Wait = BusyRetryAfter;
   if (!hasChance(Left, this->Latency.getMedian(Route)))
     return Refusal::DeadlineTooShort;
-  if (const std::optional<Duration> Held = this->getHeldWait(Now)) {
-    Wait = std::clamp(*Held, LeastHeldWait, MostHeldWait);
+  if (const std::optional<Duration> NoticeWait = this->computeNoticeWait(Now)) {
+    Wait = std::clamp(*NoticeWait, MinNoticeWait, MaxNoticeWait);
     return Refusal::NoServer;
   }
   if (!this->InFlight.tryBegin())
@@ -229,8 +235,8 @@
   if (std::holds_alternative<PooledPolicy>(this->Policy))
     return Rules;
   if (this->isOn(Mechanism::NearFirst))
-    Rules.RemoteWeight =
-        Class == RouteClass::Download ? FarShareOfLarge : FarShareOfSmall;
+    Rules.RemoteWeight = Class == RouteClass::Download ? RemoteWeightOfLarge
+                                                       : RemoteWeightOfSmall;
   Rules.IsLoadInShares = true;
   return Rules;
 }
@@ -267,13 +273,13 @@
   return true;
 }
 
-/// Returns what an attempt's end shows of its server, by its route's usual
-/// time.
+/// Classifies the end of an attempt as evidence of the server's health,
+/// compared with the typical time of its route.
 RequestOutcome ServiceRuntime::classifyEnd(const Attempt &Ended,
                                            RequestOutcome Outcome,
                                            Duration Took) const {
-  const bool IsSpell = std::holds_alternative<SpellPolicy>(this->Policy);
-  if (Ended.WasTimedOut && IsSpell)
+  const bool IsMarkov = std::holds_alternative<SpellPolicy>(this->Policy);
+  if (Ended.WasTimedOut && IsMarkov)
     return RequestOutcome::Overdue;
   if (isFailure(Outcome))
     return this->Latency.judgeFailure(Ended.Route, Took);
@@ -286,31 +292,33 @@
                          TimePoint Now) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Attempts.erase(this->Attempts.iterator_to(Ended));
-  // A server that says how long it wants rest is left alone for that, and is
-  // not ill.
+  // A server that asks for a backoff gets no requests for that time. It is not
+  // treated as unhealthy.
   if (Ended.HasBackoffRequest && Outcome == RequestOutcome::Shed)
     Outcome = RequestOutcome::Canceled;
   this->Selector.end(Ended.Server, Outcome, Now);
   const Duration Took = Now - Ended.Began;
-  // What its place in the queue added says nothing about the kind of request.
-  const Duration Alone = fromSeconds(toSeconds(Took) / Ended.QueueFactor);
-  const RequestOutcome Evidence = this->classifyEnd(Ended, Outcome, Alone);
-  const int PacePercent = this->computePacePercent(Ended, Now);
-  // One that was given up would have taken longer still. Were it left out, a
+  // The time spent in the queue says nothing about this kind of request.
+  const Duration IdleServerTime =
+      fromSeconds(toSeconds(Took) / Ended.QueueFactor);
+  const RequestOutcome Evidence =
+      this->classifyEnd(Ended, Outcome, IdleServerTime);
+  const int PacePercent = this->computeLatencyRatioPercent(Ended, Now);
+  // A timed-out attempt would have taken even longer. If it were ignored, a
   // service that has become slow would seem as fast as before.
-  const bool IsLonger = Ended.WasTimedOut && Alone > Ended.Usual;
+  const bool IsLonger = Ended.WasTimedOut && IdleServerTime > Ended.Usual;
   if (Outcome == RequestOutcome::Good || IsLonger)
-    this->Latency.add(Ended.Route, Alone, Now);
-  if (auto *Spells = std::get_if<SpellPolicy>(&this->Policy)) {
-    Spells->getInFlight().end(Ended.InFlightNumber);
+    this->Latency.add(Ended.Route, IdleServerTime, Now);
+  if (auto *Markov = std::get_if<SpellPolicy>(&this->Policy)) {
+    Markov->getInFlight().end(Ended.InFlightNumber);
     if (Ended.Load >= 0)
-      Spells->getInFlight().noteReportedLoad(Ended.Server, Ended.Load, Now);
-    Spells->recordOutcome(Ended.Server, Evidence, Now, Ended.Load, PacePercent);
+      Markov->getInFlight().noteReportedLoad(Ended.Server, Ended.Load, Now);
+    Markov->recordOutcome(Ended.Server, Evidence, Now, Ended.Load, PacePercent);
     return;
   }
   if (Ended.Load >= 0)
     this->Selector.noteReportedLoad(Ended.Server, Ended.Load, Now);
-  // A late request was counted as slow while it was under way.
+  // A slow request was already counted while it was in flight.
   if (Evidence == RequestOutcome::Slow && Ended.IsCountedSlow)
     return;
   std::get<PooledPolicy>(this->Policy)
--- a/unittests/Proxy/ProxyFixture.h
+++ b/unittests/Proxy/ProxyFixture.h
@@ -1,4 +1,4 @@
-//===- ProxyFixture.h - A proxy between real sockets for tests --*- C++ -*-===//
+//===- ProxyFixture.h - Proxy on loopback for tests -------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A proxy with two stand-in backend servers of one service, and a client.
+/// A proxy on loopback sockets, with two stand-in backend servers of one
+/// service and a client.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,8 +26,8 @@
 
 namespace canvaswick {
 
-/// Settings of an organisation that takes one request a second and whose
-/// callers show "small-key".
+/// Returns settings of an organisation that may send one request per second and
+/// whose callers use the key "small-key".
 inline std::string makeSmallOrganisation() {
   return fmt::format("[organisation small]\nrequests-per-second = 1\n"
                      "burst = 1\nkey-digests = {}\n",
@@ -55,7 +56,8 @@
     REQUIRE(this->Server->start({"127.0.0.1", 0}));
   }
 
-  /// Puts a new version in force that differs in these sections.
+  /// Applies a new version of the settings with these sections on
+  /// organisations.
   void setOrganisations(const std::string &OrganisationSettings) {
     const std::string Text =
         fmt::format("[region r]\n"
@@ -104,7 +106,8 @@
     return this->Backends[0]->countRuns() + this->Backends[1]->countRuns();
   }
 
-  /// Sends raw bytes and returns all that comes back until the end.
+  /// Sends raw bytes and returns everything that the proxy sends until it
+  /// closes the connection.
   std::string sendRaw(const std::string &Bytes) {
     const int Descriptor = connectTcp("127.0.0.1", this->Server->getPort(),
                                       readSteadyClock() + fromSeconds(5));
@@ -132,7 +135,7 @@
   std::unique_ptr<HttpServer> Server;
 };
 
-/// Returns a header of an answer, or an empty text.
+/// Returns a header of a response, or an empty text.
 inline std::string getHeader(const ExchangeResult &Result, const char *Name) {
   const auto Found = Result.Headers.find(Name);
   return Found == Result.Headers.end() ? "" : Found->second;
--- a/unittests/Proxy/RequestNoticeTest.cpp
+++ b/unittests/Proxy/RequestNoticeTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestNoticeTest.cpp - Servers' words of themselves are kept to ---===//
+//===- RequestNoticeTest.cpp - Proxy applies server notices ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A proxy and two stand-in servers on loopback, one of which says something of
-/// itself.
+/// Tests a proxy on loopback, with two stand-in servers that send notices.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,20 +29,22 @@
   return Served;
 }
 
-TEST_CASE("a server that names a limit is left to those that share it") {
+TEST_CASE(
+    "a limited server gets requests only from daemons that share its limit") {
   ProxyFixture Fixture;
   BackendFaults Limited;
   Limited.Percent = 100;
   Limited.Limit = "0.5";
   Fixture.Backends[0]->setFaults(Limited);
   CHECK(sendSome(Fixture, 40) == 40);
-  // The one that told it, at most: this daemon knows of no fleet to share with.
+  // At most the request that brought the notice: this daemon does not know the
+  // fleet that shares the limit.
   CHECK(Fixture.Backends[0]->countRuns() <= 1);
   CHECK(Fixture.Counters.get(Counter::LimitsHeard) == 1);
   CHECK(Fixture.Counters.get(Counter::ServersLeftOut) >= 20);
 }
 
-TEST_CASE("a service all of whose servers are limited refuses at once") {
+TEST_CASE("a service whose servers are all limited refuses requests at once") {
   ProxyFixture Fixture;
   BackendFaults Limited;
   Limited.Limit = "0.2";
@@ -55,9 +56,9 @@
   CHECK(std::stoi(getHeader(Refused, "Retry-After")) >= 1);
 }
 
-/// Returns how often a leaving was heard from servers that all say so and do
-/// something wrong besides.
-static uint64_t countHeard(BackendFaults Faults) {
+/// Returns how many leaving notices were received from servers that all send
+/// one and also have other faults.
+static uint64_t countLeavingNotices(BackendFaults Faults) {
   ProxyFixture Fixture;
   Faults.SaysLeaving = true;
   Fixture.setFaults(Faults);
@@ -65,25 +66,25 @@
   return Fixture.Counters.get(Counter::LeavingsHeard);
 }
 
-TEST_CASE("a word counts whatever becomes of the answer that brought it") {
+TEST_CASE("a notice applies even if its response fails") {
   BackendFaults Failing;
   Failing.Fail = true;
-  CHECK(countHeard(Failing) >= 1);
+  CHECK(countLeavingNotices(Failing) >= 1);
   BackendFaults Cut;
   Cut.CutAfter = 1000;
-  CHECK(countHeard(Cut) >= 1);
+  CHECK(countLeavingNotices(Cut) >= 1);
   BackendFaults Shedding;
   Shedding.Shed = true;
-  CHECK(countHeard(Shedding) >= 1);
+  CHECK(countLeavingNotices(Shedding) >= 1);
 }
 
-TEST_CASE("an answer to another request says nothing of its server") {
+TEST_CASE("a notice in a response to another request is ignored") {
   BackendFaults Foreign;
   Foreign.ForeignAnswer = true;
-  CHECK(countHeard(Foreign) == 0);
+  CHECK(countLeavingNotices(Foreign) == 0);
 }
 
-TEST_CASE("a word is heard before the answer's body is there") {
+TEST_CASE("a notice applies before the body of its response has arrived") {
   ProxyFixture Fixture;
   BackendFaults Stalling;
   Stalling.SaysLeaving = true;
--- a/unittests/Proxy/RequestOrganisationTest.cpp
+++ b/unittests/Proxy/RequestOrganisationTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestOrganisationTest.cpp - Tests of whose request it is --------===//
+//===- RequestOrganisationTest.cpp - Authentication tests -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What callers may show, what servers are told, and what becomes of a key that
-/// is taken away.
+/// Tests which keys callers may present, what servers are told of the caller,
+/// and the effect of a revoked key.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,41 +26,42 @@
                      KeyDigest::of(Key).format());
 }
 
-static httplib::Headers show(const std::string &Key) {
+static httplib::Headers makeKeyHeader(const std::string &Key) {
   return {{"Authorization", "Bearer " + Key}};
 }
 
-/// Returns what the server that gave an answer saw of a header, or an empty
+/// Returns a header as the server that gave a response received it, or an empty
 /// text.
-static std::string getSeen(const ProxyFixture &Fixture,
-                           const ExchangeResult &Answer, const char *Name) {
+static std::string getReceivedHeader(const ProxyFixture &Fixture,
+                                     const ExchangeResult &Answer,
+                                     const char *Name) {
   const size_t Backend = Answer.Body.find("served by b0") == 0 ? 0 : 1;
   const httplib::Headers Seen = Fixture.Backends[Backend]->getLastHeaders();
   const auto Found = Seen.find(Name);
   return Found == Seen.end() ? "" : Found->second;
 }
 
-TEST_CASE("a key names the organisation, whatever the caller says") {
+TEST_CASE("the key determines the organisation, whatever the caller claims") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
-  httplib::Headers Headers = show("k1");
+  httplib::Headers Headers = makeKeyHeader("k1");
   Headers.emplace("X-Organisation", "someone-else");
   const ExchangeResult Answer = Fixture.send("GET", "/read/1", Headers);
   CHECK(Answer.Status == 200);
-  CHECK(getSeen(Fixture, Answer, "X-Organisation") == "acme");
-  CHECK(getSeen(Fixture, Answer, "Authorization") == "");
+  CHECK(getReceivedHeader(Fixture, Answer, "X-Organisation") == "acme");
+  CHECK(getReceivedHeader(Fixture, Answer, "Authorization") == "");
 }
 
-TEST_CASE("without a key that is known nothing is sent on") {
+TEST_CASE("nothing is forwarded without a known key") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
   const std::string Long(257, 'k');
   const httplib::Headers Cases[] = {
       {},
-      show("k2"),
-      show(""),
-      show(" k1"),
-      show("k1 k1"),
-      show("K1"),
-      show(Long),
+      makeKeyHeader("k2"),
+      makeKeyHeader(""),
+      makeKeyHeader(" k1"),
+      makeKeyHeader("k1 k1"),
+      makeKeyHeader("K1"),
+      makeKeyHeader(Long),
       {{"Authorization", "k1"}},
       {{"Authorization", "Basic k1"}},
       {{"Authorization", "Bearer\tk1"}},
@@ -78,71 +79,77 @@
   CHECK(Fixture.countRuns() == 0);
 }
 
-TEST_CASE("the word for the scheme may be written in any case") {
+TEST_CASE("the authentication scheme is case-insensitive") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
   CHECK(
       Fixture.send("GET", "/read/1", {{"authorization", "bearer k1"}}).Status ==
       200);
 }
 
-TEST_CASE("a public route takes any caller and tells whose key it knows") {
+TEST_CASE("a public route serves any caller and forwards a known key's "
+          "organisation") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
   const ExchangeResult Nobody =
       Fixture.send("GET", "/open/1", {{"X-Organisation", "acme"}});
   CHECK(Nobody.Status == 200);
-  CHECK(getSeen(Fixture, Nobody, "X-Organisation") == "");
-  const ExchangeResult Unknown = Fixture.send("GET", "/open/1", show("k9"));
+  CHECK(getReceivedHeader(Fixture, Nobody, "X-Organisation") == "");
+  const ExchangeResult Unknown =
+      Fixture.send("GET", "/open/1", makeKeyHeader("k9"));
   CHECK(Unknown.Status == 200);
-  CHECK(getSeen(Fixture, Unknown, "X-Organisation") == "");
-  CHECK(getSeen(Fixture, Unknown, "Authorization") == "");
-  const ExchangeResult Known = Fixture.send("GET", "/open/1", show("k1"));
+  CHECK(getReceivedHeader(Fixture, Unknown, "X-Organisation") == "");
+  CHECK(getReceivedHeader(Fixture, Unknown, "Authorization") == "");
+  const ExchangeResult Known =
+      Fixture.send("GET", "/open/1", makeKeyHeader("k1"));
   CHECK(Known.Status == 200);
-  CHECK(getSeen(Fixture, Known, "X-Organisation") == "acme");
+  CHECK(getReceivedHeader(Fixture, Known, "X-Organisation") == "acme");
 }
 
-TEST_CASE("where nobody has a key, the header is one of the caller's own") {
+TEST_CASE("without configured keys, the Authorization header is forwarded") {
   ProxyFixture Fixture;
-  const ExchangeResult Answer = Fixture.send("GET", "/read/1", show("k1"));
+  const ExchangeResult Answer =
+      Fixture.send("GET", "/read/1", makeKeyHeader("k1"));
   CHECK(Answer.Status == 200);
-  CHECK(getSeen(Fixture, Answer, "Authorization") == "Bearer k1");
+  CHECK(getReceivedHeader(Fixture, Answer, "Authorization") == "Bearer k1");
 }
 
-TEST_CASE("a daemon without settings says so, not that a key is unknown") {
+TEST_CASE("without settings, requests fail with 503 and not as unauthorised") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
   Fixture.Fleet.set(nullptr);
-  CHECK(Fixture.send("GET", "/read/1", show("k1")).Status == 503);
+  CHECK(Fixture.send("GET", "/read/1", makeKeyHeader("k1")).Status == 503);
 }
 
-TEST_CASE("an unknown route is one whatever key is shown") {
+TEST_CASE("an unknown route gives 404 whatever the key") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
-  CHECK(Fixture.send("GET", "/nowhere", show("k2")).Status == 404);
+  CHECK(Fixture.send("GET", "/nowhere", makeKeyHeader("k2")).Status == 404);
 }
 
-TEST_CASE("keys come, go and move on kept connections") {
+TEST_CASE("changes of keys apply to open connections") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
-  CHECK(Fixture.send("GET", "/read/1", show("k1")).Status == 200);
+  CHECK(Fixture.send("GET", "/read/1", makeKeyHeader("k1")).Status == 200);
   Fixture.setOrganisations(makeOrganisation("acme", "k2"));
-  CHECK(Fixture.send("GET", "/read/1", show("k1")).Status == 401);
-  CHECK(Fixture.send("GET", "/read/1", show("k2")).Status == 200);
-  // The key of one becomes another's.
+  CHECK(Fixture.send("GET", "/read/1", makeKeyHeader("k1")).Status == 401);
+  CHECK(Fixture.send("GET", "/read/1", makeKeyHeader("k2")).Status == 200);
+  // The key moves to another organisation.
   Fixture.setOrganisations(makeOrganisation("other", "k2"));
-  const ExchangeResult Moved = Fixture.send("GET", "/read/1", show("k2"));
+  const ExchangeResult Moved =
+      Fixture.send("GET", "/read/1", makeKeyHeader("k2"));
   CHECK(Moved.Status == 200);
-  CHECK(getSeen(Fixture, Moved, "X-Organisation") == "other");
-  // All go and come back.
+  CHECK(getReceivedHeader(Fixture, Moved, "X-Organisation") == "other");
+  // All keys are replaced, and then restored.
   Fixture.setOrganisations(makeOrganisation("other", "k3"));
-  CHECK(Fixture.send("GET", "/read/1", show("k2")).Status == 401);
+  CHECK(Fixture.send("GET", "/read/1", makeKeyHeader("k2")).Status == 401);
   Fixture.setOrganisations(makeOrganisation("acme", "k1"));
-  CHECK(Fixture.send("GET", "/read/1", show("k1")).Status == 200);
+  CHECK(Fixture.send("GET", "/read/1", makeKeyHeader("k1")).Status == 200);
 }
 
-/// Sends a request with k1 whose first try hangs until the deadline is near or
-/// the server fails, and has After done while it is out. Returns its status.
+/// Sends a request with the key k1 and calls Meanwhile after the first attempt
+/// has reached a server. Returns the status of the response.
 template <typename Change>
 static int sendWhile(ProxyFixture &Fixture, const char *Target,
                      const Change &Meanwhile) {
   ExchangeResult Result;
-  std::thread Caller([&] { Result = Fixture.send("GET", Target, show("k1")); });
+  std::thread Caller(
+      [&] { Result = Fixture.send("GET", Target, makeKeyHeader("k1")); });
   const TimePoint GiveUp = readSteadyClock() + fromSeconds(20);
   while (Fixture.countRuns() == 0 && readSteadyClock() < GiveUp)
     std::this_thread::yield();
@@ -151,7 +158,7 @@
   return Result.Status;
 }
 
-TEST_CASE("what is under way when its key goes ends as it would have") {
+TEST_CASE("a request in flight completes after its key is revoked") {
   ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
   BackendFaults Slow;
   Slow.SlowMs = 300;
@@ -162,7 +169,7 @@
   CHECK(Status == 200);
 }
 
-TEST_CASE("no second try begins after its key has gone") {
+TEST_CASE("no retry begins after the key is revoked") {
   for (const bool IsTaken : {false, true}) {
     ProxyFixture Fixture("", 3, makeOrganisation("acme", "k1"));
     BackendFaults Failing;
@@ -176,13 +183,14 @@
   }
 }
 
-TEST_CASE("no header of any form makes a caller another organisation's") {
+TEST_CASE("no form of the header gives a caller another organisation") {
   ProxyFixture Fixture(
       "", 3, makeOrganisation("acme", "k1") + makeOrganisation("other", "k2"));
   CHECK(rc::check([&Fixture] {
-    // Signs that a header may hold, keys among them.
-    const auto Sign = rc::gen::elementOf(std::string(" \tk12:,;=\"Bearer"));
-    const auto Value = *rc::gen::container<std::string>(Sign);
+    // Characters that a header may hold, including those of the keys.
+    const auto Character =
+        rc::gen::elementOf(std::string(" \tk12:,;=\"Bearer"));
+    const auto Value = *rc::gen::container<std::string>(Character);
     const auto Claimed = *rc::gen::element<std::string>("acme", "other", "");
     httplib::Headers Headers = {{"X-Organisation", Claimed}};
     Headers.emplace("Authorization", Value);
