--- a/unittests/Proxy/RequestProxyTest.cpp
+++ b/unittests/Proxy/RequestProxyTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestProxyTest.cpp - Tests of one request from end to end --------===//
+//===- RequestProxyTest.cpp - End-to-end tests of one request -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A proxy between real sockets and stand-in backend servers with faults.
+/// Tests a proxy between real sockets and stand-in backend servers with faults.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("a request is served and its answer is whole") {
+TEST_CASE("a request is served and its response is complete") {
   ProxyFixture Fixture;
   const ExchangeResult Small = Fixture.send("GET", "/read/1");
   CHECK(Small.Status == 200);
@@ -45,7 +45,7 @@
   CHECK(Fixture.countRuns() == 0);
 }
 
-TEST_CASE("requests that could be read in two ways are refused") {
+TEST_CASE("ambiguous requests are refused") {
   ProxyFixture Fixture;
   const std::string Host = "Host: x\r\n";
   const std::string Shapes[] = {
@@ -72,7 +72,8 @@
     CAPTURE(Shape);
     const std::string Answer = Fixture.sendRaw(Shape);
     CHECK(Answer.find("HTTP/1.1 400 ") == 0);
-    // One answer, then the end: what follows is never read as a request.
+    // The proxy sends one response and closes the connection, so that it never
+    // parses the bytes that follow as another request.
     CHECK(Answer.find("HTTP/1.1", 5) == std::string::npos);
   }
   const std::string Oversize = Fixture.sendRaw(
@@ -95,7 +96,7 @@
   }
 }
 
-TEST_CASE("a failure is repeated only where the route allows it") {
+TEST_CASE("a failed request is retried only if the route allows it") {
   ProxyFixture Fixture("retry-percent = 100");
   BackendFaults Fail;
   Fail.Fail = true;
@@ -110,7 +111,7 @@
   CHECK(Fixture.countRuns() == Before + 1);
 }
 
-TEST_CASE("when every server fails the caller gets a server's own answer") {
+TEST_CASE("when every server fails the caller gets a server's own response") {
   ProxyFixture Fixture("retry-percent = 100");
   BackendFaults Fail;
   Fail.Fail = true;
@@ -121,7 +122,7 @@
   CHECK(Fixture.countRuns() == 2);
 }
 
-TEST_CASE("a request without a known outcome is never sent again") {
+TEST_CASE("a once-only request with an unknown outcome is not retried") {
   ProxyFixture Fixture;
   BackendFaults Lose;
   Lose.LoseAnswer = true;
@@ -133,7 +134,7 @@
   CHECK(Fixture.countRuns() == 1);
 }
 
-TEST_CASE("a request that was not run goes to another server or says so") {
+TEST_CASE("a request that was not run is retried or reported as not run") {
   ProxyFixture Fixture;
   BackendFaults Shed;
   Shed.Shed = true;
@@ -152,7 +153,8 @@
   CHECK(getHeader(Refused, OutcomeHeader) == "not-run");
 }
 
-TEST_CASE("where all servers want rest, the next request is refused at once") {
+TEST_CASE(
+    "if all servers ask for a backoff, the next request is refused at once") {
   ProxyFixture Fixture;
   BackendFaults Shed;
   Shed.Shed = true;
@@ -168,7 +170,7 @@
   CHECK(Fixture.Counters.get(Counter::UpstreamSheds) == 2);
 }
 
-TEST_CASE("a cut answer is visible as cut") {
+TEST_CASE("a truncated response is visibly truncated") {
   ProxyFixture Fixture;
   BackendFaults Cut;
   Cut.CutAfter = 1000;
@@ -177,12 +179,13 @@
   CHECK(Result.End != ExchangeEnd::Complete);
 }
 
-TEST_CASE("a stalled answer goes on from another server by its bytes") {
+TEST_CASE("a stalled response is resumed from another server") {
   ProxyFixture Fixture("stall-ms = 300");
   BackendFaults Stall;
   Stall.StallAfter = 70000;
   Fixture.Backends[0]->setFaults(Stall);
-  // Which server is asked is drawn at random: ask until the stalled one was.
+  // The server is selected at random: send requests until the stalling one was
+  // used.
   for (int I = 0; I < 100 && Fixture.Counters.get(Counter::ResumedAnswers) == 0;
        ++I) {
     const ExchangeResult Result = Fixture.send("GET", "/read/1?bytes=500000");
@@ -194,7 +197,7 @@
   CHECK(Fixture.Counters.get(Counter::ResumedAnswers) > 0);
 }
 
-TEST_CASE("an over-long answer never meets the next request") {
+TEST_CASE("bytes after the end of a response do not reach the next request") {
   ProxyFixture Fixture;
   BackendFaults Overlong;
   Overlong.Overlong = true;
@@ -206,7 +209,7 @@
   }
 }
 
-TEST_CASE("an answer to another request is not passed on") {
+TEST_CASE("a response to another request is not relayed") {
   ProxyFixture Fixture;
   BackendFaults Foreign;
   Foreign.ForeignAnswer = true;
@@ -217,7 +220,7 @@
   CHECK(Fixture.Counters.get(Counter::ForeignAnswers) == 1);
 }
 
-TEST_CASE("an answer whose end cannot be told is not passed on") {
+TEST_CASE("a response whose end is not delimited is not relayed") {
   ProxyFixture Fixture;
   BackendFaults Unframed;
   Unframed.Unframed = true;
@@ -225,7 +228,7 @@
   CHECK(Fixture.send("POST", "/pay/1", {}, "order").Status == 502);
 }
 
-TEST_CASE("a deadline is kept and passed on") {
+TEST_CASE("a deadline is enforced") {
   ProxyFixture Fixture;
   BackendFaults Hang;
   Hang.Hang = true;
@@ -238,7 +241,7 @@
   CHECK(readSteadyClock() - Before < fromSeconds(15));
 }
 
-TEST_CASE("a caller that hangs up cancels at the server") {
+TEST_CASE("a caller that disconnects cancels its request at the server") {
   ProxyFixture Fixture;
   BackendFaults Hang;
   Hang.Hang = true;
@@ -263,7 +266,7 @@
         1);
 }
 
-TEST_CASE("an organisation above its rate is refused at once") {
+TEST_CASE("requests above an organisation's quota are refused at once") {
   ProxyFixture Fixture("", 3, makeSmallOrganisation());
   const httplib::Headers Small = {{"Authorization", "Bearer small-key"}};
   CHECK(Fixture.send("GET", "/read/1", Small).Status == 200);
@@ -273,7 +276,7 @@
   CHECK(getHeader(Result, OutcomeHeader) == "not-run");
 }
 
-TEST_CASE("a keyed request without a store of claims is not run") {
+TEST_CASE("a keyed request is not run if there is no claim store") {
   ProxyFixture Fixture;
   const ExchangeResult Result =
       Fixture.send("POST", "/pay/1", {{IdempotencyHeader, "k"}}, "order");
--- a/unittests/Proxy/ServerNoticeParserTest.cpp
+++ b/unittests/Proxy/ServerNoticeParserTest.cpp
@@ -1,4 +1,4 @@
-//===- ServerNoticeParserTest.cpp - Reading servers' notices --------------===//
+//===- ServerNoticeParserTest.cpp - Server notice parser tests ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Good words, bad words, and any bytes.
+/// Tests the parser with valid values, malformed values and random bytes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 using namespace canvaswick;
 
-/// 1994-11-06 08:49:37 in milliseconds.
+/// 1994-11-06 08:49:37 UTC, in milliseconds since the epoch.
 static constexpr int64_t Calendar = 784111777000;
 
 static httplib::Response makeAnswer(int Status, httplib::Headers Headers) {
@@ -33,7 +33,7 @@
                            HeaderNames(), Calendar);
 }
 
-TEST_CASE("a rest is a number of seconds or a date") {
+TEST_CASE("Retry-After is a number of seconds or a date") {
   CHECK(parseRetryAfter("3", Calendar) == fromSeconds(3));
   CHECK(parseRetryAfter("0.25", Calendar) == fromMillis(250));
   CHECK(parseRetryAfter("0", Calendar) == fromSeconds(0));
@@ -43,14 +43,14 @@
         fromSeconds(0));
 }
 
-TEST_CASE("words that are no time are no rest") {
+TEST_CASE("a malformed Retry-After gives no backoff") {
   for (const char *Text :
        {"", "soon", "-1", "+1", "1e99", "nan", "inf", "0x10", "3s", " 3", "3 ",
         ".5", "1,5", "--", "Sun, 06 Nov 1994 08:49:40 GMT x", "tomorrow"})
     CHECK_MESSAGE(!parseRetryAfter(Text, Calendar), Text);
 }
 
-TEST_CASE("a rest of more than a day is a mistake and none") {
+TEST_CASE("a Retry-After of more than a day is malformed") {
   CHECK(parseRetryAfter("86400", Calendar) == fromSeconds(86400));
   for (const char *Text : {"86401", "99999999999999999999", "1000000000000",
                            "Tue, 08 Nov 1994 08:49:37 GMT"})
@@ -61,14 +61,15 @@
   CHECK(Notice.IsMalformed);
 }
 
-TEST_CASE("only an answer that says the server is away asks for rest") {
+TEST_CASE("only a 503 response asks for a backoff") {
   CHECK(read(503, {{"Retry-After", "3"}}).Backoff == fromSeconds(3));
   CHECK(!read(503, {{"Retry-After", "0"}}).Backoff);
   for (const int Status : {200, 429, 500, 502, 504})
     CHECK(!read(Status, {{"Retry-After", "3"}}).Backoff);
 }
 
-TEST_CASE("any answer names a limit and says that the server leaves") {
+TEST_CASE(
+    "any response may state a limit and announce that the server leaves") {
   for (const int Status : {200, 206, 404, 500, 503}) {
     const ServerNotice Notice =
         read(Status, {{"Canvaswick-Request-Limit", "1.8"},
@@ -79,8 +80,8 @@
   CHECK(!read(200, {{"Canvaswick-Leaving", "0"}}).IsLeaving);
 }
 
-TEST_CASE("of two limits the lower counts, and one that cannot be read ends "
-          "none") {
+TEST_CASE(
+    "the lower of two limits applies, and a malformed one withdraws none") {
   CHECK(read(200, {{"Canvaswick-Request-Limit", "4"},
                    {"Canvaswick-Request-Limit", "2"}})
             .RequestsPerSecond == 2);
@@ -92,7 +93,7 @@
   CHECK(!read(500, {}).MayEndLimit);
 }
 
-TEST_CASE("only an answer that is proved the server's own ends a limit") {
+TEST_CASE("only a response proven to be the server's own withdraws a limit") {
   HeaderNames Names;
   Names.AnswerProof = "Proof";
   const auto MayEnd = [&Names](httplib::Headers Headers) {
@@ -104,10 +105,10 @@
   CHECK(!MayEnd({}));
 }
 
-TEST_CASE("whatever bytes a server sends, what is read is a bounded time") {
+TEST_CASE("any bytes in Retry-After give a bounded time or nothing") {
   CHECK(rc::check([](const std::string &Text) {
-    const std::optional<Duration> Rest = parseRetryAfter(Text, Calendar);
-    RC_ASSERT(!Rest ||
-              (*Rest >= Duration::zero() && *Rest <= fromSeconds(86400)));
+    const std::optional<Duration> Backoff = parseRetryAfter(Text, Calendar);
+    RC_ASSERT(!Backoff ||
+              (*Backoff >= Duration::zero() && *Backoff <= fromSeconds(86400)));
   }));
 }
--- a/unittests/Proxy/ServiceFixture.h
+++ b/unittests/Proxy/ServiceFixture.h
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A service of a few servers as one daemon on the users' platform runs it,
-/// whose servers can be made to say something of themselves.
+/// A service with a few servers as one daemon on the users' platform runs it,
+/// in virtual time. Servers can be made to send notices.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -53,8 +53,8 @@
     return Server;
   }
 
-  /// Runs the service by Config as it is now. Requests that are out keep the
-  /// earlier one.
+  /// Rebuilds the service with the current Config. Requests in flight keep the
+  /// previous instance.
   void rebuild(TimePoint Now) {
     this->Service = new ServiceRuntime(this->Config, this->Identity,
                                        this->Service.get(), Now);
@@ -69,38 +69,40 @@
     return Needs;
   }
 
-  /// Sends so many requests one after the other, a millisecond each. Returns
-  /// how many went to each server, by name; to "" those that none could take.
+  /// Sends Count requests one after the other, a millisecond each. Returns the
+  /// number of requests that each server got, by its name; the entry "" counts
+  /// requests that no server could take.
   std::map<std::string, int> send(int Count, TimePoint Now,
                                   RequestOutcome Outcome = RequestOutcome::Good,
                                   const ServerNotice &Notice = {}) {
     std::map<std::string, int> Sent;
     this->Service->advance(Now);
     for (int I = 0; I < Count; ++I) {
-      Attempt Try;
+      Attempt Current;
       Now += fromMillis(1);
-      if (!this->Service->begin(Try, makeNeeds(Now), Now)) {
+      if (!this->Service->begin(Current, makeNeeds(Now), Now)) {
         ++Sent[""];
         continue;
       }
-      ++Sent[this->Service->getServer(Try.Server).Name];
-      (void)this->Service->handleNotice(Try, Notice, Now);
-      this->Service->end(Try, Outcome, Now);
+      ++Sent[this->Service->getServer(Current.Server).Name];
+      (void)this->Service->handleNotice(Current, Notice, Now);
+      this->Service->end(Current, Outcome, Now);
     }
     return Sent;
   }
 
-  /// Has a server answer a request with a notice.
+  /// Sends requests until Server gets one, which it answers with Notice and
+  /// Outcome.
   void answerWithNotice(const std::string &Server, const ServerNotice &Notice,
                         RequestOutcome Outcome, TimePoint Now) {
     for (int I = 0; I < 1000; ++I) {
-      Attempt Try;
-      if (!this->Service->begin(Try, makeNeeds(Now), Now))
+      Attempt Current;
+      if (!this->Service->begin(Current, makeNeeds(Now), Now))
         return;
-      const bool IsIt = this->Service->getServer(Try.Server).Name == Server;
+      const bool IsIt = this->Service->getServer(Current.Server).Name == Server;
       if (IsIt)
-        (void)this->Service->handleNotice(Try, Notice, Now);
-      this->Service->end(Try, IsIt ? Outcome : RequestOutcome::Good, Now);
+        (void)this->Service->handleNotice(Current, Notice, Now);
+      this->Service->end(Current, IsIt ? Outcome : RequestOutcome::Good, Now);
       if (IsIt)
         return;
     }
