--- a/lib/Proxy/RequestQuarantine.cpp
+++ b/lib/Proxy/RequestQuarantine.cpp
@@ -1,4 +1,4 @@
-//===- RequestQuarantine.cpp - Keeps fatal requests away from servers -----===//
+//===- RequestQuarantine.cpp - Quarantine of poison requests --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Locks, logs and counts around the table of suspects; calls are made outside
-/// the lock.
+/// Adds locking, logging and counters to the table of poison requests.
+/// Callbacks run outside the lock.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,9 +19,9 @@
 
 namespace canvaswick {
 
-/// When a request may come back at the earliest: a try that is just being asked
-/// for is decided within a call to the store.
-static constexpr Duration LeastWait = fromSeconds(1);
+/// The earliest time after which a request may be retried. A probe that is
+/// being claimed is decided within one call to the store.
+static constexpr Duration MinRetryAfter = fromSeconds(1);
 
 static std::string formatServers(const std::vector<RequestEnd> &Ends) {
   std::string Text;
@@ -30,16 +30,16 @@
   return Text;
 }
 
-/// Logs that a request is held back from now on, or has come free. The caller
-/// holds the mutex.
-void RequestQuarantine::logChange(RequestFingerprint Request, bool WasHeld,
-                                  TimePoint Now) const {
-  const bool IsHeld =
+/// Logs whether a request has entered or left quarantine. The caller holds the
+/// mutex.
+void RequestQuarantine::logChange(RequestFingerprint Request,
+                                  bool WasQuarantined, TimePoint Now) const {
+  const bool IsQuarantined =
       this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
-  if (IsHeld == WasHeld)
+  if (IsQuarantined == WasQuarantined)
     return;
   const PoisonRequestRecord Record = this->Table.getRecord(Request);
-  if (IsHeld)
+  if (IsQuarantined)
     logWarning("request-held-back", "asks={:016x} ends={} servers={} tries={}",
                Request, Record.Ends.size(), formatServers(Record.Ends),
                Record.Probes);
@@ -47,25 +47,25 @@
     logInfo("request-freed", "asks={:016x}", Request);
 }
 
-QuarantineVerdict RequestQuarantine::beginAsking(RequestFingerprint Request,
-                                                 TimePoint Now,
-                                                 PoisonRequestRecord &Record) {
+QuarantineVerdict RequestQuarantine::beginProbe(RequestFingerprint Request,
+                                                TimePoint Now,
+                                                PoisonRequestRecord &Record) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const QuarantineVerdict Verdict = this->Table.classify(Request, Now);
   if (Verdict != QuarantineVerdict::ProbeDue)
     return Verdict;
-  if (!this->Claim || !this->Asking.insert(Request).second)
+  if (!this->Claim || !this->ProbesBeingClaimed.insert(Request).second)
     return QuarantineVerdict::Quarantined;
   Record = this->Table.getRecord(Request);
   return Verdict;
 }
 
-/// Asks for the try that is due, where records are kept.
-bool RequestQuarantine::claimTry(const PoisonRequestRecord &Record,
-                                 TimePoint Now) {
+/// Claims the probe that is due where the records are stored.
+bool RequestQuarantine::requestProbe(const PoisonRequestRecord &Record,
+                                     TimePoint Now) {
   const bool IsGranted = this->Claim(Record);
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Asking.erase(Record.Request);
+  this->ProbesBeingClaimed.erase(Record.Request);
   if (!IsGranted) {
     this->Table.postponeProbe(Record.Request, Now);
     return false;
@@ -79,21 +79,22 @@
 QuarantineDecision RequestQuarantine::admit(RequestFingerprint Request,
                                             TimePoint Now) {
   PoisonRequestRecord Record;
-  const QuarantineVerdict Verdict = this->beginAsking(Request, Now, Record);
+  const QuarantineVerdict Verdict = this->beginProbe(Request, Now, Record);
   if (Verdict == QuarantineVerdict::Allowed)
     return {};
-  if (Verdict == QuarantineVerdict::ProbeDue && this->claimTry(Record, Now))
+  if (Verdict == QuarantineVerdict::ProbeDue && this->requestProbe(Record, Now))
     return {true, true, Duration::zero()};
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Table.takeReturnedProbe(Request))
     return {true, true, Duration::zero()};
-  return {false, false, std::max(LeastWait, this->Table.getWait(Request, Now))};
+  return {false, false,
+          std::max(MinRetryAfter, this->Table.getWait(Request, Now))};
 }
 
 Duration RequestQuarantine::getWait(RequestFingerprint Request,
                                     TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return std::max(LeastWait, this->Table.getWait(Request, Now));
+  return std::max(MinRetryAfter, this->Table.getWait(Request, Now));
 }
 
 bool RequestQuarantine::isQuarantined(RequestFingerprint Request,
@@ -118,11 +119,11 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     End.Id = this->Random();
-    const bool WasHeld =
+    const bool WasQuarantined =
         this->Table.classify(End.Request, Now) != QuarantineVerdict::Allowed;
     if (!this->Table.recordEnd(End, true, Now))
       return;
-    this->logChange(End.Request, WasHeld, Now);
+    this->logChange(End.Request, WasQuarantined, Now);
   }
   if (this->Listener)
     this->Listener({{End}, {}}, Now);
@@ -135,37 +136,38 @@
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (this->Table.isEmpty())
       return;
-    const bool WasHeld =
+    const bool WasQuarantined =
         this->Table.classify(Request, Now) != QuarantineVerdict::Allowed;
     if (!this->Table.recordLocalAnswer(Answer))
       return;
-    this->logChange(Request, WasHeld, Now);
+    this->logChange(Request, WasQuarantined, Now);
   }
   if (this->Listener)
     this->Listener({{}, {Answer}}, Now);
 }
 
 PoisonRequestUpdate
-RequestQuarantine::mergeUpdate(const PoisonRequestUpdate &News, TimePoint Now) {
-  PoisonRequestUpdate Taken;
+RequestQuarantine::mergeUpdate(const PoisonRequestUpdate &Update,
+                               TimePoint Now) {
+  PoisonRequestUpdate Merged;
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const RequestEnd &End : News.Ends) {
-    const bool WasHeld =
+  for (const RequestEnd &End : Update.Ends) {
+    const bool WasQuarantined =
         this->Table.classify(End.Request, Now) != QuarantineVerdict::Allowed;
     if (!this->Table.recordEnd(End, false, Now))
       continue;
-    Taken.Ends.push_back(End);
-    this->logChange(End.Request, WasHeld, Now);
+    Merged.Ends.push_back(End);
+    this->logChange(End.Request, WasQuarantined, Now);
   }
-  for (const RequestAnswer &Answer : News.Answers) {
-    const bool WasHeld =
+  for (const RequestAnswer &Answer : Update.Answers) {
+    const bool WasQuarantined =
         this->Table.classify(Answer.Request, Now) != QuarantineVerdict::Allowed;
     if (!this->Table.applyPeerAnswer(Answer))
       continue;
-    Taken.Answers.push_back(Answer);
-    this->logChange(Answer.Request, WasHeld, Now);
+    Merged.Answers.push_back(Answer);
+    this->logChange(Answer.Request, WasQuarantined, Now);
   }
-  return Taken;
+  return Merged;
 }
 
 PoisonRequestUpdate RequestQuarantine::buildUpdate(size_t MaxRows,
--- a/lib/Proxy/ServiceRetries.cpp
+++ b/lib/Proxy/ServiceRetries.cpp
@@ -1,4 +1,4 @@
-//===- ServiceRetries.cpp - What a service may send again, and when -------===//
+//===- ServiceRetries.cpp - Retries of one service ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The part of ServiceRuntime that gives out rights to repeats, this daemon's
-/// own and borrowed ones, and says how long a server is waited for before one
-/// is used.
+/// The part of ServiceRuntime that gives out retries, from its own budget or
+/// borrowed, and that decides how long to wait for a server before a retry.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,15 +19,15 @@
 
 namespace canvaswick {
 
-/// Returns what a request's chances are worth: of an answer in time, and of one
-/// at all.
-static double weigh(const AnswerProbabilities &Chances) {
+/// Returns the expected utility of a request, from the probabilities of a
+/// response in time and of any response.
+static double computeUtility(const AnswerProbabilities &Chances) {
   return Chances.InTime + LateUtility * (Chances.AtAll - Chances.InTime);
 }
 
 FleetRetryBudgetRef
-ServiceRuntime::makeRepeats(const DaemonIdentity &Identity,
-                            const ServiceRuntime *Previous) const {
+ServiceRuntime::makeRetryBudget(const DaemonIdentity &Identity,
+                                const ServiceRuntime *Previous) const {
   if (Identity.Source != SettingsSource::Platform)
     return nullptr;
   FleetRetryBudgetRef Budget;
@@ -67,11 +66,11 @@
   return this->FleetRetries && this->FleetRetries->hasRoom(Now);
 }
 
-void ServiceRuntime::setRetryLimit(const FleetRetryLimit &Allowance,
-                                   size_t Daemons, size_t Rank) {
+void ServiceRuntime::setRetryLimit(const FleetRetryLimit &Limit, size_t Daemons,
+                                   size_t Rank) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->FleetRetries)
-    this->FleetRetries->configure(Allowance, Daemons, Rank);
+    this->FleetRetries->configure(Limit, Daemons, Rank);
 }
 
 Duration ServiceRuntime::getRetryCheckDelay(const std::string &Route,
@@ -80,38 +79,40 @@
   return this->Latency.getTypicalTime(Route, Objective);
 }
 
-std::vector<double> ServiceRuntime::getWorths(const MarkovPolicy &Spells,
-                                              const AttemptNeeds &Needs,
-                                              TimePoint Now) const {
-  const Duration Alone =
+std::vector<double> ServiceRuntime::computeUtilities(const MarkovPolicy &Markov,
+                                                     const AttemptNeeds &Needs,
+                                                     TimePoint Now) const {
+  const Duration IdleServerTime =
       this->Latency.getTypicalTime(Needs.Route, Needs.Objective);
   const std::vector<double> Loads = this->getLoads(Now);
-  std::vector<double> Worths;
+  std::vector<double> Utilities;
   for (size_t I = 0; I < this->countServers(); ++I) {
     const double Factor = getQueueFactor(Loads[I], this->getServer(I).Slots);
-    const Duration TypicalTime = fromSeconds(toSeconds(Alone) * Factor);
-    Worths.push_back(weigh(Spells.getNewRequestProbabilities(
+    const Duration TypicalTime =
+        fromSeconds(toSeconds(IdleServerTime) * Factor);
+    Utilities.push_back(computeUtility(Markov.getNewRequestProbabilities(
         I, TypicalTime, Needs.ObjectiveDeadline, Needs.Deadline, Now)));
   }
-  return Worths;
+  return Utilities;
 }
 
-/// Returns the best server for an attempt that could begin now elsewhere, or
-/// -1.
-int ServiceRuntime::findBestElsewhere(const MarkovPolicy &Spells,
-                                      const Attempt &Each,
-                                      const AttemptNeeds &Needs,
-                                      TimePoint Now) const {
-  const std::vector<double> Worths = this->getWorths(Spells, Needs, Now);
+/// Returns the index of the best server for a retry that begins now, or -1.
+int ServiceRuntime::findBestAlternative(const MarkovPolicy &Markov,
+                                        const Attempt &Each,
+                                        const AttemptNeeds &Needs,
+                                        TimePoint Now) const {
+  const std::vector<double> Utilities =
+      this->computeUtilities(Markov, Needs, Now);
   int Best = -1;
   for (size_t I = 0; I < this->countServers(); ++I) {
     const bool WasTried = std::find(Needs.Tried.begin(), Needs.Tried.end(),
                                     I) != Needs.Tried.end();
-    // Few go far away: what is there is no reason to leave.
+    // Few requests go to other halls, so that servers there are no reason to
+    // abandon an attempt.
     if (I == Each.Server || WasTried || !this->Selector.isSameHall(I) ||
-        this->isHeld(I, Now))
+        this->isExcludedByNotice(I, Now))
       continue;
-    if (Best < 0 || Worths[I] > Worths[static_cast<size_t>(Best)])
+    if (Best < 0 || Utilities[I] > Utilities[static_cast<size_t>(Best)])
       Best = static_cast<int>(I);
   }
   return Best;
@@ -121,30 +122,30 @@
                                           const AttemptNeeds &Needs,
                                           TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
-  if (!Spells || !this->isOn(Mechanism::WeighedRetries))
+  const auto *Markov = std::get_if<MarkovPolicy>(&this->Policy);
+  if (!Markov || !this->isOn(Mechanism::WeighedRetries))
     return false;
-  const int Best = this->findBestElsewhere(*Spells, Each, Needs, Now);
+  const int Best = this->findBestAlternative(*Markov, Each, Needs, Now);
   if (Best < 0)
     return false;
-  const auto Elsewhere = static_cast<size_t>(Best);
+  const auto Alternative = static_cast<size_t>(Best);
   UnansweredAttempt Silent;
   Silent.Elapsed = Now - Each.Began;
   Silent.TypicalTime =
       fromSeconds(toSeconds(Each.TypicalTime) * Each.QueueFactor);
   Silent.UnhealthyProbability =
-      Spells->getUnhealthyProbability(Each.Server, Now);
+      Markov->getUnhealthyProbability(Each.Server, Now);
   Silent.AlternativeAnswerProbability =
-      Spells->getSuccessProbability(Elsewhere, Now);
+      Markov->getSuccessProbability(Alternative, Now);
   Silent.AlternativeTypicalTime = fromSeconds(
       toSeconds(this->Latency.getTypicalTime(Needs.Route, Needs.Objective)) *
-      getQueueFactor(Spells->getInFlight().getLoad(Elsewhere, Now),
-                     this->getServer(Elsewhere).Slots));
+      getQueueFactor(Markov->getInFlight().getLoad(Alternative, Now),
+                     this->getServer(Alternative).Slots));
   Silent.TimeToObjective = Needs.ObjectiveDeadline - Now;
   Silent.TimeToDeadline = Needs.Deadline - Now;
   Silent.RetryCost = computeRetryCost(
       this->FleetRetries ? this->FleetRetries->getUsedPart(Now) : 0);
-  return shouldRetryElsewhere(Silent, Spells->getLatencyDistribution());
+  return shouldRetryElsewhere(Silent, Markov->getLatencyDistribution());
 }
 
 } // namespace canvaswick
