--- a/include/canvaswick/Metrics/ServiceMetrics.h
+++ b/include/canvaswick/Metrics/ServiceMetrics.h
@@ -42,10 +42,10 @@
     boost::histogram::axis::regular<double,
                                     boost::histogram::axis::transform::log>;
 using KindAxis = boost::histogram::axis::integer<int>;
-using SafeCount = boost::histogram::accumulators::count<uint64_t, true>;
-using LatencyHistogram =
-    boost::histogram::histogram<std::tuple<LatencyAxis, KindAxis>,
-                                boost::histogram::dense_storage<SafeCount>>;
+using ThreadSafeCount = boost::histogram::accumulators::count<uint64_t, true>;
+using LatencyHistogram = boost::histogram::histogram<
+    std::tuple<LatencyAxis, KindAxis>,
+    boost::histogram::dense_storage<ThreadSafeCount>>;
 
 /// Makes an empty histogram with the project's axes: 0.05 ms to 100 s.
 LatencyHistogram makeLatencyHistogram();
--- a/include/canvaswick/Operator/Findings.h
+++ b/include/canvaswick/Operator/LogTables.h
@@ -1,4 +1,4 @@
-//===- Findings.h - What logs tell of entries and requests ------*- C++ -*-===//
+//===- LogTables.h - What logs tell of entries and requests -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_OPERATOR_FINDINGS_H
-#define CANVASWICK_OPERATOR_FINDINGS_H
+#ifndef CANVASWICK_OPERATOR_LOGTABLES_H
+#define CANVASWICK_OPERATOR_LOGTABLES_H
 
 #include "canvaswick/Operator/LogLines.h"
 
@@ -28,13 +28,13 @@
 
 /// Returns a line for each daemon: epoch and revision of its copy of the store,
 /// since when, the version in force, and how often it saw the store restored.
-std::string makeCopyTable(const std::vector<LogLine> &Lines);
+std::string makeReplicaTable(const std::vector<LogLine> &Lines);
 
 /// Returns a line for each request that was cut off more than once or held
 /// back: at which servers, how often it was answered, and where it is held
 /// back.
-std::string makeSuspectTable(const std::vector<LogLine> &Lines);
+std::string makePoisonRequestTable(const std::vector<LogLine> &Lines);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_OPERATOR_FINDINGS_H
+#endif // CANVASWICK_OPERATOR_LOGTABLES_H
--- a/include/canvaswick/Operator/LossTable.h
+++ b/include/canvaswick/Operator/LossTable.h
@@ -15,14 +15,14 @@
 #ifndef CANVASWICK_OPERATOR_LOSSTABLE_H
 #define CANVASWICK_OPERATOR_LOSSTABLE_H
 
-#include "canvaswick/Operator/RequestStory.h"
+#include "canvaswick/Operator/RequestReport.h"
 
 #include <cstdint>
 
 namespace canvaswick {
 
 /// What was known of a server when an attempt chose it.
-enum class ChoiceMoment : uint8_t {
+enum class ServerKnowledge : uint8_t {
   /// It was chosen to find out how it is.
   Test,
   /// Something spoke against it.
@@ -36,10 +36,10 @@
 };
 
 /// Returns the name of a moment as tables print it.
-const char *getName(ChoiceMoment Moment);
+const char *getName(ServerKnowledge Moment);
 
 /// Returns the moment of an attempt.
-ChoiceMoment getMoment(const LoggedAttempt &Attempt);
+ServerKnowledge classifyAttempt(const LoggedAttempt &Attempt);
 
 /// Returns a table for each route, the busiest first: first and later attempts
 /// by moment, how many there were, and what came of them.
--- a/include/canvaswick/Operator/RequestStory.h
+++ b/include/canvaswick/Operator/RequestReport.h
@@ -1,4 +1,4 @@
-//===- RequestStory.h - What the logs tell of one request ----- -*- C++ -*-===//
+//===- RequestReport.h - What the logs tell of one request ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_OPERATOR_REQUESTSTORY_H
-#define CANVASWICK_OPERATOR_REQUESTSTORY_H
+#ifndef CANVASWICK_OPERATOR_REQUESTREPORT_H
+#define CANVASWICK_OPERATOR_REQUESTREPORT_H
 
 #include "canvaswick/Operator/LogLines.h"
 
@@ -41,9 +41,9 @@
 
 /// Tells what Lines, in the order of their times, say about the request of this
 /// id. Fails if they don't hold it.
-Result<std::string> tellRequest(const std::string &Id,
-                                const std::vector<LogLine> &Lines);
+Result<std::string> describeRequest(const std::string &Id,
+                                    const std::vector<LogLine> &Lines);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_OPERATOR_REQUESTSTORY_H
+#endif // CANVASWICK_OPERATOR_REQUESTREPORT_H
--- a/include/canvaswick/Operator/TreeText.h
+++ b/include/canvaswick/Operator/TreeText.h
@@ -24,9 +24,10 @@
 
 /// Returns Text with Key set to Value in a section that must be there. Comments
 /// and order stay. Fails with NotFound if there is no such section.
-Result<std::string> setInTree(const std::string &Text,
-                              const std::string &Section,
-                              const std::string &Key, const std::string &Value);
+Result<std::string> setTreeValue(const std::string &Text,
+                                 const std::string &Section,
+                                 const std::string &Key,
+                                 const std::string &Value);
 
 /// Returns the differences between two trees, one a line: "+ [section] key =
 /// value" for what is new and "- ..." for what is gone.
--- a/include/canvaswick/Rpc/PeerCaller.h
+++ b/include/canvaswick/Rpc/PeerCaller.h
@@ -74,7 +74,8 @@
                CounterTable &Counters);
 
 /// Runs an arrived call that carries no signature.
-void serveOpenCall(HttpExchange &Exchange, const JsonRpcDispatcher &Dispatcher);
+void serveUnsignedCall(HttpExchange &Exchange,
+                       const JsonRpcDispatcher &Dispatcher);
 
 /// Reads the whole body of a request, at most Limit bytes. Returns false if it
 /// is longer or was cut.
--- a/include/canvaswick/Tool/Program.h
+++ b/include/canvaswick/Tool/Program.h
@@ -27,7 +27,7 @@
   Failure = 1,
   BadUsage = 2,
   BadSettings = 3,
-  CutShort = 4,
+  DrainIncomplete = 4,
 };
 
 /// Returns the number of an exit code.
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -244,7 +244,7 @@
   this->rebuildIfMembersChanged();
   const Duration Paused = this->Pauses.recordRound(Now);
   if (Paused > Duration::zero()) {
-    this->Counters.add(Counter::Standstills);
+    this->Counters.add(Counter::ProcessPauses);
     logWarning("stood-still", "ms={}", toMillis(Paused));
   }
   // Servers may have closed idle connections while the process was paused.
--- a/lib/Daemon/EvidenceAgent.cpp
+++ b/lib/Daemon/EvidenceAgent.cpp
@@ -223,7 +223,7 @@
     EvidencePool *Pool = this->findPool(Report.Service);
     if (!Pool)
       continue;
-    this->Context.Counters.add(Counter::ReportsTaken);
+    this->Context.Counters.add(Counter::ReportsMerged);
     Pool->mergeReport(Report, Now);
     Pool->advance(Now);
     if (Pool->hasSuspects())
@@ -238,7 +238,7 @@
     return;
   for (const EvidenceSummary &Summary : Received)
     if (const ServiceRuntimeRef Service = Fleet->findService(Summary.Service)) {
-      this->Context.Counters.add(Counter::DigestsTaken);
+      this->Context.Counters.add(Counter::SummariesApplied);
       Service->applySummary(Summary, Now);
     }
 }
@@ -269,7 +269,7 @@
     const std::optional<MemberRecord> Peer = this->Members.find(Subscriber);
     if (!Peer)
       continue;
-    this->Context.Counters.add(Counter::DigestsSent, Built.size());
+    this->Context.Counters.add(Counter::SummariesSent, Built.size());
     this->Context.Calls.trySubmit([this, Peer = *Peer, Built = Built] {
       Json::Value Params;
       for (const EvidenceSummary &Summary : Built)
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -164,7 +164,7 @@
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
         Exchange.Stream.setDeadline(readSteadyClock() + ControlTimeLimit);
         if (Exchange.Request.target == CallPath)
-          serveOpenCall(Exchange, this->Dispatcher);
+          serveUnsignedCall(Exchange, this->Dispatcher);
         else
           Exchange.Response.status = 404;
       });
@@ -200,7 +200,7 @@
   const Duration Paused = this->Pauses.recordRound(Now);
   if (Paused == Duration::zero())
     return;
-  this->Counters.add(Counter::Standstills);
+  this->Counters.add(Counter::ProcessPauses);
   logWarning("stood-still", "ms={}", toMillis(Paused));
   this->Upstreams.closeIdle(Now, Now);
   if (this->OnPause)
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -304,7 +304,7 @@
   for (const RetryLoan &Loan : Message.LoanRequests)
     for (const ServiceRuntimeRef &Service : Current.getServices())
       if (Service->getId() == Loan.Service && Service->tryLendRetry(Now)) {
-        this->Counters.add(Counter::RepeatsLent);
+        this->Counters.add(Counter::RetriesLent);
         this->Link.sendLoanGrant(Message.Source, Loan);
       }
   for (const RetryLoan &Loan : Message.LoanGrants)
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -307,7 +307,7 @@
   PeerMessage &Received = Message.value();
   if (Received.Source == this->Self.Name || !this->isNew(Received))
     return;
-  this->Counters.add(Counter::PeerDatagramsTaken);
+  this->Counters.add(Counter::PeerDatagramsAccepted);
   // Loan requests and grants are for this daemon only and are not relayed.
   const bool IsForAll =
       Received.LoanRequests.empty() && Received.LoanGrants.empty();
--- a/lib/Daemon/RetryBorrower.cpp
+++ b/lib/Daemon/RetryBorrower.cpp
@@ -74,8 +74,8 @@
   }
   const bool IsUsed =
       IsGranted && Service.tryTakeNotRunRetry(readSteadyClock());
-  this->Counters.add(IsUsed ? Counter::RepeatsBorrowed
-                            : Counter::RepeatsAskedInVain);
+  this->Counters.add(IsUsed ? Counter::RetriesBorrowed
+                            : Counter::RetryLoansFailed);
   return IsUsed;
 }
 
--- a/lib/Operator/LogCommands.cpp
+++ b/lib/Operator/LogCommands.cpp
@@ -12,7 +12,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Operator/Commands.h"
-#include "canvaswick/Operator/Findings.h"
+#include "canvaswick/Operator/LogTables.h"
 #include "canvaswick/Operator/LossTable.h"
 
 namespace canvaswick {
@@ -24,7 +24,7 @@
   const std::vector<std::string> Files(Options.Words.begin() + 1,
                                        Options.Words.end());
   BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Files));
-  return tellRequest(Options.Words[0], Lines);
+  return describeRequest(Options.Words[0], Lines);
 }
 
 /// Makes a table over the logs that the command names.
@@ -46,11 +46,11 @@
 }
 
 Result<std::string> runCopies(const OperatorOptions &Options) {
-  return tabulate(Options, makeCopyTable);
+  return tabulate(Options, makeReplicaTable);
 }
 
 Result<std::string> runSuspects(const OperatorOptions &Options) {
-  return tabulate(Options, makeSuspectTable);
+  return tabulate(Options, makePoisonRequestTable);
 }
 
 } // namespace canvaswick
--- a/lib/Operator/Findings.cpp
+++ b/lib/Operator/LogTables.cpp
@@ -1,4 +1,4 @@
-//===- Findings.cpp - What logs tell of entries and requests --------------===//
+//===- LogTables.cpp - What logs tell of entries and requests -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Operator/Findings.h"
-#include "canvaswick/Operator/RequestStory.h"
+#include "canvaswick/Operator/LogTables.h"
+#include "canvaswick/Operator/RequestReport.h"
 
 #include <fmt/format.h>
 
@@ -80,7 +80,7 @@
   return Text.empty() ? "no entry was refused\n" : Text;
 }
 
-std::string makeCopyTable(const std::vector<LogLine> &Lines) {
+std::string makeReplicaTable(const std::vector<LogLine> &Lines) {
   std::map<std::string, LoggedCopy> Copies;
   for (const LogLine &Line : Lines) {
     LoggedCopy &Copy = Copies[Line.Source];
@@ -131,7 +131,7 @@
   return Text + "\n";
 }
 
-std::string makeSuspectTable(const std::vector<LogLine> &Lines) {
+std::string makePoisonRequestTable(const std::vector<LogLine> &Lines) {
   std::map<std::string, LoggedSuspect> Suspects;
   for (const LogLine &Line : Lines) {
     const std::string Asks = Line.get("asks");
--- a/lib/Operator/LossTable.cpp
+++ b/lib/Operator/LossTable.cpp
@@ -27,27 +27,27 @@
 /// From this many requests on a server counts as loaded: slots are few.
 static constexpr double LoadedFrom = 3;
 
-static constexpr EnumNames<ChoiceMoment, 5> MomentNames = {{
-    {ChoiceMoment::Test, "test"},
-    {ChoiceMoment::Suspect, "suspect"},
-    {ChoiceMoment::Loaded, "loaded"},
-    {ChoiceMoment::Unsuspected, "unsuspected"},
-    {ChoiceMoment::Unknown, "unknown"},
+static constexpr EnumNames<ServerKnowledge, 5> MomentNames = {{
+    {ServerKnowledge::Test, "test"},
+    {ServerKnowledge::Suspect, "suspect"},
+    {ServerKnowledge::Loaded, "loaded"},
+    {ServerKnowledge::Unsuspected, "unsuspected"},
+    {ServerKnowledge::Unknown, "unknown"},
 }};
 
-const char *getName(ChoiceMoment Moment) {
+const char *getName(ServerKnowledge Moment) {
   return getEnumName(MomentNames, Moment);
 }
 
-ChoiceMoment getMoment(const LoggedAttempt &Attempt) {
+ServerKnowledge classifyAttempt(const LoggedAttempt &Attempt) {
   if (Attempt.UnhealthyProbability < 0)
-    return ChoiceMoment::Unknown;
+    return ServerKnowledge::Unknown;
   if (Attempt.IsTest)
-    return ChoiceMoment::Test;
+    return ServerKnowledge::Test;
   if (Attempt.UnhealthyProbability >= SuspectSickness)
-    return ChoiceMoment::Suspect;
-  return Attempt.Load >= LoadedFrom ? ChoiceMoment::Loaded
-                                    : ChoiceMoment::Unsuspected;
+    return ServerKnowledge::Suspect;
+  return Attempt.Load >= LoadedFrom ? ServerKnowledge::Loaded
+                                    : ServerKnowledge::Unsuspected;
 }
 
 namespace {
@@ -62,7 +62,7 @@
 struct RouteLosses {
   size_t Requests = 0;
   /// By whether it was a later attempt, and its moment.
-  std::map<std::pair<bool, ChoiceMoment>, LossRow> Rows;
+  std::map<std::pair<bool, ServerKnowledge>, LossRow> Rows;
 };
 
 } // namespace
@@ -71,14 +71,14 @@
   ++Losses.Requests;
   bool IsLater = false;
   for (const LoggedAttempt &Each : decodeAttempts(Line)) {
-    LossRow &Row = Losses.Rows[{IsLater, getMoment(Each)}];
+    LossRow &Row = Losses.Rows[{IsLater, classifyAttempt(Each)}];
     ++Row.All;
     ++Row.Outcomes[Each.Outcome];
     IsLater = true;
   }
 }
 
-static std::string formatRow(bool IsLater, ChoiceMoment Moment,
+static std::string formatRow(bool IsLater, ServerKnowledge Moment,
                              const LossRow &Row) {
   const auto Good = Row.Outcomes.find("good");
   const size_t Bad = Row.All - (Good == Row.Outcomes.end() ? 0 : Good->second);
--- a/lib/Operator/RequestStory.cpp
+++ b/lib/Operator/RequestReport.cpp
@@ -1,4 +1,4 @@
-//===- RequestStory.cpp - What the logs tell of one request ---------------===//
+//===- RequestReport.cpp - What the logs tell of one request --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Operator/RequestStory.h"
+#include "canvaswick/Operator/RequestReport.h"
 
 #include <fmt/format.h>
 
@@ -180,8 +180,8 @@
                      Summary.format());
 }
 
-Result<std::string> tellRequest(const std::string &Id,
-                                const std::vector<LogLine> &Lines) {
+Result<std::string> describeRequest(const std::string &Id,
+                                    const std::vector<LogLine> &Lines) {
   std::string Text;
   for (const LogLine &Line : Lines) {
     if (!isOfRequest(Line) || Line.get("id") != Id)
--- a/lib/Operator/SettingsCommands.cpp
+++ b/lib/Operator/SettingsCommands.cpp
@@ -212,8 +212,9 @@
     BOOST_OUTCOME_TRY(ConfigManifest Manifest, Publisher.readManifest());
     BOOST_OUTCOME_TRY(std::string Text, Publisher.readTree(Manifest));
     BOOST_OUTCOME_TRY(Request.Text,
-                      setInTree(Text, "server " + Options.Words[0],
-                                getSettingSpec(SettingKey::State).Name, State));
+                      setTreeValue(Text, "server " + Options.Words[0],
+                                   getSettingSpec(SettingKey::State).Name,
+                                   State));
     Request.BaseVersion = Manifest.Version;
     Result<uint64_t> Version = Publisher.publish(Request, readCalendarMillis());
     if (Version)
--- a/lib/Operator/TreeText.cpp
+++ b/lib/Operator/TreeText.cpp
@@ -24,10 +24,10 @@
   return Equals != std::string::npos && trimText(Line.substr(0, Equals)) == Key;
 }
 
-Result<std::string> setInTree(const std::string &Text,
-                              const std::string &Section,
-                              const std::string &Key,
-                              const std::string &Value) {
+Result<std::string> setTreeValue(const std::string &Text,
+                                 const std::string &Section,
+                                 const std::string &Key,
+                                 const std::string &Value) {
   std::istringstream Stream(Text);
   std::string Line;
   std::string Out;
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -125,7 +125,7 @@
       Request.HasNoServer = Needs.Tried.empty();
       break;
     }
-    this->Counters.add(Counter::ServersLeftOut, Current.ExcludedServers);
+    this->Counters.add(Counter::ServersExcluded, Current.ExcludedServers);
     this->tellChange(Now);
     const RequestOutcome Outcome = this->runAttempt(Request, Relay, Current);
     Current.Load = Relay.getLoad();
@@ -145,7 +145,7 @@
         !this->mayRetry(Request, Relay))
       break;
     this->Counters.add(Relay.hasBegun() ? Counter::ResumedAnswers
-                                        : Counter::Repeats);
+                                        : Counter::Retries);
   }
   if (Request.HasTry)
     this->Quarantine.returnProbe(Request.Digest);
@@ -230,16 +230,16 @@
 static Counter getCounter(NoticeKind Kind) {
   switch (Kind) {
   case NoticeKind::Limit:
-    return Counter::LimitsHeard;
+    return Counter::LimitsReceived;
   case NoticeKind::Leaving:
-    return Counter::LeavingsHeard;
+    return Counter::LeavingNoticesReceived;
   case NoticeKind::Backoff:
-    return Counter::RestsHeard;
+    return Counter::BackoffsReceived;
   case NoticeKind::Malformed:
-    return Counter::NoticesMisread;
+    return Counter::MalformedNotices;
   }
   assert(false && "notice without a counter");
-  return Counter::LimitsHeard;
+  return Counter::LimitsReceived;
 }
 
 /// Takes what an answer says of its server, before anything is passed on. One
@@ -360,7 +360,7 @@
   }
   if (Result.End == ExchangeEnd::Canceled &&
       Relay.getVerdict() == ResponseVerdict::RequestIdMismatch) {
-    this->Counters.add(Counter::ForeignAnswers);
+    this->Counters.add(Counter::MismatchedAnswers);
     return RequestOutcome::Failed;
   }
   if (Result.End == ExchangeEnd::Canceled &&
--- a/lib/Proxy/RequestProxy.cpp
+++ b/lib/Proxy/RequestProxy.cpp
@@ -191,7 +191,7 @@
   case Refusal::NoServer:
     return Counter::RefusedNoServer;
   case Refusal::Quarantined:
-    return Counter::RefusedHeldBack;
+    return Counter::RefusedQuarantined;
   case Refusal::OrganisationRate:
     return Counter::RefusedOrganisationRate;
   case Refusal::UnknownRoute:
@@ -242,7 +242,7 @@
 /// Refuses a request that no server was sent because too many have ended under
 /// it.
 void RequestProxy::refuseHeldBack(RequestContext &Request) {
-  this->Counters.add(Counter::RefusedHeldBack);
+  this->Counters.add(Counter::RefusedQuarantined);
   Request.Reason = getName(Refusal::Quarantined);
   this->refuse(Request.Exchange, 503, RunOutcome::NotRun, Request.Reason,
                chooseHeldWait(Request.CallerId, Request.HeldWait));
@@ -319,7 +319,7 @@
   Relay.finish(Request.IsAnswered);
   if (Relay.hasBegun()) {
     if (!Request.IsAnswered && !Request.WasCanceled)
-      this->Counters.add(Counter::CutAnswers);
+      this->Counters.add(Counter::TruncatedAnswers);
     if (!Request.IsAnswered || Request.WasFailed)
       Kind = AnswerKind::Failed;
   } else if (!Request.IsAnswered) {
--- a/lib/Rpc/PeerCaller.cpp
+++ b/lib/Rpc/PeerCaller.cpp
@@ -127,8 +127,8 @@
   });
 }
 
-void serveOpenCall(HttpExchange &Exchange,
-                   const JsonRpcDispatcher &Dispatcher) {
+void serveUnsignedCall(HttpExchange &Exchange,
+                       const JsonRpcDispatcher &Dispatcher) {
   std::string Body;
   if (!readWholeBody(Exchange, MaxCallBytes, Body)) {
     Exchange.Response.status = 413;
--- a/tools/canvaswickd/canvaswickd.cpp
+++ b/tools/canvaswickd/canvaswickd.cpp
@@ -63,7 +63,7 @@
       Server.finishStop(readSteadyClock() + fromSeconds(Seconds));
   stopLogWriter();
   // Threads that still process a request end with the process.
-  std::_Exit(toInt(AllEnded ? ExitCode::Success : ExitCode::CutShort));
+  std::_Exit(toInt(AllEnded ? ExitCode::Success : ExitCode::DrainIncomplete));
 }
 
 /// Returns the path of the settings file, or an empty string if none is set.
@@ -140,7 +140,7 @@
   const bool AllEnded = Server.finishStop(Deadline);
   stopLogWriter();
   // Threads that still wait for the store or a request end with the process.
-  std::_Exit(toInt(AllEnded ? ExitCode::Success : ExitCode::CutShort));
+  std::_Exit(toInt(AllEnded ? ExitCode::Success : ExitCode::DrainIncomplete));
 }
 
 int main(int Count, char **Values) {
--- a/unittests/Daemon/RetryBorrowerTest.cpp
+++ b/unittests/Daemon/RetryBorrowerTest.cpp
@@ -80,8 +80,8 @@
   for (int I = 0; I < 4; ++I)
     CHECK(Peer.Borrower.borrow(*Short, readSteadyClock()));
   CHECK_FALSE(Peer.Borrower.borrow(*Short, readSteadyClock()));
-  CHECK(Peer.Counters.get(Counter::RepeatsBorrowed) == 4);
-  CHECK(Peer.Counters.get(Counter::RepeatsAskedInVain) == 1);
+  CHECK(Peer.Counters.get(Counter::RetriesBorrowed) == 4);
+  CHECK(Peer.Counters.get(Counter::RetryLoansFailed) == 1);
   CHECK_FALSE(Peer.Service->tryTakeRetry(readSteadyClock()));
 }
 
--- a/unittests/Operator/FindingsTest.cpp
+++ b/unittests/Operator/LogTablesTest.cpp
@@ -1,4 +1,4 @@
-//===- FindingsTest.cpp - Tests of tables over logs -----------------------===//
+//===- LogTablesTest.cpp - Tests of tables over logs ----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,7 +12,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Operator/Findings.h"
+#include "canvaswick/Operator/LogTables.h"
 
 #include <doctest/doctest.h>
 
@@ -43,7 +43,7 @@
 
 TEST_CASE("requests under which servers ended are told with what speaks for "
           "them") {
-  CHECK(makeSuspectTable(parseAll({
+  CHECK(makePoisonRequestTable(parseAll({
             "1 d1 6.0 info request id=a asks=7 route=r ms=2 "
             "tries=i-1:cut-off:2ms:share=1,i-2:cut-off:2ms:share=1",
             "1 d2 6.1 info request id=b asks=7 route=r ms=2 "
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("how far each daemon's copy is, and in which epoch, is told") {
-  const std::string Table = makeCopyTable(parseAll(
+  const std::string Table = makeReplicaTable(parseAll(
       {"1 d1 6.0 info copy-advanced source=store call=read from=0:0 to=1:40 "
        "items=3",
        "1 d1 6.1 info settings-in-force version=7",
--- a/unittests/Operator/LossTableTest.cpp
+++ b/unittests/Operator/LossTableTest.cpp
@@ -29,13 +29,13 @@
             "i-1:failed:1ms:share=0.100:sick=0.400:load=0.0,"
             "i-1:failed:1ms:share=0.600:sick=0.700:load=0.0:test,"
             "i-1:failed:1ms:share=0.600");
-  std::vector<ChoiceMoment> Moments;
+  std::vector<ServerKnowledge> Moments;
   for (const LoggedAttempt &Each : decodeAttempts(Line))
-    Moments.push_back(getMoment(Each));
-  CHECK(Moments ==
-        std::vector<ChoiceMoment>{ChoiceMoment::Unsuspected,
-                                  ChoiceMoment::Loaded, ChoiceMoment::Suspect,
-                                  ChoiceMoment::Test, ChoiceMoment::Unknown});
+    Moments.push_back(classifyAttempt(Each));
+  CHECK(Moments == std::vector<ServerKnowledge>{
+                       ServerKnowledge::Unsuspected, ServerKnowledge::Loaded,
+                       ServerKnowledge::Suspect, ServerKnowledge::Test,
+                       ServerKnowledge::Unknown});
 }
 
 TEST_CASE("attempts are counted by route, order and moment") {
--- a/unittests/Operator/RequestStoryTest.cpp
+++ b/unittests/Operator/RequestReportTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestStoryTest.cpp - Tests of what logs tell of a request --------===//
+//===- RequestReportTest.cpp - Tests of what logs tell of a request -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Operator/RequestStory.h"
+#include "canvaswick/Operator/RequestReport.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -67,7 +67,7 @@
       "1 d3 10.6 info request id=d ms=3 tries=i-2:good:3ms:share=0.9",
       "1 d3 19.0 info request id=e ms=3 tries=i-1:good:3ms:share=0.9",
   });
-  const Result<std::string> Story = tellRequest("a", Lines);
+  const Result<std::string> Story = describeRequest("a", Lines);
   REQUIRE(Story);
   CHECK(Story.value() ==
         "10.000 d1 info request id=a status=500 ms=2 "
@@ -78,7 +78,7 @@
         "changes at d1 in the 5 s before:\n"
         "  4.000 s before: info settings-taken version=3\n"
         "  3.000 s before: info settings-taken version=4\n");
-  CHECK(!tellRequest("nobody", Lines));
+  CHECK(!describeRequest("nobody", Lines));
 }
 
 TEST_CASE("a request's story tells what came of equal ones elsewhere") {
@@ -88,7 +88,7 @@
       "i-3:cut-off:2ms:share=1",
       "1 d3 10.6 info request id=c asks=8 ms=3 tries=i-2:good:3ms:share=0.9",
   });
-  const Result<std::string> Story = tellRequest("a", Lines);
+  const Result<std::string> Story = describeRequest("a", Lines);
   REQUIRE(Story);
   CHECK(Story.value().find("asked for 1 more times, attempts: 2 cut-off "
                            "(daemons: 1)\n") != std::string::npos);
--- a/unittests/Operator/TreeTextTest.cpp
+++ b/unittests/Operator/TreeTextTest.cpp
@@ -20,13 +20,13 @@
 TEST_CASE("a value is set where it belongs and nothing else changes") {
   const std::string Text = "# top\n[server s/a]\n# why\naddress = 1\n\n"
                            "[server s/b]\nstate = active\naddress = 2\n";
-  CHECK(setInTree(Text, "server s/b", "state", "draining").value() ==
+  CHECK(setTreeValue(Text, "server s/b", "state", "draining").value() ==
         "# top\n[server s/a]\n# why\naddress = 1\n\n"
         "[server s/b]\nstate = draining\naddress = 2\n");
-  CHECK(setInTree(Text, "server s/a", "state", "draining").value() ==
+  CHECK(setTreeValue(Text, "server s/a", "state", "draining").value() ==
         "# top\n[server s/a]\nstate = draining\n# why\naddress = 1\n\n"
         "[server s/b]\nstate = active\naddress = 2\n");
-  CHECK(!setInTree(Text, "server s/c", "state", "draining"));
+  CHECK(!setTreeValue(Text, "server s/c", "state", "draining"));
 }
 
 TEST_CASE("a diff names section, key and value") {
--- a/unittests/PlatformAdapter/PeerFollowerTest.cpp
+++ b/unittests/PlatformAdapter/PeerFollowerTest.cpp
@@ -29,7 +29,7 @@
   AheadPeer(std::string Name, const std::atomic<uint64_t> &AsOf)
       : Server(HttpServerLimits{},
                [this](HttpExchange &Exchange) {
-                 serveOpenCall(Exchange, this->Dispatcher);
+                 serveUnsignedCall(Exchange, this->Dispatcher);
                }),
         Name(std::move(Name)),
         Answerer(
--- a/unittests/Proxy/RequestNoticeTest.cpp
+++ b/unittests/Proxy/RequestNoticeTest.cpp
@@ -39,8 +39,8 @@
   CHECK(sendSome(Fixture, 40) == 40);
   // The one that told it, at most: this daemon knows of no fleet to share with.
   CHECK(Fixture.Backends[0]->countRuns() <= 1);
-  CHECK(Fixture.Counters.get(Counter::LimitsHeard) == 1);
-  CHECK(Fixture.Counters.get(Counter::ServersLeftOut) >= 20);
+  CHECK(Fixture.Counters.get(Counter::LimitsReceived) == 1);
+  CHECK(Fixture.Counters.get(Counter::ServersExcluded) >= 20);
 }
 
 TEST_CASE("a service all of whose servers are limited refuses at once") {
@@ -62,7 +62,7 @@
   Faults.SaysLeaving = true;
   Fixture.setFaults(Faults);
   (void)Fixture.send("GET", "/read/1?bytes=200000");
-  return Fixture.Counters.get(Counter::LeavingsHeard);
+  return Fixture.Counters.get(Counter::LeavingNoticesReceived);
 }
 
 TEST_CASE("a word counts whatever becomes of the answer that brought it") {
@@ -94,9 +94,9 @@
         "GET /read/1?bytes=200000 HTTP/1.1\r\nHost: h\r\n\r\n");
   });
   const TimePoint Until = readSteadyClock() + fromSeconds(4);
-  while (Fixture.Counters.get(Counter::LeavingsHeard) == 0 &&
+  while (Fixture.Counters.get(Counter::LeavingNoticesReceived) == 0 &&
          readSteadyClock() < Until)
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
-  CHECK(Fixture.Counters.get(Counter::LeavingsHeard) == 1);
+  CHECK(Fixture.Counters.get(Counter::LeavingNoticesReceived) == 1);
   Caller.join();
 }
--- a/unittests/Proxy/RequestProxyTest.cpp
+++ b/unittests/Proxy/RequestProxyTest.cpp
@@ -214,7 +214,7 @@
   const ExchangeResult Result = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Result.Status == 502);
   CHECK(getHeader(Result, OutcomeHeader) == "not-known");
-  CHECK(Fixture.Counters.get(Counter::ForeignAnswers) == 1);
+  CHECK(Fixture.Counters.get(Counter::MismatchedAnswers) == 1);
 }
 
 TEST_CASE("an answer whose end cannot be told is not passed on") {
