--- a/include/canvaswick/Metrics/BurnReport.h
+++ b/include/canvaswick/Metrics/BurnReport.h
@@ -1,4 +1,4 @@
-//===- BurnReport.h - The report on service-level burn ----------*- C++ -*-===//
+//===- BurnReport.h - Error budget burn rates per service -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// How fast each service spends its error budget, over short and long windows,
-/// merged over the daemons that answered.
+/// Computes the burn rate of each service's error budget over short and long
+/// windows, merged over the daemons that answered.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,10 +23,10 @@
 
 namespace canvaswick {
 
-/// The windows of the report, in minutes.
+/// The lengths of the report's windows, in minutes.
 inline constexpr std::array<int, 4> BurnWindows = {5, 30, 60, 360};
 
-/// What one daemon reports of one service.
+/// The request totals that one daemon reports for one service, per window.
 struct BurnSample {
   std::string Service;
   std::string Hall;
@@ -34,7 +34,7 @@
   std::array<ServiceTotals, BurnWindows.size()> Totals;
 };
 
-/// One line of the report.
+/// One line of the report: a service in one hall, or in all halls.
 struct BurnLine {
   std::string Service;
   /// Empty for the line over all halls.
@@ -42,25 +42,26 @@
   int64_t ObjectivePercent = 0;
   std::array<ServiceTotals, BurnWindows.size()> Totals;
 
-  /// Returns how fast the budget is spent in a window: 1 spends exactly the
-  /// budget, 0 nothing. Negative when there were no requests.
+  /// Returns the burn rate in the window with this index: the fraction of bad
+  /// requests divided by the fraction that the objective allows. At 1 the
+  /// service spends exactly its budget. Negative if there were no requests.
   double getBurn(size_t Window) const;
 };
 
-/// The whole report.
+/// The report over all services, and the daemons that it doesn't cover.
 struct BurnReport {
   std::vector<BurnLine> Lines;
   std::vector<std::string> SilentDaemons;
 };
 
-/// Merges the samples of the daemons that answered.
+/// Sums the samples by service and hall, and by service over all halls.
 BurnReport mergeBurnSamples(const std::vector<BurnSample> &Samples,
                             std::vector<std::string> SilentDaemons);
 
-/// Writes the report for people.
+/// Formats the report as a table for people.
 std::string formatBurnText(const BurnReport &Report);
 
-/// Writes the report as CSV with a header.
+/// Formats the report as CSV with a header line.
 std::string formatBurnCsv(const BurnReport &Report);
 
 } // namespace canvaswick
--- a/include/canvaswick/Metrics/Counters.h
+++ b/include/canvaswick/Metrics/Counters.h
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A fixed table of counters, each an atomic number. Events are counted first;
-/// a log line is written only when a state changes.
+/// Defines a fixed table of atomic counters. Every event is counted; a log line
+/// is written only when a state changes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,8 @@
 
 namespace canvaswick {
 
-/// Every counter of a daemon. The order is that of the table of names.
+/// The counters of a daemon, in the order of the metrics page. The table of
+/// names in Counters.cpp has the same order.
 enum class Counter : uint8_t {
   Requests,
   Answered,
@@ -77,11 +78,12 @@
   RetryLoansFailed,
 };
 
-/// How many counters there are.
+/// The number of counters.
 inline constexpr size_t CounterCount =
     static_cast<size_t>(Counter::RetryLoansFailed) + 1;
 
-/// Returns the name of a counter, as the metrics page prints it.
+/// Returns the name of a counter as the metrics page prints it, without the
+/// prefix "canvaswick_".
 const char *getName(Counter Which);
 
 /// All counters of one daemon. Thread-safe.
@@ -96,7 +98,7 @@
         std::memory_order_relaxed);
   }
 
-  /// Writes "canvaswick_name value" lines.
+  /// Returns a line "canvaswick_NAME VALUE" for each counter.
   std::string format() const;
 
 private:
--- a/include/canvaswick/Metrics/ServiceMetrics.h
+++ b/include/canvaswick/Metrics/ServiceMetrics.h
@@ -1,4 +1,4 @@
-//===- ServiceMetrics.h - What a daemon counts of one service ---*- C++ -*-===//
+//===- ServiceMetrics.h - Latency and totals of one service -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Latency histograms by outcome (Boost.Histogram, safe for many threads) and a
-/// ring of per-minute totals, from which the burn report is made.
+/// Defines a latency histogram by outcome (Boost.Histogram with thread-safe
+/// cells) and a ring buffer of totals per minute, from which the burn report is
+/// built.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -31,13 +32,14 @@
 
 namespace canvaswick {
 
-/// How a caller's request ended, for the metrics.
+/// The outcome of a caller's request in the metrics.
 enum class AnswerKind : uint8_t { Good, Failed, Refused, Canceled };
 
-/// Returns the name of a kind as metrics print it.
+/// Returns the name of a kind as the metrics page prints it.
 const char *getName(AnswerKind Kind);
 
-/// A histogram of milliseconds with a logarithmic axis, by answer kind.
+/// A histogram of latencies in milliseconds on a logarithmic axis, by answer
+/// kind.
 using LatencyAxis =
     boost::histogram::axis::regular<double,
                                     boost::histogram::axis::transform::log>;
@@ -47,39 +49,42 @@
     std::tuple<LatencyAxis, KindAxis>,
     boost::histogram::dense_storage<ThreadSafeCount>>;
 
-/// Makes an empty histogram with the project's axes: 0.05 ms to 100 s.
+/// Returns an empty histogram from 0.05 ms to 100 s with all answer kinds.
 LatencyHistogram makeLatencyHistogram();
 
-/// Returns the time in milliseconds below which this part of all entries lie,
-/// or 0 for an empty histogram.
-double getQuantile(const LatencyHistogram &Histogram, double Part);
+/// Returns the latency in milliseconds below which this fraction of all entries
+/// lies, interpolated within a bin, or 0 for an empty histogram.
+double getQuantile(const LatencyHistogram &Histogram, double Fraction);
 
-/// Requests and good requests of one span of time.
+/// The numbers of all and of good requests in one span of time.
 struct ServiceTotals {
   uint64_t All = 0;
   uint64_t Good = 0;
 };
 
-/// One service's figures at one daemon. Thread-safe.
+/// The metrics of one service at one daemon. Thread-safe.
 class ServiceMetrics {
 public:
   ServiceMetrics();
 
-  /// Adds one answer. It is good for the objective if it is of the kind Good
-  /// and not later than Objective.
+  /// Records one answer. It meets the objective if its kind is Good and its
+  /// latency is at most Objective. Canceled requests enter the histogram only.
   void add(AnswerKind Kind, Duration Latency, Duration Objective,
            TimePoint Now);
 
-  /// Returns the totals of the last Minutes minutes, up to 6 hours.
+  /// Returns the totals of the current minute and the Minutes - 1 before it, at
+  /// most 6 hours in all.
   ServiceTotals getTotals(int Minutes, TimePoint Now) const;
 
   const LatencyHistogram &getHistogram() const { return this->Histogram; }
 
 private:
+  /// One entry of the ring buffer; Number counts minutes of the steady clock.
   struct Minute {
     int64_t Number = -1;
     ServiceTotals Totals;
   };
+  /// The longest window of the burn report (360 minutes) and one more entry.
   static constexpr size_t MinutesKept = 361;
 
   LatencyHistogram Histogram;
--- a/lib/Metrics/BurnReport.cpp
+++ b/lib/Metrics/BurnReport.cpp
@@ -1,4 +1,4 @@
-//===- BurnReport.cpp - The report on service-level burn ------------------===//
+//===- BurnReport.cpp - Error budget burn rates per service ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Adds the totals of the daemons per service and hall and divides the share of
-/// bad requests by the share that the objective allows.
+/// Sums the daemons' totals by service and hall, and divides the fraction of
+/// bad requests by the fraction that the objective allows.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,10 +27,10 @@
   const double Bad =
       static_cast<double>(Sum.All - Sum.Good) / static_cast<double>(Sum.All);
   const double Allowed = 1 - static_cast<double>(this->ObjectivePercent) / 100;
-  // An objective of 100 % allows nothing: one bad request in a thousand then
-  // counts as a burn of one.
-  static constexpr double LeastAllowed = 0.001;
-  return Bad / std::max(Allowed, LeastAllowed);
+  // An objective of 100 % leaves no budget, and the division has no result. One
+  // bad request in a thousand then counts as a burn rate of 1.
+  static constexpr double MinAllowed = 0.001;
+  return Bad / std::max(Allowed, MinAllowed);
 }
 
 static void addTotals(BurnLine &Line, const BurnSample &Sample) {
@@ -43,7 +43,8 @@
 
 BurnReport mergeBurnSamples(const std::vector<BurnSample> &Samples,
                             std::vector<std::string> SilentDaemons) {
-  // The empty hall name sorts first and holds the sum over all halls.
+  // The empty hall name holds the sum over all halls. It sorts first, so this
+  // line precedes those of the halls.
   std::map<std::pair<std::string, std::string>, BurnLine> Lines;
   for (const BurnSample &Sample : Samples)
     for (const std::string &Hall : {std::string(), Sample.Hall}) {
--- a/lib/Metrics/Counters.cpp
+++ b/lib/Metrics/Counters.cpp
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The table of names; docs/OPERATIONS.md lists them with their meaning.
+/// Defines the names of the counters; docs/OPERATIONS.md gives their meanings.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Metrics/ServiceMetrics.cpp
+++ b/lib/Metrics/ServiceMetrics.cpp
@@ -1,4 +1,4 @@
-//===- ServiceMetrics.cpp - What a daemon counts of one service -----------===//
+//===- ServiceMetrics.cpp - Latency and totals of one service -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The histogram takes no lock; the ring of minutes has one of its own.
+/// The histogram needs no lock, as its cells are atomic. A mutex guards the
+/// ring buffer of minutes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,41 +34,42 @@
 }
 
 static constexpr unsigned LatencyBins = 120;
-static constexpr double LeastMillis = 0.05;
-static constexpr double MostMillis = 100000;
+static constexpr double MinLatencyMillis = 0.05;
+static constexpr double MaxLatencyMillis = 100000;
 
 LatencyHistogram makeLatencyHistogram() {
-  return LatencyHistogram(
-      std::make_tuple(LatencyAxis(LatencyBins, LeastMillis, MostMillis),
-                      KindAxis(0, static_cast<int>(AnswerKindNames.size()))));
+  return LatencyHistogram(std::make_tuple(
+      LatencyAxis(LatencyBins, MinLatencyMillis, MaxLatencyMillis),
+      KindAxis(0, static_cast<int>(AnswerKindNames.size()))));
 }
 
-double getQuantile(const LatencyHistogram &Histogram, double Part) {
+double getQuantile(const LatencyHistogram &Histogram, double Fraction) {
   const LatencyAxis &Axis =
       Histogram.axis(std::integral_constant<unsigned, 0>{});
-  std::vector<double> PerBin(static_cast<size_t>(Axis.size()) + 2, 0);
-  double All = 0;
+  std::vector<double> BinCounts(static_cast<size_t>(Axis.size()) + 2, 0);
+  double Total = 0;
   for (auto &&Cell :
        boost::histogram::indexed(Histogram, boost::histogram::coverage::all)) {
     const auto Count = static_cast<double>(Cell->value());
-    PerBin[static_cast<size_t>(Cell.index(0) + 1)] += Count;
-    All += Count;
+    BinCounts[static_cast<size_t>(Cell.index(0) + 1)] += Count;
+    Total += Count;
   }
-  if (All == 0)
+  if (Total == 0)
     return 0;
   double Below = 0;
-  for (size_t I = 0; I < PerBin.size(); ++I) {
-    if (Below + PerBin[I] < Part * All) {
-      Below += PerBin[I];
+  for (size_t I = 0; I < BinCounts.size(); ++I) {
+    if (Below + BinCounts[I] < Fraction * Total) {
+      Below += BinCounts[I];
       continue;
     }
     const int Bin = static_cast<int>(I) - 1;
-    const double Low = std::max(LeastMillis, Axis.value(Bin));
-    const double High = std::min(MostMillis, Axis.value(Bin + 1));
-    const double Into = PerBin[I] > 0 ? (Part * All - Below) / PerBin[I] : 0;
-    return Low * std::pow(High / Low, Into);
+    const double Low = std::max(MinLatencyMillis, Axis.value(Bin));
+    const double High = std::min(MaxLatencyMillis, Axis.value(Bin + 1));
+    const double WithinBin =
+        BinCounts[I] > 0 ? (Fraction * Total - Below) / BinCounts[I] : 0;
+    return Low * std::pow(High / Low, WithinBin);
   }
-  return MostMillis;
+  return MaxLatencyMillis;
 }
 
 ServiceMetrics::ServiceMetrics()
@@ -81,7 +83,7 @@
 void ServiceMetrics::add(AnswerKind Kind, Duration Latency, Duration Objective,
                          TimePoint Now) {
   this->Histogram(toSeconds(Latency) * 1000, static_cast<int>(Kind));
-  // A caller that left is no failure of the service.
+  // A request that its caller canceled doesn't count against the objective.
   if (Kind == AnswerKind::Canceled)
     return;
   const int64_t Number = getMinute(Now);
--- a/unittests/Metrics/BurnReportTest.cpp
+++ b/unittests/Metrics/BurnReportTest.cpp
@@ -1,4 +1,4 @@
-//===- BurnReportTest.cpp - Tests of the burn report and the histograms ---===//
+//===- BurnReportTest.cpp - Tests of BurnReport and ServiceMetrics --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The report is checked against a case computed by hand.
+/// Checks the burn report against values computed by hand, the totals by answer
+/// kind and latency, and the accuracy of the quantiles.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,10 +27,10 @@
   return Sample;
 }
 
-TEST_CASE("burn by hand") {
-  // Hall a: 1000 requests, 20 bad: 2 % bad against 1 % allowed burns 2.
-  // Hall b: 3000 requests, 0 bad: burns 0.
-  // Both: 4000 requests, 20 bad: 0.5 % against 1 %: burns 0.5.
+TEST_CASE("burn rates match values computed by hand") {
+  // Hall a: 20 of 1000 requests are bad: 2 % of an allowed 1 %, a rate of 2.
+  // Hall b: 0 of 3000 requests are bad: a rate of 0.
+  // Both halls: 20 of 4000 requests are bad: 0.5 % of 1 %, a rate of 0.5.
   const BurnReport Report =
       mergeBurnSamples({makeSample("a", 400, 390), makeSample("a", 600, 590),
                         makeSample("b", 3000, 3000)},
@@ -48,7 +49,7 @@
         std::string::npos);
 }
 
-TEST_CASE("only good answers in time count as good") {
+TEST_CASE("only good answers within the objective count as good") {
   ServiceMetrics Metrics;
   const TimePoint Now = TimePoint{} + fromSeconds(6000);
   Metrics.add(AnswerKind::Good, fromMillis(10), fromMillis(100), Now);
@@ -63,7 +64,7 @@
   CHECK(Metrics.getTotals(30, Now + fromSeconds(360)).All == 4);
 }
 
-TEST_CASE("quantiles are within a bin") {
+TEST_CASE("quantiles are accurate to the width of a bin") {
   LatencyHistogram Histogram = makeLatencyHistogram();
   for (int I = 1; I <= 1000; ++I)
     Histogram(static_cast<double>(I), 0);
