--- a/include/canvaswick/Rpc/JsonRpc.h
+++ b/include/canvaswick/Rpc/JsonRpc.h
@@ -1,4 +1,4 @@
-//===- JsonRpc.h - JSON-RPC codec behind a plain interface ------*- C++ -*-===//
+//===- JsonRpc.h - Dispatches and makes JSON-RPC 2.0 calls ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// libjson-rpc-cpp writes and reads the calls. Its headers compile as C++14
-/// only, so they stay inside this library's C++14 part.
+/// Wraps the codec of libjson-rpc-cpp. The headers of that library compile only
+/// as C++14, so this header doesn't include them; JsonRpc.cpp does, and is
+/// built as C++14.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,20 +25,23 @@
 
 namespace canvaswick {
 
-/// Serves JSON-RPC 2.0 calls by name. Thread-safe once all methods are added.
+/// Dispatches JSON-RPC 2.0 calls to handlers by method name. Thread-safe once
+/// all methods are added.
 class JsonRpcDispatcher {
 public:
-  /// Handles one call. The answer is an object. It may throw the exceptions of
-  /// jsoncpp for parameters of a wrong type; the caller then reads an error.
+  /// Handles one call and returns its answer, a JSON object. A handler may let
+  /// jsoncpp throw over parameters of a wrong type: the answer is then an error
+  /// of the kind invalid-argument.
   using Handler = std::function<Json::Value(const Json::Value &Params)>;
 
   JsonRpcDispatcher();
   ~JsonRpcDispatcher();
 
-  /// Adds a method. Call before handle.
+  /// Adds a method. Must not be called once handle() is in use.
   void add(const std::string &Method, Handler Handler);
 
-  /// Handles the text of one call and returns the text of its answer.
+  /// Handles the text of one call and returns the text of its answer. Any text
+  /// is answered: one that can't be parsed with an error of JSON-RPC.
   std::string handle(const std::string &Request) const;
 
 private:
@@ -45,12 +49,13 @@
   std::unique_ptr<Impl> Implementation;
 };
 
-/// Carries the text of a call to a peer. Returns false if no answer came.
+/// Sends the text of a call to a peer and fills in the text of its answer.
+/// Returns false if no answer arrived.
 using JsonRpcTransport =
     std::function<bool(const std::string &Request, std::string &Answer)>;
 
-/// Makes one call. Returns an empty text and fills Answer, or returns what went
-/// wrong.
+/// Makes one call. On success returns an empty string and fills in Answer,
+/// otherwise returns the error message.
 std::string callJsonRpc(const JsonRpcTransport &Transport,
                         const std::string &Method, const Json::Value &Params,
                         Json::Value &Answer);
--- a/include/canvaswick/Rpc/PeerCaller.h
+++ b/include/canvaswick/Rpc/PeerCaller.h
@@ -1,5 +1,4 @@
-//===- PeerCaller.h - Signed calls to another process of the system -*- C++
-//-*-===//
+//===- PeerCaller.h - Signed JSON-RPC calls over HTTP -----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Every call between daemons and from operators goes through here: JSON-RPC
-/// over HTTP, signed, with a deadline, its bytes counted. A call may arrive
-/// twice, so each method must bear that.
+/// Makes and serves the calls between daemons and from operators: JSON-RPC over
+/// HTTP, signed, with a deadline, and with its bytes counted. A call may arrive
+/// more than once, so every method must be idempotent.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,31 +28,32 @@
 
 namespace canvaswick {
 
-/// The header that carries the signature of a call.
+/// The HTTP header that holds the signature of a call.
 inline constexpr const char *CallSignatureHeader = "Canvaswick-Signature";
 
-/// The path that calls are sent to.
+/// The HTTP path of all calls.
 inline constexpr const char *CallPath = "/rpc";
 
-/// Makes calls. Thread-safe.
+/// Makes calls over pooled connections. Thread-safe.
 class PeerCaller {
 public:
-  /// Signs with Key. Counters may be null.
+  /// Signs calls with Key. Counters may be null.
   PeerCaller(CallKey Key, CounterTable *Counters);
 
-  /// Signs nothing.
+  /// Leaves calls unsigned. Counters may be null.
   explicit PeerCaller(CounterTable *Counters);
 
-  /// Calls a method and returns its answer. Errors: Unavailable when the call
-  /// was not sent, OutcomeUnknown when no answer came, Unauthorized, and
-  /// whatever kind the method itself answered.
+  /// Calls a method and returns its answer, a JSON object. Errors: Unavailable
+  /// if the call was not sent, OutcomeUnknown if no valid answer arrived,
+  /// Unauthorized if the peer rejected the signature, and otherwise the kind
+  /// that the method returned.
   Result<Json::Value> call(const Endpoint &Peer, const std::string &Method,
                            const Json::Value &Params, Duration Timeout);
 
-  /// Closes connections that are no longer used.
+  /// Closes connections that have been idle for a minute.
   void closeIdle(TimePoint Now);
 
-  /// Makes the next calls on new connections.
+  /// Closes all idle connections, so that the next calls open new ones.
   void closeIdleConnections();
 
 private:
@@ -65,20 +65,23 @@
   ConnectionPool Pool;
 };
 
-/// Builds the answer of a method that failed.
+/// Builds the answer of a method that failed, from which PeerCaller::call()
+/// restores the kind and message of the error.
 Json::Value makeCallError(const Error &Failure);
 
-/// Checks the signature of an arrived call, runs it and fills the HTTP answer.
+/// Verifies the signature of a received call, dispatches it and fills in the
+/// HTTP response: 401 for a rejected signature, 413 for a body that is too long
+/// or incomplete. Locks VerifierMutex while it uses Verifier.
 void serveCall(HttpExchange &Exchange, CallVerifier &Verifier,
                std::mutex &VerifierMutex, const JsonRpcDispatcher &Dispatcher,
                CounterTable &Counters);
 
-/// Runs an arrived call that carries no signature.
+/// Dispatches a received call without checking for a signature.
 void serveUnsignedCall(HttpExchange &Exchange,
                        const JsonRpcDispatcher &Dispatcher);
 
-/// Reads the whole body of a request, at most Limit bytes. Returns false if it
-/// is longer or was cut.
+/// Reads the whole body of a request, at most Limit bytes. Returns false if the
+/// body is longer or incomplete.
 bool readWholeBody(HttpExchange &Exchange, size_t Limit, std::string &Body);
 
 } // namespace canvaswick
--- a/lib/Rpc/JsonRpc.cpp
+++ b/lib/Rpc/JsonRpc.cpp
@@ -1,4 +1,4 @@
-//===- JsonRpc.cpp - JSON-RPC codec behind a plain interface --------------===//
+//===- JsonRpc.cpp - Dispatches and makes JSON-RPC 2.0 calls --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The only file that includes libjson-rpc-cpp. Built as C++14.
+/// This is the only file that includes libjson-rpc-cpp. It is built as C++14.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 
 namespace canvaswick {
 
-/// The answer to what cannot be read, as JSON-RPC 2.0 has it.
+/// The answer to a call that can't be parsed, as JSON-RPC 2.0 specifies it.
 static const char *const UnreadableAnswer =
     R"({"jsonrpc":"2.0","id":null,"error":{"code":-32700,)"
     R"("message":"JSON_PARSE_ERROR"}})";
@@ -44,7 +44,7 @@
 
   std::string handle(const std::string &Request) {
     std::string Answer;
-    // The library's reader throws where values lie too deep in each other.
+    // The parser of jsoncpp throws if values are nested too deeply.
     try {
       this->Protocol->HandleRequest(Request, Answer);
     } catch (const Json::Exception &) {
@@ -90,7 +90,7 @@
 
 namespace {
 
-/// Hands the library's messages to our transport.
+/// Passes the messages of libjson-rpc-cpp to a JsonRpcTransport.
 class TransportConnector final : public jsonrpc::IClientConnector {
 public:
   explicit TransportConnector(const JsonRpcTransport &Transport)
--- a/lib/Rpc/PeerCaller.cpp
+++ b/lib/Rpc/PeerCaller.cpp
@@ -1,4 +1,4 @@
-//===- PeerCaller.cpp - Signed calls to another process of the system -----===//
+//===- PeerCaller.cpp - Signed JSON-RPC calls over HTTP -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The client side of a call, and the check that every arrived call passes.
+/// Implements the client side of calls, and the signature check and dispatch of
+/// received calls.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,13 +20,13 @@
 
 namespace canvaswick {
 
-static constexpr size_t ConnectionsPerPeer = 4;
+static constexpr size_t MaxConnectionsPerPeer = 4;
 
-/// Longest call that is read. A whole tree of settings fits.
+/// The maximum length of the body of a call. A whole settings tree fits.
 static constexpr size_t MaxCallBytes = 8 << 20;
 
-/// Connections between daemons are closed after this time without a call.
-static constexpr Duration PeerIdleLimit = fromSeconds(60);
+/// Connections to peers are closed after this time without a call.
+static constexpr Duration PeerIdleTimeout = fromSeconds(60);
 
 PeerCaller::PeerCaller(CallKey Key, CounterTable *Counters)
     : PeerCaller(Counters) {
@@ -36,7 +37,7 @@
     : Counters(Counters),
       NextNonce((static_cast<uint64_t>(std::random_device()()) << 32) ^
                 std::random_device()()),
-      Pool(ConnectionsPerPeer) {}
+      Pool(MaxConnectionsPerPeer) {}
 
 void PeerCaller::count(Counter Which, uint64_t Amount) {
   if (this->Counters)
@@ -44,7 +45,7 @@
 }
 
 void PeerCaller::closeIdle(TimePoint Now) {
-  this->Pool.closeIdle(Now - PeerIdleLimit, Now);
+  this->Pool.closeIdle(Now - PeerIdleTimeout, Now);
 }
 
 void PeerCaller::closeIdleConnections() {
