--- a/include/canvaswick/Operator/LogLines.h
+++ b/include/canvaswick/Operator/LogLines.h
@@ -1,4 +1,4 @@
-//===- LogLines.h - Reads the daemons' log lines -------------- -*- C++ -*-===//
+//===- LogLines.h - Parser for the daemons' log lines -----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A daemon's line is a time, a level, an event and fields of the form
-/// name=value. Whatever stands before the time tells whose line it is; a log of
-/// one daemon has nothing there.
+/// Parses lines that consist of a time, a level, an event and fields of the
+/// form name=value. In a log merged from several daemons, the word before the
+/// time names the daemon; in the log of a single daemon there is none.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,27 +29,29 @@
 struct LogLine {
   /// Calendar time in seconds.
   double Seconds = 0;
-  /// Name of the daemon, or of the file where the line does not tell.
+  /// The name of the daemon, or of the file if the line doesn't name a daemon.
   std::string Source;
   std::string Level;
   std::string Event;
   std::map<std::string, std::string> Fields;
-  /// The line from its level on.
+  /// The rest of the line, starting at the level.
   std::string Text;
 
-  /// Returns a field, or an empty text.
+  /// Returns the value of a field, or an empty string if there is none. A
+  /// quoted value keeps its quotes and escapes.
   std::string get(const std::string &Name) const;
 
-  /// Returns a field as a number, or zero.
+  /// Returns the value of a field as a number, or 0 if there is none.
   double getNumber(const std::string &Name) const;
 };
 
-/// Parses one line; std::nullopt if it is not a daemon's.
+/// Parses one line of File. Returns std::nullopt if it is not a daemon's log
+/// line.
 std::optional<LogLine> parseLogLine(const std::string &Text,
                                     const std::string &File);
 
-/// Reads all lines of the files, in the order of their times. Fails if a file
-/// cannot be read.
+/// Reads all log lines of the files, sorted by time. Fails with Io if a file
+/// can't be read.
 Result<std::vector<LogLine>> readLogs(const std::vector<std::string> &Files);
 
 } // namespace canvaswick
--- a/include/canvaswick/Operator/LogTables.h
+++ b/include/canvaswick/Operator/LogTables.h
@@ -1,4 +1,4 @@
-//===- LogTables.h - What logs tell of entries and requests -----*- C++ -*-===//
+//===- LogTables.h - Tables of entries, replicas and requests ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Tables over the logs of any number of daemons: entries at the platform that
-/// could not be read, and requests under which servers ended.
+/// Builds tables from the logs of any number of daemons: store entries that
+/// were rejected, the daemons' replicas of the store, and poison requests,
+/// which make the servers that run them crash.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,17 +23,18 @@
 
 namespace canvaswick {
 
-/// Returns a line for each entry that was refused: whose, how often, by how
-/// many daemons, and what was wrong the last time.
+/// Returns a line for each store entry that was rejected: its subject, how
+/// often and by how many daemons it was rejected, and the last error.
 std::string makeEntryTable(const std::vector<LogLine> &Lines);
 
-/// Returns a line for each daemon: epoch and revision of its copy of the store,
-/// since when, the version in force, and how often it saw the store restored.
+/// Returns a line for each daemon: the epoch and revision of its replica of the
+/// store, the time when the replica reached them, the settings version in
+/// force, and how often the daemon saw the store restored.
 std::string makeReplicaTable(const std::vector<LogLine> &Lines);
 
-/// Returns a line for each request that was cut off more than once or held
-/// back: at which servers, how often it was answered, and where it is held
-/// back.
+/// Returns an entry for each request fingerprint that was cut off more than
+/// once or quarantined: the servers that cut it off, how often it was answered,
+/// and the number of daemons that quarantined it.
 std::string makePoisonRequestTable(const std::vector<LogLine> &Lines);
 
 } // namespace canvaswick
--- a/include/canvaswick/Operator/LossTable.h
+++ b/include/canvaswick/Operator/LossTable.h
@@ -1,4 +1,4 @@
-//===- LossTable.h - Where requests were lost -------------------*- C++ -*-===//
+//===- LossTable.h - Failed attempts by knowledge of the server -*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Tables, from daemons' logs, of the attempts that did not go well by what was
-/// known when their servers were chosen.
+/// Builds a table of the outcomes of attempts from the daemons' logs, grouped
+/// by what the daemon knew of the server when it chose it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,28 +21,28 @@
 
 namespace canvaswick {
 
-/// What was known of a server when an attempt chose it.
+/// What a daemon knew of a server when it chose it for an attempt.
 enum class ServerKnowledge : uint8_t {
-  /// It was chosen to find out how it is.
+  /// The attempt was a probe of the server's health.
   Test,
-  /// Something spoke against it.
+  /// The estimated probability that it was unhealthy was high.
   Suspect,
-  /// It had more requests than the others to be expected there.
+  /// It seemed healthy but had many requests in flight.
   Loaded,
-  /// Nothing spoke against it.
+  /// It seemed healthy and was not loaded.
   Unsuspected,
-  /// The line does not tell.
+  /// The log line doesn't have the estimate.
   Unknown,
 };
 
-/// Returns the name of a moment as tables print it.
-const char *getName(ServerKnowledge Moment);
+/// Returns the name as the table prints it.
+const char *getName(ServerKnowledge Knowledge);
 
-/// Returns the moment of an attempt.
+/// Returns what was known of the server of an attempt.
 ServerKnowledge classifyAttempt(const LoggedAttempt &Attempt);
 
-/// Returns a table for each route, the busiest first: first and later attempts
-/// by moment, how many there were, and what came of them.
+/// Returns a table for each route, the busiest first, that counts first and
+/// later attempts by ServerKnowledge and by outcome.
 std::string makeLossTable(const std::vector<LogLine> &Lines);
 
 } // namespace canvaswick
--- a/include/canvaswick/Operator/RequestReport.h
+++ b/include/canvaswick/Operator/RequestReport.h
@@ -1,4 +1,4 @@
-//===- RequestReport.h - What the logs tell of one request ------*- C++ -*-===//
+//===- RequestReport.h - Report on one request from the logs ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Gathers, for the id of a request that failed, its own lines, what others saw
-/// of the same servers around that time, and what had changed shortly before.
+/// Reports, for the id of a failed request, its log lines, the outcomes of
+/// other requests at the same servers around that time, and the changes of
+/// state shortly before.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,28 +20,28 @@
 
 namespace canvaswick {
 
-/// One try of a request at one server, as its line tells it.
+/// One attempt to run a request on a server, decoded from the request's line.
 struct LoggedAttempt {
   std::string Server;
   std::string Outcome;
   double Milliseconds = 0;
-  /// Part of its fair share that the server had when it was chosen.
+  /// The server's share when it was chosen, as a fraction of its fair share.
   double Share = 0;
-  /// How likely it was sick, and the requests there, as the daemon knew them;
-  /// -1: the line does not tell.
+  /// The daemon's estimates of the probability that the server was unhealthy
+  /// and of the requests in flight there; -1 if the line doesn't have them.
   double UnhealthyProbability = -1;
   double Load = -1;
-  /// Whether it was chosen to be tested.
+  /// Whether the attempt was a probe of the server's health.
   bool IsTest = false;
-  /// Calendar time of its end, in seconds.
+  /// The calendar time at which the attempt ended, in seconds.
   double Ended = 0;
 };
 
-/// Decodes the attempts of a request's line. Damaged ones are passed over.
+/// Decodes the attempts of a request's line. Malformed attempts are skipped.
 std::vector<LoggedAttempt> decodeAttempts(const LogLine &Line);
 
-/// Tells what Lines, in the order of their times, say about the request of this
-/// id. Fails if they don't hold it.
+/// Returns the report on the request with this id. Lines must be sorted by
+/// time. Fails with NotFound if no line is about the request.
 Result<std::string> describeRequest(const std::string &Id,
                                     const std::vector<LogLine> &Lines);
 
--- a/include/canvaswick/Operator/TreeText.h
+++ b/include/canvaswick/Operator/TreeText.h
@@ -1,4 +1,4 @@
-//===- TreeText.h - Edits and compares settings trees as text ---*- C++ -*-===//
+//===- TreeText.h - Edits and diffs of settings trees -----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What the operators' tool needs besides the checks: one value changed without
-/// touching the rest, and a diff by section and key.
+/// Changes one value in the text of a settings tree without touching the rest,
+/// and compares two trees by section and key.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,15 +22,17 @@
 
 namespace canvaswick {
 
-/// Returns Text with Key set to Value in a section that must be there. Comments
-/// and order stay. Fails with NotFound if there is no such section.
+/// Returns Text with Key set to Value in Section. The assignment becomes the
+/// first line of the section; the order and comments of all other lines stay.
+/// Fails with NotFound if there is no such section.
 Result<std::string> setTreeValue(const std::string &Text,
                                  const std::string &Section,
                                  const std::string &Key,
                                  const std::string &Value);
 
-/// Returns the differences between two trees, one a line: "+ [section] key =
-/// value" for what is new and "- ..." for what is gone.
+/// Returns the differences between two trees, one per element: "+ [section] key
+/// = value" for an added value and "- ..." for a removed one. A changed value
+/// is both.
 std::vector<std::string> diffTrees(const IniDocument &Old,
                                    const IniDocument &New);
 
--- a/lib/Operator/FleetCommands.cpp
+++ b/lib/Operator/FleetCommands.cpp
@@ -1,4 +1,4 @@
-//===- FleetCommands.cpp - Commands about the fleet -----------------------===//
+//===- FleetCommands.cpp - Commands that query the fleet's daemons --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Asks one daemon for the members and then each of them.
+/// Implements the queries of daemons. Each asks one daemon for the members of
+/// the fleet and then calls every member.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,7 @@
 
 namespace {
 
-/// What one member answered, if it did.
+/// A member of the fleet and its answer, if it answered.
 struct MemberAnswer {
   std::string Name;
   std::string Control;
@@ -41,10 +42,13 @@
   return std::make_unique<PeerCaller>(Keys[0], nullptr);
 }
 
-/// Asks every member that one daemon knows.
+/// Asks the daemon of --daemon for the members that it knows and calls Method
+/// at each. Returns the members sorted by name, with the answers of those that
+/// answered. Fails if the address or the key file is invalid or if the first
+/// daemon doesn't answer.
 static Result<std::vector<MemberAnswer>>
-askFleet(const OperatorOptions &Options, const std::string &Method,
-         const Json::Value &Params) {
+callMembers(const OperatorOptions &Options, const std::string &Method,
+            const Json::Value &Params) {
   Result<Endpoint> First = parseEndpoint(Options.Daemon);
   if (!First)
     return makeError(ErrorKind::InvalidArgument,
@@ -78,7 +82,7 @@
 Result<std::string> runStatus(const OperatorOptions &Options) {
   BOOST_OUTCOME_TRY(
       std::vector<MemberAnswer> Answers,
-      askFleet(Options, "operator.status", Json::Value(Json::objectValue)));
+      callMembers(Options, "operator.status", Json::Value(Json::objectValue)));
   std::string Text;
   for (const MemberAnswer &Each : Answers) {
     if (!Each.IsAnswered) {
@@ -102,23 +106,27 @@
   return Text;
 }
 
-static std::string explainOne(const MemberAnswer &Each) {
-  const Json::Value &Why = Each.Answer;
-  std::string Text =
-      fmt::format("daemon {} hall {}: share {:.2f}, reason {}\n", Each.Name,
-                  Why["hall"].asString(), Why["share"].asDouble(),
-                  Why["reason"].asString());
-  Text +=
-      fmt::format("  evidence wanted share {:.2f}; floor {} %\n",
-                  Why["wanted-share"].asDouble(), Why["floor-percent"].asInt());
+/// Formats one daemon's explanation of the share of a server.
+static std::string formatExplanation(const MemberAnswer &Each) {
+  const Json::Value &Explanation = Each.Answer;
+  std::string Text = fmt::format("daemon {} hall {}: share {:.2f}, reason {}\n",
+                                 Each.Name, Explanation["hall"].asString(),
+                                 Explanation["share"].asDouble(),
+                                 Explanation["reason"].asString());
+  Text += fmt::format("  evidence wanted share {:.2f}; floor {} %\n",
+                      Explanation["wanted-share"].asDouble(),
+                      Explanation["floor-percent"].asInt());
   Text += fmt::format("  own score {:.1f}; pool score {:.1f} from {} sources\n",
-                      Why["own-score"].asDouble(), Why["pool-score"].asDouble(),
-                      Why["pool-sources"].asInt());
-  Text += fmt::format("  own requests: {} good, {} slow, {} failed\n",
-                      Why["good"].asUInt(), Why["slow"].asUInt(),
-                      Why["failed"].asUInt());
-  if (Why["since-s"].asDouble() >= 0)
-    Text += fmt::format("  changed {:.1f} s ago\n", Why["since-s"].asDouble());
+                      Explanation["own-score"].asDouble(),
+                      Explanation["pool-score"].asDouble(),
+                      Explanation["pool-sources"].asInt());
+  Text +=
+      fmt::format("  own requests: {} good, {} slow, {} failed\n",
+                  Explanation["good"].asUInt(), Explanation["slow"].asUInt(),
+                  Explanation["failed"].asUInt());
+  if (Explanation["since-s"].asDouble() >= 0)
+    Text += fmt::format("  changed {:.1f} s ago\n",
+                        Explanation["since-s"].asDouble());
   return Text;
 }
 
@@ -131,17 +139,17 @@
   Params["service"] = Name.substr(0, Slash);
   Params["server"] = Name.substr(Slash + 1);
   BOOST_OUTCOME_TRY(std::vector<MemberAnswer> Answers,
-                    askFleet(Options, "operator.explain", Params));
+                    callMembers(Options, "operator.explain", Params));
   std::string Text;
   for (const MemberAnswer &Each : Answers)
     Text += Each.IsAnswered
-                ? explainOne(Each)
+                ? formatExplanation(Each)
                 : fmt::format("daemon {} does not answer or does not use it\n",
                               Each.Name);
   return Text;
 }
 
-static bool readSample(const Json::Value &Value, BurnSample &Sample) {
+static bool parseSample(const Json::Value &Value, BurnSample &Sample) {
   if (!Value.isObject() || Value["totals"].size() != BurnWindows.size())
     return false;
   Sample.Service = Value["service"].asString();
@@ -156,7 +164,7 @@
 Result<std::string> runBurn(const OperatorOptions &Options) {
   BOOST_OUTCOME_TRY(
       std::vector<MemberAnswer> Answers,
-      askFleet(Options, "operator.burn", Json::Value(Json::objectValue)));
+      callMembers(Options, "operator.burn", Json::Value(Json::objectValue)));
   std::vector<BurnSample> Samples;
   std::vector<std::string> Silent;
   for (const MemberAnswer &Each : Answers) {
@@ -164,7 +172,7 @@
       Silent.push_back(Each.Name);
     for (const Json::Value &Value : Each.Answer["samples"]) {
       BurnSample Sample;
-      if (readSample(Value, Sample))
+      if (parseSample(Value, Sample))
         Samples.push_back(std::move(Sample));
     }
   }
@@ -172,7 +180,7 @@
   return Options.IsCsv ? formatBurnCsv(Report) : formatBurnText(Report);
 }
 
-static std::string describeHeld(const Json::Value &Each) {
+static std::string formatPoisonRequest(const Json::Value &Each) {
   std::string Text = fmt::format(
       "  asks {} ends {} last {:.0f} s ago", Each["asks"].asString(),
       Each["ends"].asUInt64(), Each["last-end-s"].asDouble());
@@ -185,7 +193,7 @@
 Result<std::string> runHeld(const OperatorOptions &Options) {
   BOOST_OUTCOME_TRY(
       std::vector<MemberAnswer> Answers,
-      askFleet(Options, "operator.held", Json::Value(Json::objectValue)));
+      callMembers(Options, "operator.held", Json::Value(Json::objectValue)));
   std::string Text;
   for (const MemberAnswer &Each : Answers) {
     if (!Each.IsAnswered) {
@@ -195,12 +203,12 @@
     Text += fmt::format("daemon {} suspects {} requests\n", Each.Name,
                         Each.Answer["requests"].size());
     for (const Json::Value &Row : Each.Answer["requests"])
-      Text += describeHeld(Row);
+      Text += formatPoisonRequest(Row);
   }
   return Text;
 }
 
-static std::string describeOrganisation(const Json::Value &Each) {
+static std::string formatOrganisation(const Json::Value &Each) {
   return fmt::format(
       "  {} limit {:.1f}/s, asked here {:.1f}/s and in the fleet {:.1f}/s, "
       "tokens {:.0f}, admitted {}, refused {}, daemons not heard {}\n",
@@ -212,8 +220,8 @@
 
 Result<std::string> runOrganisations(const OperatorOptions &Options) {
   BOOST_OUTCOME_TRY(std::vector<MemberAnswer> Answers,
-                    askFleet(Options, "operator.organisations",
-                             Json::Value(Json::objectValue)));
+                    callMembers(Options, "operator.organisations",
+                                Json::Value(Json::objectValue)));
   std::string Text;
   for (const MemberAnswer &Each : Answers) {
     if (!Each.IsAnswered) {
@@ -222,7 +230,7 @@
     }
     Text += fmt::format("daemon {}\n", Each.Name);
     for (const Json::Value &Row : Each.Answer["organisations"])
-      Text += describeOrganisation(Row);
+      Text += formatOrganisation(Row);
   }
   return Text;
 }
--- a/lib/Operator/LogCommands.cpp
+++ b/lib/Operator/LogCommands.cpp
@@ -1,4 +1,4 @@
-//===- LogCommands.cpp - Commands about the daemons' logs -----------------===//
+//===- LogCommands.cpp - Commands that query the daemons' logs ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads files only: logs are at hand when daemons are not.
+/// Implements the queries of logs. They read only files, so they work while no
+/// daemon is reachable.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,30 +28,30 @@
   return describeRequest(Options.Words[0], Lines);
 }
 
-/// Makes a table over the logs that the command names.
+/// Builds a table from the log files in the command's arguments.
 static Result<std::string>
-tabulate(const OperatorOptions &Options,
-         std::string (*Make)(const std::vector<LogLine> &)) {
+buildTable(const OperatorOptions &Options,
+           std::string (*MakeTable)(const std::vector<LogLine> &)) {
   if (Options.Words.empty())
     return makeError(ErrorKind::InvalidArgument, "needs the files to look in");
   BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Options.Words));
-  return Make(Lines);
+  return MakeTable(Lines);
 }
 
 Result<std::string> runLosses(const OperatorOptions &Options) {
-  return tabulate(Options, makeLossTable);
+  return buildTable(Options, makeLossTable);
 }
 
 Result<std::string> runEntries(const OperatorOptions &Options) {
-  return tabulate(Options, makeEntryTable);
+  return buildTable(Options, makeEntryTable);
 }
 
 Result<std::string> runCopies(const OperatorOptions &Options) {
-  return tabulate(Options, makeReplicaTable);
+  return buildTable(Options, makeReplicaTable);
 }
 
 Result<std::string> runSuspects(const OperatorOptions &Options) {
-  return tabulate(Options, makePoisonRequestTable);
+  return buildTable(Options, makePoisonRequestTable);
 }
 
 } // namespace canvaswick
--- a/lib/Operator/LogLines.cpp
+++ b/lib/Operator/LogLines.cpp
@@ -1,4 +1,4 @@
-//===- LogLines.cpp - Reads the daemons' log lines ------------------------===//
+//===- LogLines.cpp - Parser for the daemons' log lines -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Lines that are not a daemon's are passed over: logs are cut and mixed.
+/// Skips lines that are not a daemon's, since log files may be truncated or
+/// mixed with the output of other programs.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +30,8 @@
   return std::strtod(this->get(Name).c_str(), nullptr);
 }
 
-/// Finds where the level stands, with a space on both sides.
+/// Returns the position of the space before the first level that has a space on
+/// both sides, or npos if there is none.
 static size_t findLevel(const std::string &Text) {
   static constexpr std::array<const char *, 3> Levels = {" info ", " warning ",
                                                          " error "};
@@ -39,24 +41,25 @@
   return First;
 }
 
-/// Takes the next word off Text from Place on; one that begins a quotation ends
-/// with it.
-static std::string takeWord(const std::string &Text, size_t &Place) {
-  Place = std::min(Text.find_first_not_of(' ', Place), Text.size());
-  const size_t Begin = Place;
+/// Returns the next word of Text at or after Position and moves Position to its
+/// end. Spaces within quotes don't end a word.
+static std::string readWord(const std::string &Text, size_t &Position) {
+  Position = std::min(Text.find_first_not_of(' ', Position), Text.size());
+  const size_t Begin = Position;
   bool IsQuoted = false;
-  for (; Place < Text.size() && (IsQuoted || Text[Place] != ' '); ++Place) {
-    if (Text[Place] == '\\' && IsQuoted)
-      ++Place;
-    else if (Text[Place] == '"')
+  for (; Position < Text.size() && (IsQuoted || Text[Position] != ' ');
+       ++Position) {
+    if (Text[Position] == '\\' && IsQuoted)
+      ++Position;
+    else if (Text[Position] == '"')
       IsQuoted = !IsQuoted;
   }
-  Place = std::min(Place, Text.size());
-  return Text.substr(Begin, Place - Begin);
+  Position = std::min(Position, Text.size());
+  return Text.substr(Begin, Position - Begin);
 }
 
-/// Returns the last word of Text and leaves what is before it.
-static std::string takeLastWord(std::string &Text) {
+/// Removes the last word from Text and returns it.
+static std::string removeLastWord(std::string &Text) {
   const size_t End = Text.find_last_not_of(' ');
   if (End == std::string::npos)
     return "";
@@ -73,20 +76,20 @@
   if (Level == std::string::npos)
     return std::nullopt;
   std::string Before = Text.substr(0, Level);
-  const std::string Time = takeLastWord(Before);
+  const std::string Time = removeLastWord(Before);
   char *End = nullptr;
   LogLine Line;
   Line.Seconds = std::strtod(Time.c_str(), &End);
   if (Time.empty() || *End != '\0')
     return std::nullopt;
-  const std::string Source = takeLastWord(Before);
+  const std::string Source = removeLastWord(Before);
   Line.Source = Source.empty() ? File : Source;
   Line.Text = Text.substr(Level + 1);
-  size_t Place = 0;
-  Line.Level = takeWord(Line.Text, Place);
-  Line.Event = takeWord(Line.Text, Place);
-  while (Place < Line.Text.size()) {
-    const std::string Word = takeWord(Line.Text, Place);
+  size_t Position = 0;
+  Line.Level = readWord(Line.Text, Position);
+  Line.Event = readWord(Line.Text, Position);
+  while (Position < Line.Text.size()) {
+    const std::string Word = readWord(Line.Text, Position);
     const size_t Equals = Word.find('=');
     if (Equals != std::string::npos)
       Line.Fields[Word.substr(0, Equals)] = Word.substr(Equals + 1);
@@ -94,7 +97,7 @@
   return Line;
 }
 
-/// Returns the last part of a path.
+/// Returns the last component of a path.
 static std::string getFileName(const std::string &Path) {
   const size_t Slash = Path.find_last_of('/');
   return Slash == std::string::npos ? Path : Path.substr(Slash + 1);
--- a/lib/Operator/LogTables.cpp
+++ b/lib/Operator/LogTables.cpp
@@ -1,4 +1,4 @@
-//===- LogTables.cpp - What logs tell of entries and requests -------------===//
+//===- LogTables.cpp - Tables of entries, replicas and requests -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Counts by key over all lines; no judgement beyond what lines say.
+/// Groups the log lines by entry, daemon or request fingerprint and counts
+/// them, without inferring anything that they don't state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,132 +21,136 @@
 
 namespace canvaswick {
 
-/// Cut off fewer times than this, a request is one of many that met a server's
-/// end.
-static constexpr size_t LeastCutOffs = 2;
+/// A request that was cut off fewer times than this is not reported: it may
+/// have been one of many that were running when a server crashed.
+static constexpr size_t MinCutOffs = 2;
 
 namespace {
 
-struct RefusedEntry {
+/// What the logs hold about one rejected store entry.
+struct RejectedEntry {
   size_t Count = 0;
   std::set<std::string> Sources;
-  std::string What;
+  std::string LastError;
 };
 
-/// What a daemon has of the store, as far as its log tells.
-struct LoggedCopy {
-  /// Epoch and revision.
-  std::string At = "-";
+/// The state of a daemon's replica of the store, according to its log.
+struct LoggedReplica {
+  /// The position of the replica as EPOCH:REVISION.
+  std::string Position = "-";
   double Seconds = 0;
   std::string Version = "-";
   size_t Restores = 0;
 };
 
-struct LoggedSuspect {
+/// What the logs hold about all requests with one fingerprint.
+struct LoggedFingerprint {
   std::string Route;
   size_t Requests = 0;
   size_t CutOffs = 0;
   size_t Answered = 0;
   std::set<std::string> Servers;
-  std::set<std::string> HeldAt;
+  std::set<std::string> QuarantinedAt;
 
-  bool isWorthTelling() const {
-    return this->CutOffs >= LeastCutOffs || !this->HeldAt.empty();
+  bool isReportable() const {
+    return this->CutOffs >= MinCutOffs || !this->QuarantinedAt.empty();
   }
 };
 
 } // namespace
 
 std::string makeEntryTable(const std::vector<LogLine> &Lines) {
-  std::map<std::string, RefusedEntry> Entries;
+  std::map<std::string, RejectedEntry> Entries;
   for (const LogLine &Line : Lines) {
-    std::string Whose;
+    std::string Subject;
     if (Line.Event == "server-refused")
-      Whose = "server " + Line.get("server");
+      Subject = "server " + Line.get("server");
     else if (Line.Event == "daemon-refused")
-      Whose = "daemon " + Line.get("daemon");
+      Subject = "daemon " + Line.get("daemon");
     else if (Line.Event == "suspects-refused")
-      Whose = "suspects";
+      Subject = "suspects";
     else
       continue;
-    RefusedEntry &Entry = Entries[Whose];
+    RejectedEntry &Entry = Entries[Subject];
     ++Entry.Count;
     Entry.Sources.insert(Line.Source);
-    Entry.What = Line.get("what");
+    Entry.LastError = Line.get("what");
   }
   std::string Text;
-  for (const auto &[Whose, Entry] : Entries)
-    Text += fmt::format("{}: refused {} times by {} daemons, last {}\n", Whose,
-                        Entry.Count, Entry.Sources.size(), Entry.What);
+  for (const auto &[Subject, Entry] : Entries)
+    Text +=
+        fmt::format("{}: refused {} times by {} daemons, last {}\n", Subject,
+                    Entry.Count, Entry.Sources.size(), Entry.LastError);
   return Text.empty() ? "no entry was refused\n" : Text;
 }
 
 std::string makeReplicaTable(const std::vector<LogLine> &Lines) {
-  std::map<std::string, LoggedCopy> Copies;
+  std::map<std::string, LoggedReplica> Replicas;
   for (const LogLine &Line : Lines) {
-    LoggedCopy &Copy = Copies[Line.Source];
+    LoggedReplica &Replica = Replicas[Line.Source];
     if (Line.Event == "copy-advanced") {
-      Copy.At = Line.get("to");
-      Copy.Seconds = Line.Seconds;
+      Replica.Position = Line.get("to");
+      Replica.Seconds = Line.Seconds;
     } else if (Line.Event == "settings-in-force") {
-      Copy.Version = Line.get("version");
+      Replica.Version = Line.get("version");
     } else if (Line.Event == "store-restored") {
-      Copy.At = Line.get("to");
-      Copy.Seconds = Line.Seconds;
-      ++Copy.Restores;
+      Replica.Position = Line.get("to");
+      Replica.Seconds = Line.Seconds;
+      ++Replica.Restores;
     }
   }
   std::string Text;
-  for (const auto &[Daemon, Copy] : Copies)
-    Text +=
-        fmt::format("{}: copy of the store at {} since {:.3f}, version {} "
-                    "in force, {} restores of the store\n",
-                    Daemon, Copy.At, Copy.Seconds, Copy.Version, Copy.Restores);
+  for (const auto &[Daemon, Replica] : Replicas)
+    Text += fmt::format("{}: copy of the store at {} since {:.3f}, version {} "
+                        "in force, {} restores of the store\n",
+                        Daemon, Replica.Position, Replica.Seconds,
+                        Replica.Version, Replica.Restores);
   return Text;
 }
 
-static void addAttempts(LoggedSuspect &Suspect, const LogLine &Line) {
-  ++Suspect.Requests;
-  Suspect.Route = Line.get("route");
-  for (const LoggedAttempt &Each : decodeAttempts(Line)) {
-    if (Each.Outcome == "good")
-      ++Suspect.Answered;
-    if (Each.Outcome != "cut-off")
+static void addAttempts(LoggedFingerprint &Logged, const LogLine &Line) {
+  ++Logged.Requests;
+  Logged.Route = Line.get("route");
+  for (const LoggedAttempt &Attempt : decodeAttempts(Line)) {
+    if (Attempt.Outcome == "good")
+      ++Logged.Answered;
+    if (Attempt.Outcome != "cut-off")
       continue;
-    ++Suspect.CutOffs;
-    Suspect.Servers.insert(Each.Server);
+    ++Logged.CutOffs;
+    Logged.Servers.insert(Attempt.Server);
   }
 }
 
-static std::string describe(const std::string &Asks,
-                            const LoggedSuspect &Suspect) {
+static std::string describeFingerprint(const std::string &Fingerprint,
+                                       const LoggedFingerprint &Logged) {
   std::string Text = fmt::format(
       "asks {}: route {}, {} requests, {} cut off at {} servers, {} answered",
-      Asks, Suspect.Route, Suspect.Requests, Suspect.CutOffs,
-      Suspect.Servers.size(), Suspect.Answered);
-  if (!Suspect.HeldAt.empty())
-    Text += fmt::format(", held back at {} daemons", Suspect.HeldAt.size());
+      Fingerprint, Logged.Route, Logged.Requests, Logged.CutOffs,
+      Logged.Servers.size(), Logged.Answered);
+  if (!Logged.QuarantinedAt.empty())
+    Text +=
+        fmt::format(", held back at {} daemons", Logged.QuarantinedAt.size());
   Text += "\n ";
-  for (const std::string &Server : Suspect.Servers)
+  for (const std::string &Server : Logged.Servers)
     Text += " " + Server;
   return Text + "\n";
 }
 
 std::string makePoisonRequestTable(const std::vector<LogLine> &Lines) {
-  std::map<std::string, LoggedSuspect> Suspects;
+  std::map<std::string, LoggedFingerprint> Fingerprints;
   for (const LogLine &Line : Lines) {
-    const std::string Asks = Line.get("asks");
-    if (Asks.empty())
+    const std::string Fingerprint = Line.get("asks");
+    if (Fingerprint.empty())
       continue;
     if (Line.Event == "request")
-      addAttempts(Suspects[Asks], Line);
+      addAttempts(Fingerprints[Fingerprint], Line);
     else if (Line.Event == "request-held-back")
-      Suspects[Asks].HeldAt.insert(Line.Source);
+      Fingerprints[Fingerprint].QuarantinedAt.insert(Line.Source);
   }
   std::string Text;
-  for (const auto &[Asks, Suspect] : Suspects)
-    if (Suspect.isWorthTelling())
-      Text += describe(Asks, Suspect);
+  for (const auto &[Fingerprint, Logged] : Fingerprints)
+    if (Logged.isReportable())
+      Text += describeFingerprint(Fingerprint, Logged);
   return Text.empty() ? "no request was cut off more than once\n" : Text;
 }
 
--- a/lib/Operator/LossTable.cpp
+++ b/lib/Operator/LossTable.cpp
@@ -1,4 +1,4 @@
-//===- LossTable.cpp - Where requests were lost ---------------------------===//
+//===- LossTable.cpp - Failed attempts by knowledge of the server ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Counts attempts by route, order, moment and outcome.
+/// Counts attempts by route, by first or later attempt, by ServerKnowledge and
+/// by outcome.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,14 +21,16 @@
 
 namespace canvaswick {
 
-/// From this probability of sickness on, a server counts as suspect: about
-/// three times what is left a second after a good answer.
-static constexpr double SuspectSickness = 0.1;
+/// A server counts as suspect from this probability of being unhealthy on. It
+/// is about three times the probability that remains one second after a good
+/// answer.
+static constexpr double MinSuspectProbability = 0.1;
 
-/// From this many requests on a server counts as loaded: slots are few.
-static constexpr double LoadedFrom = 3;
+/// A server counts as loaded from this many requests in flight on. The number
+/// is low because servers have few slots.
+static constexpr double MinLoad = 3;
 
-static constexpr EnumNames<ServerKnowledge, 5> MomentNames = {{
+static constexpr EnumNames<ServerKnowledge, 5> KnowledgeNames = {{
     {ServerKnowledge::Test, "test"},
     {ServerKnowledge::Suspect, "suspect"},
     {ServerKnowledge::Loaded, "loaded"},
@@ -35,8 +38,8 @@
     {ServerKnowledge::Unknown, "unknown"},
 }};
 
-const char *getName(ServerKnowledge Moment) {
-  return getEnumName(MomentNames, Moment);
+const char *getName(ServerKnowledge Knowledge) {
+  return getEnumName(KnowledgeNames, Knowledge);
 }
 
 ServerKnowledge classifyAttempt(const LoggedAttempt &Attempt) {
@@ -44,15 +47,15 @@
     return ServerKnowledge::Unknown;
   if (Attempt.IsTest)
     return ServerKnowledge::Test;
-  if (Attempt.UnhealthyProbability >= SuspectSickness)
+  if (Attempt.UnhealthyProbability >= MinSuspectProbability)
     return ServerKnowledge::Suspect;
-  return Attempt.Load >= LoadedFrom ? ServerKnowledge::Loaded
-                                    : ServerKnowledge::Unsuspected;
+  return Attempt.Load >= MinLoad ? ServerKnowledge::Loaded
+                                 : ServerKnowledge::Unsuspected;
 }
 
 namespace {
 
-/// What came of the attempts of one row.
+/// The outcomes of the attempts in one row of the table.
 struct LossRow {
   size_t All = 0;
   std::map<std::string, size_t> Outcomes;
@@ -61,7 +64,7 @@
 /// The attempts of one route.
 struct RouteLosses {
   size_t Requests = 0;
-  /// By whether it was a later attempt, and its moment.
+  /// The rows by whether the attempts were later ones, and by ServerKnowledge.
   std::map<std::pair<bool, ServerKnowledge>, LossRow> Rows;
 };
 
@@ -70,21 +73,21 @@
 static void addRequest(RouteLosses &Losses, const LogLine &Line) {
   ++Losses.Requests;
   bool IsLater = false;
-  for (const LoggedAttempt &Each : decodeAttempts(Line)) {
-    LossRow &Row = Losses.Rows[{IsLater, classifyAttempt(Each)}];
+  for (const LoggedAttempt &Attempt : decodeAttempts(Line)) {
+    LossRow &Row = Losses.Rows[{IsLater, classifyAttempt(Attempt)}];
     ++Row.All;
-    ++Row.Outcomes[Each.Outcome];
+    ++Row.Outcomes[Attempt.Outcome];
     IsLater = true;
   }
 }
 
-static std::string formatRow(bool IsLater, ServerKnowledge Moment,
+static std::string formatRow(bool IsLater, ServerKnowledge Knowledge,
                              const LossRow &Row) {
   const auto Good = Row.Outcomes.find("good");
   const size_t Bad = Row.All - (Good == Row.Outcomes.end() ? 0 : Good->second);
   std::string Text = fmt::format(
       "  {:5} {:11} {:6}  not good {:5.1f} % ", IsLater ? "later" : "first",
-      getName(Moment), Row.All,
+      getName(Knowledge), Row.All,
       100.0 * static_cast<double>(Bad) / static_cast<double>(Row.All));
   for (const auto &[Outcome, Count] : Row.Outcomes)
     Text += fmt::format(" {} {}", Count, Outcome);
@@ -96,14 +99,14 @@
   for (const LogLine &Line : Lines)
     if (Line.Event == "request" && !Line.get("route").empty())
       addRequest(Routes[Line.get("route")], Line);
-  std::vector<std::pair<std::string, RouteLosses>> Order(Routes.begin(),
-                                                         Routes.end());
-  std::stable_sort(Order.begin(), Order.end(),
+  std::vector<std::pair<std::string, RouteLosses>> Sorted(Routes.begin(),
+                                                          Routes.end());
+  std::stable_sort(Sorted.begin(), Sorted.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.second.Requests > Right.second.Requests;
                    });
   std::string Text;
-  for (const auto &[Route, Losses] : Order) {
+  for (const auto &[Route, Losses] : Sorted) {
     Text += fmt::format("route {}: {} requests\n", Route, Losses.Requests);
     for (const auto &[Key, Row] : Losses.Rows)
       Text += formatRow(Key.first, Key.second, Row);
--- a/lib/Operator/RequestReport.cpp
+++ b/lib/Operator/RequestReport.cpp
@@ -1,4 +1,4 @@
-//===- RequestReport.cpp - What the logs tell of one request --------------===//
+//===- RequestReport.cpp - Report on one request from the logs ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Counts outcomes by server and time; no judgement beyond what lines say.
+/// Counts outcomes by server and time, without inferring anything that the log
+/// lines don't state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,56 +23,59 @@
 
 namespace canvaswick {
 
-/// How long before and after an attempt others' attempts at the same server are
-/// counted: a spell of sickness lasts some seconds.
-static constexpr double AroundSeconds = 2;
+/// Other requests' attempts at the same server are counted within this time
+/// before and after an attempt. A failure episode lasts some seconds.
+static constexpr double OtherAttemptsSeconds = 2;
 
-/// How long before a request's end changes of state are listed: what took
-/// effect on it came within the bounds on settings and on leaving servers.
+/// Changes of state are listed within this time before the end of a request.
+/// The time limits for applying settings and notices of leaving servers are
+/// shorter, so the list has the changes that could affect the request.
 static constexpr double ChangesSeconds = 5;
 
-/// Most changes that are listed.
+/// The maximum number of changes that are listed.
 static constexpr size_t MaxChanges = 20;
 
-/// Returns whether a line tells of a request, and not of a change of state.
+/// Returns whether a line is about a request. All others report a change of
+/// state.
 static bool isOfRequest(const LogLine &Line) { return Line.Event == "request"; }
 
-/// Takes the text up to the next Mark off Text.
-static std::string takeUntil(std::string &Text, char Mark) {
-  const size_t Place = std::min(Text.find(Mark), Text.size());
-  std::string Taken = Text.substr(0, Place);
-  Text.erase(0, std::min(Place + 1, Text.size()));
-  return Taken;
+/// Removes the text up to and including the first Delimiter, or all of Text,
+/// and returns what precedes the delimiter.
+static std::string removeUntil(std::string &Text, char Delimiter) {
+  const size_t Position = std::min(Text.find(Delimiter), Text.size());
+  std::string Removed = Text.substr(0, Position);
+  Text.erase(0, std::min(Position + 1, Text.size()));
+  return Removed;
 }
 
 /// Decodes SERVER:OUTCOME:TIMEms:share=SHARE[:sick=PROBABILITY:load=REQUESTS
-/// [:test]]. Returns false if the first part is something else.
+/// [:test]]. Returns false if Text doesn't match up to the share.
 static bool decodeAttempt(std::string Text, LoggedAttempt &Attempt) {
-  Attempt.Server = takeUntil(Text, ':');
-  Attempt.Outcome = takeUntil(Text, ':');
-  Attempt.Milliseconds = std::strtod(takeUntil(Text, ':').c_str(), nullptr);
-  if (takeUntil(Text, '=') != "share")
+  Attempt.Server = removeUntil(Text, ':');
+  Attempt.Outcome = removeUntil(Text, ':');
+  Attempt.Milliseconds = std::strtod(removeUntil(Text, ':').c_str(), nullptr);
+  if (removeUntil(Text, '=') != "share")
     return false;
-  Attempt.Share = std::strtod(takeUntil(Text, ':').c_str(), nullptr);
-  if (takeUntil(Text, '=') == "sick")
+  Attempt.Share = std::strtod(removeUntil(Text, ':').c_str(), nullptr);
+  if (removeUntil(Text, '=') == "sick")
     Attempt.UnhealthyProbability =
-        std::strtod(takeUntil(Text, ':').c_str(), nullptr);
-  if (takeUntil(Text, '=') == "load")
-    Attempt.Load = std::strtod(takeUntil(Text, ':').c_str(), nullptr);
+        std::strtod(removeUntil(Text, ':').c_str(), nullptr);
+  if (removeUntil(Text, '=') == "load")
+    Attempt.Load = std::strtod(removeUntil(Text, ':').c_str(), nullptr);
   Attempt.IsTest = Text == "test";
   return !Attempt.Server.empty() && !Attempt.Outcome.empty();
 }
 
 std::vector<LoggedAttempt> decodeAttempts(const LogLine &Line) {
   std::vector<LoggedAttempt> Attempts;
-  std::string Trail = Line.get("tries");
-  double At = Line.Seconds - Line.getNumber("ms") / 1000;
-  while (!Trail.empty()) {
+  std::string Encoded = Line.get("tries");
+  double EndTime = Line.Seconds - Line.getNumber("ms") / 1000;
+  while (!Encoded.empty()) {
     LoggedAttempt Attempt;
-    if (!decodeAttempt(takeUntil(Trail, ','), Attempt))
+    if (!decodeAttempt(removeUntil(Encoded, ','), Attempt))
       continue;
-    At += Attempt.Milliseconds / 1000;
-    Attempt.Ended = At;
+    EndTime += Attempt.Milliseconds / 1000;
+    Attempt.Ended = EndTime;
     Attempts.push_back(std::move(Attempt));
   }
   return Attempts;
@@ -79,7 +83,7 @@
 
 namespace {
 
-/// What came of attempts at one server within a span of time.
+/// Counts a set of attempts by outcome, and the daemons that logged them.
 struct OutcomeSummary {
   std::map<std::string, size_t> Counts;
   std::set<std::string> Sources;
@@ -96,7 +100,8 @@
 
 } // namespace
 
-/// Counts what came of others' attempts at a server that ended within a span.
+/// Counts the outcomes of attempts at a server that ended within a span of
+/// time, except those of the request with this id.
 static OutcomeSummary countOutcomes(const std::vector<LogLine> &Lines,
                                     const std::string &Id,
                                     const std::string &Server, double From,
@@ -105,18 +110,19 @@
   for (const LogLine &Line : Lines) {
     if (!isOfRequest(Line) || Line.get("id") == Id)
       continue;
-    for (const LoggedAttempt &Each : decodeAttempts(Line)) {
-      if (Each.Server != Server || Each.Ended < From || Each.Ended > Until)
+    for (const LoggedAttempt &Attempt : decodeAttempts(Line)) {
+      if (Attempt.Server != Server || Attempt.Ended < From ||
+          Attempt.Ended > Until)
         continue;
-      ++Summary.Counts[Each.Outcome];
+      ++Summary.Counts[Attempt.Outcome];
       Summary.Sources.insert(Line.Source);
     }
   }
   return Summary;
 }
 
-/// Lists what changed before the request ended, the last changes of the daemon
-/// that served it.
+/// Lists the last changes of state that the daemon that served the request
+/// logged before the request ended.
 static std::string listChanges(const std::vector<LogLine> &Lines,
                                const LogLine &Request) {
   std::vector<std::string> Changes;
@@ -139,40 +145,42 @@
   return Text;
 }
 
-/// Tells of one attempt and of what others saw of its server.
-static std::string tellAttempt(const std::vector<LogLine> &Lines,
-                               const std::string &Id,
-                               const LoggedAttempt &Attempt) {
-  const OutcomeSummary Before = countOutcomes(
-      Lines, Id, Attempt.Server, Attempt.Ended - AroundSeconds, Attempt.Ended);
-  const OutcomeSummary After = countOutcomes(
-      Lines, Id, Attempt.Server, Attempt.Ended, Attempt.Ended + AroundSeconds);
+/// Describes one attempt and the outcomes of other requests at its server.
+static std::string describeAttempt(const std::vector<LogLine> &Lines,
+                                   const std::string &Id,
+                                   const LoggedAttempt &Attempt) {
+  const OutcomeSummary Before =
+      countOutcomes(Lines, Id, Attempt.Server,
+                    Attempt.Ended - OtherAttemptsSeconds, Attempt.Ended);
+  const OutcomeSummary After =
+      countOutcomes(Lines, Id, Attempt.Server, Attempt.Ended,
+                    Attempt.Ended + OtherAttemptsSeconds);
   return fmt::format("attempt at {}: {} after {:.0f} ms, with {:.3f} of its "
                      "fair share\n"
                      "  others there in the {:.0f} s before: {}\n"
                      "  others there in the {:.0f} s after: {}\n",
                      Attempt.Server, Attempt.Outcome, Attempt.Milliseconds,
-                     Attempt.Share, AroundSeconds, Before.format(),
-                     AroundSeconds, After.format());
+                     Attempt.Share, OtherAttemptsSeconds, Before.format(),
+                     OtherAttemptsSeconds, After.format());
 }
 
-/// Tells what came of all other requests that asked for the same thing. A
-/// request under which servers end shows as cut off everywhere, one that is
-/// often asked for as good elsewhere.
-static std::string tellEqual(const std::vector<LogLine> &Lines,
-                             const LogLine &Request) {
-  const std::string Asks = Request.get("asks");
-  if (Asks.empty())
+/// Describes the outcomes of all other requests with the same fingerprint. A
+/// poison request was cut off everywhere, whereas a frequent harmless request
+/// was good elsewhere.
+static std::string describeEqualRequests(const std::vector<LogLine> &Lines,
+                                         const LogLine &Request) {
+  const std::string Fingerprint = Request.get("asks");
+  if (Fingerprint.empty())
     return "";
   OutcomeSummary Summary;
   size_t Count = 0;
   for (const LogLine &Line : Lines) {
-    if (!isOfRequest(Line) || Line.get("asks") != Asks ||
+    if (!isOfRequest(Line) || Line.get("asks") != Fingerprint ||
         Line.get("id") == Request.get("id"))
       continue;
     ++Count;
-    for (const LoggedAttempt &Each : decodeAttempts(Line)) {
-      ++Summary.Counts[Each.Outcome];
+    for (const LoggedAttempt &Attempt : decodeAttempts(Line)) {
+      ++Summary.Counts[Attempt.Outcome];
       Summary.Sources.insert(Line.Source);
     }
   }
@@ -188,8 +196,8 @@
       continue;
     Text += fmt::format("{:.3f} {} {}\n", Line.Seconds, Line.Source, Line.Text);
     for (const LoggedAttempt &Attempt : decodeAttempts(Line))
-      Text += tellAttempt(Lines, Id, Attempt);
-    Text += tellEqual(Lines, Line);
+      Text += describeAttempt(Lines, Id, Attempt);
+    Text += describeEqualRequests(Lines, Line);
     Text += fmt::format("changes at {} in the {:.0f} s before:\n", Line.Source,
                         ChangesSeconds);
     Text += listChanges(Lines, Line);
--- a/lib/Operator/SettingsCommands.cpp
+++ b/lib/Operator/SettingsCommands.cpp
@@ -1,4 +1,4 @@
-//===- SettingsCommands.cpp - Commands about the settings -----------------===//
+//===- SettingsCommands.cpp - Commands for the settings -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Check, show, compare, publish, drain.
+/// Implements the commands that check, show, compare and publish settings, and
+/// those that drain a server.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,8 +25,9 @@
 
 namespace canvaswick {
 
-/// Tries to apply an edit to the newest tree when others publish meanwhile.
-static constexpr int EditTries = 5;
+/// The maximum number of attempts to apply an edit to the newest tree while
+/// others publish.
+static constexpr int MaxEditAttempts = 5;
 
 static Result<SettingsTree> loadTree(const std::string &Path) {
   BOOST_OUTCOME_TRY(std::string Text, readFile(Path));
@@ -65,7 +67,7 @@
   return Address;
 }
 
-/// Reads a version's manifest: the newest for a negative number.
+/// Reads the manifest of a version, or the newest one if Version is negative.
 static Result<ConfigManifest> readVersion(ConfigPublisher &Publisher,
                                           int64_t Version) {
   if (Version < 0)
@@ -144,16 +146,16 @@
   const SettingLevels Levels = levelBit(SettingLevel::Region) |
                                levelBit(SettingLevel::Service) |
                                levelBit(SettingLevel::Server);
-  std::string Out;
+  std::string Lines;
   for (const SettingSpec &Spec : getSettingTable()) {
     if ((Spec.Levels & Levels) == 0)
       continue;
     const EffectiveSetting Value = Tree.lookup(*Node, Spec.Key);
-    Out +=
+    Lines +=
         fmt::format("{} = {} ({})\n", Spec.Name,
                     formatSettingValue(Spec, Value.Value), getName(Value.From));
   }
-  return Out;
+  return Lines;
 }
 
 static std::string makeChangeId() {
@@ -170,8 +172,9 @@
   return Request;
 }
 
-/// Says how to find out about a change whose fate is not known.
-static Error explainUnknown(Error Failure, const ConfigRequest &Request) {
+/// Adds to an error with an unknown outcome how to find out whether the change
+/// was published.
+static Error addRecoveryHint(Error Failure, const ConfigRequest &Request) {
   if (Failure.Kind == ErrorKind::OutcomeUnknown)
     Failure.Message += fmt::format(
         "; the change may have landed: ask 'canvaswickctl landed --change {}'",
@@ -192,12 +195,13 @@
   ConfigPublisher Publisher(Platform);
   Result<uint64_t> Version = Publisher.publish(Request, readCalendarMillis());
   if (!Version)
-    return outcome::failure(explainUnknown(Version.error(), Request));
+    return outcome::failure(addRecoveryHint(Version.error(), Request));
   return fmt::format("accepted as version {}, change {}\n", Version.value(),
                      Request.ChangeId);
 }
 
-/// Sets one server's state in the newest tree, anew if others publish.
+/// Sets the state of one server in the newest tree. Retries if others publish
+/// a version at the same time.
 static Result<std::string> setState(const OperatorOptions &Options,
                                     const char *State) {
   if (Options.Words.size() != 1)
@@ -208,7 +212,7 @@
   ConfigRequest Request = makeRequest(Options);
   Request.FileName = "platform";
   Request.Note = fmt::format("{} {}", State, Options.Words[0]);
-  for (int Try = 0; Try < EditTries; ++Try) {
+  for (int Attempt = 0; Attempt < MaxEditAttempts; ++Attempt) {
     BOOST_OUTCOME_TRY(ConfigManifest Manifest, Publisher.readManifest());
     BOOST_OUTCOME_TRY(std::string Text, Publisher.readTree(Manifest));
     BOOST_OUTCOME_TRY(Request.Text,
@@ -221,7 +225,7 @@
       return fmt::format("{} is {} from version {}\n", Options.Words[0], State,
                          Version.value());
     if (Version.error().Kind != ErrorKind::Conflict)
-      return outcome::failure(explainUnknown(Version.error(), Request));
+      return outcome::failure(addRecoveryHint(Version.error(), Request));
   }
   return makeError(ErrorKind::Conflict, "others keep changing the settings");
 }
--- a/lib/Operator/TreeText.cpp
+++ b/lib/Operator/TreeText.cpp
@@ -1,4 +1,4 @@
-//===- TreeText.cpp - Edits and compares settings trees as text -----------===//
+//===- TreeText.cpp - Edits and diffs of settings trees -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Works on lines, so that whatever people wrote around a value stays.
+/// Edits the text line by line, so that comments and layout around a value
+/// stay.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,8 @@
 
 namespace canvaswick {
 
-static bool setsKey(const std::string &Line, const std::string &Key) {
+/// Returns whether a line assigns a value to Key.
+static bool assignsKey(const std::string &Line, const std::string &Key) {
   const size_t Equals = Line.find('=');
   return Equals != std::string::npos && trimText(Line.substr(0, Equals)) == Key;
 }
@@ -37,7 +39,7 @@
     const bool IsHeader = !Line.empty() && Line[0] == '[';
     if (IsHeader)
       IsInside = trimText(Line) == "[" + Section + "]";
-    if (IsInside && !IsHeader && setsKey(Line, Key))
+    if (IsInside && !IsHeader && assignsKey(Line, Key))
       continue;
     Out += Line + "\n";
     if (!IsHeader || !IsInside || IsFound)
@@ -52,7 +54,8 @@
 
 using KeyedValues = std::map<std::string, std::string>;
 
-/// Returns every value by "[section] key", and each section itself.
+/// Returns all values by "[section] key = ", and an empty value for each
+/// section by "[section]".
 static KeyedValues listValues(const IniDocument &Document) {
   KeyedValues Values;
   for (const IniSection &Section : Document.Sections) {
--- a/unittests/Operator/LogTablesTest.cpp
+++ b/unittests/Operator/LogTablesTest.cpp
@@ -1,4 +1,4 @@
-//===- LogTablesTest.cpp - Tests of tables over logs ----------------------===//
+//===- LogTablesTest.cpp - Tests of tables built from logs ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Entries that were refused and requests under which servers ended, by lines
-/// as daemons write them.
+/// Tests the tables of rejected entries, poison requests and replicas on lines
+/// as daemons log them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
   return Lines;
 }
 
-TEST_CASE("refused entries are counted by whose they are") {
+TEST_CASE("rejected entries are counted by their subject") {
   CHECK(makeEntryTable({}) == "no entry was refused\n");
   CHECK(makeEntryTable(parseAll({
             "1 d1 6.0 error server-refused server=\"i-1\" revision=3 "
@@ -41,8 +41,8 @@
                "expected a whole number\"\n");
 }
 
-TEST_CASE("requests under which servers ended are told with what speaks for "
-          "them") {
+TEST_CASE(
+    "poison requests are listed with their cut-offs, servers and answers") {
   CHECK(makePoisonRequestTable(parseAll({
             "1 d1 6.0 info request id=a asks=7 route=r ms=2 "
             "tries=i-1:cut-off:2ms:share=1,i-2:cut-off:2ms:share=1",
@@ -56,7 +56,8 @@
                "  i-1 i-2 i-3\n");
 }
 
-TEST_CASE("how far each daemon's copy is, and in which epoch, is told") {
+TEST_CASE(
+    "the table of replicas has each daemon's epoch, revision and version") {
   const std::string Table = makeReplicaTable(parseAll(
       {"1 d1 6.0 info copy-advanced source=store call=read from=0:0 to=1:40 "
        "items=3",
--- a/unittests/Operator/LossTableTest.cpp
+++ b/unittests/Operator/LossTableTest.cpp
@@ -1,4 +1,4 @@
-//===- LossTableTest.cpp - Tests of the table of losses -------------------===//
+//===- LossTableTest.cpp - Tests of LossTable -----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What counts as which moment, and how the table looks.
+/// Tests how attempts are classified, and the format of the table.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
   return *parseLogLine(Text, "f");
 }
 
-TEST_CASE("what was known of a server when it was chosen is told by the line") {
+TEST_CASE("attempts are classified by the estimates in the log line") {
   const LogLine Line =
       parse("10.0 info request id=a ms=5 "
             "tries=i-1:good:1ms:share=0.900:sick=0.020:load=1.0,"
@@ -29,16 +29,16 @@
             "i-1:failed:1ms:share=0.100:sick=0.400:load=0.0,"
             "i-1:failed:1ms:share=0.600:sick=0.700:load=0.0:test,"
             "i-1:failed:1ms:share=0.600");
-  std::vector<ServerKnowledge> Moments;
-  for (const LoggedAttempt &Each : decodeAttempts(Line))
-    Moments.push_back(classifyAttempt(Each));
-  CHECK(Moments == std::vector<ServerKnowledge>{
-                       ServerKnowledge::Unsuspected, ServerKnowledge::Loaded,
-                       ServerKnowledge::Suspect, ServerKnowledge::Test,
-                       ServerKnowledge::Unknown});
+  std::vector<ServerKnowledge> Classified;
+  for (const LoggedAttempt &Attempt : decodeAttempts(Line))
+    Classified.push_back(classifyAttempt(Attempt));
+  CHECK(Classified == std::vector<ServerKnowledge>{
+                          ServerKnowledge::Unsuspected, ServerKnowledge::Loaded,
+                          ServerKnowledge::Suspect, ServerKnowledge::Test,
+                          ServerKnowledge::Unknown});
 }
 
-TEST_CASE("attempts are counted by route, order and moment") {
+TEST_CASE("attempts are counted by route, order and knowledge of the server") {
   const std::string Table = makeLossTable({
       parse("1.0 info request id=a route=r ms=1 "
             "tries=i-1:slow:1ms:share=1:sick=0.0:load=0,"
--- a/unittests/Operator/RequestReportTest.cpp
+++ b/unittests/Operator/RequestReportTest.cpp
@@ -1,10 +1,15 @@
-//===- RequestReportTest.cpp - Tests of what logs tell of a request -------===//
+//===- RequestReportTest.cpp - Tests of LogLines and RequestReport --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
 // SPDX-License-Identifier: Apache-2.0
 //
 //===----------------------------------------------------------------------===//
+///
+/// \file
+/// Tests the parser of log lines and the report on one request.
+///
+//===----------------------------------------------------------------------===//
 
 #include "canvaswick/Operator/RequestReport.h"
 
@@ -21,7 +26,7 @@
   return Lines;
 }
 
-TEST_CASE("a line is taken apart, whatever stands before it") {
+TEST_CASE("a line is parsed with and without the name of a daemon before it") {
   const std::optional<LogLine> Alone = parseLogLine(
       R"(12.500 warning fetch-failed peer=1.2.3.4:5 what="no answer, \"late\"")",
       "d1.log");
@@ -41,7 +46,7 @@
   CHECK(!parseLogLine("x info y", "f"));
 }
 
-TEST_CASE("attempts get the times at which they ended") {
+TEST_CASE("the end times of attempts are computed from their durations") {
   const LogLine Line = *parseLogLine(
       "10.0 info request id=a ms=500 "
       "tries=i-1:failed:100ms:share=0.250,i-2:good:400ms:share=1.000",
@@ -55,7 +60,7 @@
   CHECK(Attempts[1].Ended == doctest::Approx(10));
 }
 
-TEST_CASE("a request's story names what others saw of its server") {
+TEST_CASE("the report has the outcomes of other requests at the same server") {
   const std::vector<LogLine> Lines = parseAll({
       "1 d1 6.0 info settings-taken version=3",
       "1 d1 7.0 info settings-taken version=4",
@@ -67,9 +72,9 @@
       "1 d3 10.6 info request id=d ms=3 tries=i-2:good:3ms:share=0.9",
       "1 d3 19.0 info request id=e ms=3 tries=i-1:good:3ms:share=0.9",
   });
-  const Result<std::string> Story = describeRequest("a", Lines);
-  REQUIRE(Story);
-  CHECK(Story.value() ==
+  const Result<std::string> Report = describeRequest("a", Lines);
+  REQUIRE(Report);
+  CHECK(Report.value() ==
         "10.000 d1 info request id=a status=500 ms=2 "
         "tries=i-1:failed:2ms:share=0.900\n"
         "attempt at i-1: failed after 2 ms, with 0.900 of its fair share\n"
@@ -81,20 +86,20 @@
   CHECK(!describeRequest("nobody", Lines));
 }
 
-TEST_CASE("a request's story tells what came of equal ones elsewhere") {
+TEST_CASE("the report has the outcomes of requests with the same fingerprint") {
   const std::vector<LogLine> Lines = parseAll({
       "1 d1 10.0 info request id=a asks=7 ms=2 tries=i-1:cut-off:2ms:share=1",
       "1 d2 10.5 info request id=b asks=7 ms=2 tries=i-2:cut-off:2ms:share=1,"
       "i-3:cut-off:2ms:share=1",
       "1 d3 10.6 info request id=c asks=8 ms=3 tries=i-2:good:3ms:share=0.9",
   });
-  const Result<std::string> Story = describeRequest("a", Lines);
-  REQUIRE(Story);
-  CHECK(Story.value().find("asked for 1 more times, attempts: 2 cut-off "
-                           "(daemons: 1)\n") != std::string::npos);
+  const Result<std::string> Report = describeRequest("a", Lines);
+  REQUIRE(Report);
+  CHECK(Report.value().find("asked for 1 more times, attempts: 2 cut-off "
+                            "(daemons: 1)\n") != std::string::npos);
 }
 
-TEST_CASE("random damage to lines never ends the process") {
+TEST_CASE("malformed lines never make the parser crash") {
   CHECK(rc::check([](const std::string &Noise) {
     const std::string Text = "1.0 info request id=a ms=5 tries=" + Noise;
     if (const std::optional<LogLine> Line = parseLogLine(Text, "f"))
--- a/unittests/Operator/TreeTextTest.cpp
+++ b/unittests/Operator/TreeTextTest.cpp
@@ -1,4 +1,4 @@
-//===- TreeTextTest.cpp - Tests of edits and diffs of trees ---------------===//
+//===- TreeTextTest.cpp - Tests of TreeText -------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One value changes; everything around it stays.
+/// Tests that an edit changes one value and nothing else, and the lines of a
+/// diff.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +18,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("a value is set where it belongs and nothing else changes") {
+TEST_CASE("a value is set in its section and nothing else changes") {
   const std::string Text = "# top\n[server s/a]\n# why\naddress = 1\n\n"
                            "[server s/b]\nstate = active\naddress = 2\n";
   CHECK(setTreeValue(Text, "server s/b", "state", "draining").value() ==
@@ -29,7 +30,7 @@
   CHECK(!setTreeValue(Text, "server s/c", "state", "draining"));
 }
 
-TEST_CASE("a diff names section, key and value") {
+TEST_CASE("a diff has the section, key and value of each difference") {
   const IniDocument Old = parseIni("[a]\nx = 1\ny = 2\n", "old").value();
   const IniDocument New = parseIni("[b]\n[a]\ny = 2\nx = 3\n", "new").value();
   CHECK(diffTrees(Old, New) ==
