--- a/include/canvaswick/Json/JsonText.h
+++ b/include/canvaswick/Json/JsonText.h
@@ -1,4 +1,4 @@
-//===- JsonText.h - JSON as text --------------------------------*- C++ -*-===//
+//===- JsonText.h - Parses and writes JSON text -----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One way to read and write JSON, so that no caller repeats jsoncpp's
-/// builders.
+/// Parses and writes JSON text with jsoncpp, with the same options everywhere.
+/// Thread-safe.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,10 +21,11 @@
 
 namespace canvaswick {
 
-/// Reads Text into Value. Returns false if it is not JSON.
+/// Parses Text into Value. Returns false if Text is not JSON or is nested too
+/// deeply for jsoncpp. Never throws for malformed text.
 bool parseJson(const std::string &Text, Json::Value &Value);
 
-/// Writes Value without white space.
+/// Returns Value as JSON text without white space.
 std::string writeJson(const Json::Value &Value);
 
 } // namespace canvaswick
--- a/include/canvaswick/Platform/PlatformClient.h
+++ b/include/canvaswick/Platform/PlatformClient.h
@@ -1,5 +1,4 @@
-//===- PlatformClient.h - The platform's key-value service and its list of VMs
-//-*- C++ -*-===//
+//===- PlatformClient.h - Client of the platform's HTTP API -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A client of the platform's published protocol: compare-and-swap by revision,
-/// leases, watches by waiting reads. Each method is one call on the platform
-/// and is counted.
+/// Defines a client of the platform's published protocol: a key-value store
+/// with compare-and-swap by revision and with watches by long polling, and a
+/// list of VMs. Each method makes one HTTP call, which is counted.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,54 +26,56 @@
 
 namespace canvaswick {
 
-/// Longest value the platform holds.
+/// The maximum length of a value that the platform stores.
 inline constexpr size_t MaxPlatformValueBytes = 1 << 20;
 
-/// One value and the revision it has. Revisions of a key only grow.
+/// A value and its revision. The revision of a key increases with each change.
 struct PlatformValue {
   std::string Value;
   uint64_t Revision = 0;
 };
 
-/// One VM of the platform's lagging list.
+/// One VM in the platform's list, which is updated with a delay.
 struct VmEntry {
   std::string Name;
   std::string Address;
-  /// What kind of VM it is, as the platform's operators tagged it.
+  /// The kind of VM, as tagged by the platform's operators.
   std::string Tag;
   bool IsLeaving = false;
 };
 
-/// The list and its version.
+/// The platform's list of VMs and its revision.
 struct VmList {
   uint64_t Revision = 0;
   std::vector<VmEntry> Entries;
 };
 
 /// Calls the platform. Thread-safe. Errors: NotFound, Conflict, RateLimited,
-/// Unavailable (nothing was sent, so nothing landed) and OutcomeUnknown (a
-/// write may or may not have landed).
+/// Unavailable (the call had no effect) and OutcomeUnknown (a write may or may
+/// not have taken effect).
 class PlatformClient {
 public:
+  /// Counters may be null.
   PlatformClient(Endpoint Address, CounterTable *Counters);
 
-  /// Reads a key.
+  /// Reads the value of a key.
   Result<PlatformValue> get(const std::string &Key);
 
-  /// Waits until the key's revision is above After, at most Wait. Fails with
-  /// Timeout if it is not by then.
+  /// Waits for at most Wait until the revision of the key exceeds After, and
+  /// returns the value. Fails with Timeout if the wait ends first.
   Result<PlatformValue> watch(const std::string &Key, uint64_t After,
                               Duration Wait);
 
-  /// Writes a key if its revision is still Expected; 0 means it must not
-  /// exist. Returns the new revision.
+  /// Writes a key if its revision equals Expected, or if the key doesn't exist
+  /// and Expected is 0. Returns the new revision. Fails with InvalidArgument if
+  /// the value is too long.
   Result<uint64_t> put(const std::string &Key, const std::string &Value,
                        uint64_t Expected);
 
-  /// Removes a key if its revision is still Expected.
+  /// Removes a key if its revision equals Expected.
   Result<void> remove(const std::string &Key, uint64_t Expected);
 
-  /// Returns the platform's list of VMs, which lags.
+  /// Returns the platform's list of VMs, which may be out of date.
   Result<VmList> listVms();
 
 private:
--- a/include/canvaswick/Tool/Program.h
+++ b/include/canvaswick/Tool/Program.h
@@ -1,4 +1,4 @@
-//===- Program.h - What every program has in common -------------*- C++ -*-===//
+//===- Program.h - Command line, errors and signals of programs -*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Command line by gflags, errors as "program: error: ...", signals as a value
-/// to wait for, exit codes by name.
+/// Declares what all programs share: command-line parsing with gflags, error
+/// output, exit codes, and synchronous waits for signals.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,33 +27,37 @@
   Failure = 1,
   BadUsage = 2,
   BadSettings = 3,
+  /// The grace period ended before all requests did.
   DrainIncomplete = 4,
 };
 
-/// Returns the number of an exit code.
+/// Returns the numeric value of an exit code.
 constexpr int toInt(ExitCode Code) { return static_cast<int>(Code); }
 
-/// Parses the command line by gflags. Usage is the text of --help.
+/// Parses the command line with gflags and removes the flags from Values. Exits
+/// on an invalid flag, --help and --version. Usage is the text of --help.
 void parseCommandLine(int *Count, char ***Values, const std::string &Usage);
 
-/// Prints "program: error: what" for each line of the failure.
+/// Prints "PROGRAM: error: LINE" to standard error for each line of the
+/// message.
 void printError(const std::string &Program, const Error &Failure);
 
-/// What a process is asked for from outside.
+/// The request that a signal makes of the process.
 enum class ProcessSignal : uint8_t { None, Stop, Reload };
 
-/// Blocks SIGTERM, SIGINT and SIGHUP in this thread and those it starts. Call
-/// first in main.
+/// Blocks SIGTERM, SIGINT and SIGHUP in this thread and the threads that it
+/// starts, and ignores SIGPIPE. Must be called first in main().
 void blockStopSignals();
 
-/// Waits for a signal, at most Millis. SIGHUP asks for a reload.
+/// Waits for at most Millis milliseconds for a signal: SIGTERM and SIGINT
+/// request a stop, SIGHUP a reload. Returns None if no signal arrives.
 ProcessSignal waitForSignal(int64_t Millis);
 
-/// Waits for SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT without a time limit.
 void waitForStopSignal();
 
-/// Waits for another one, at most until the steady clock passes Deadline.
-/// Returns whether one came.
+/// Waits for at most Millis milliseconds for another SIGTERM or SIGINT. Returns
+/// whether one arrived.
 bool waitForSecondStopSignal(int64_t Millis);
 
 } // namespace canvaswick
--- a/lib/Json/JsonText.cpp
+++ b/lib/Json/JsonText.cpp
@@ -1,4 +1,4 @@
-//===- JsonText.cpp - JSON as text ----------------------------------------===//
+//===- JsonText.cpp - Parses and writes JSON text -------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Wraps jsoncpp's reader and writer builders.
+/// Reuses one reader per thread and one builder of writers, as these are costly
+/// to construct.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,10 +18,10 @@
 
 namespace canvaswick {
 
-/// Returns this thread's reader. Making one takes longer than reading a short
-/// text: with one for each of the 1,163 texts that a start reads in a fleet of
-/// 443, it took 17 to 27 ms of processor time, and 10 to 14 with one a thread
-/// (FleetAtSizeTest, eight and three runs on a shared machine).
+/// Returns the reader of this thread. Constructing a reader takes longer than
+/// parsing a short text. For the 1,163 texts that a daemon parses at its start
+/// in a fleet of 443, one reader per text took 17 to 27 ms of processor time,
+/// and one per thread 10 to 14 ms (FleetAtSizeTest).
 static Json::CharReader &getReader() {
   thread_local const std::unique_ptr<Json::CharReader> Reader(
       Json::CharReaderBuilder().newCharReader());
@@ -29,10 +30,10 @@
 
 bool parseJson(const std::string &Text, Json::Value &Value) {
   const char *Begin = Text.data();
-  std::string Problem;
-  // The library throws where values lie too deep in each other.
+  std::string Errors;
+  // jsoncpp throws if values are nested too deeply.
   try {
-    return getReader().parse(Begin, Begin + Text.size(), &Value, &Problem);
+    return getReader().parse(Begin, Begin + Text.size(), &Value, &Errors);
   } catch (const Json::Exception &) {
     return false;
   }
@@ -45,7 +46,7 @@
 }
 
 std::string writeJson(const Json::Value &Value) {
-  // Writers are made from it on any thread; nothing changes it.
+  // All threads construct writers from this builder, which is never modified.
   static const Json::StreamWriterBuilder Builder = makeWriterBuilder();
   return Json::writeString(Builder, Value);
 }
--- a/lib/Platform/PlatformClient.cpp
+++ b/lib/Platform/PlatformClient.cpp
@@ -1,5 +1,4 @@
-//===- PlatformClient.cpp - The platform's key-value service and its list of VMs
-//-===//
+//===- PlatformClient.cpp - Client of the platform's HTTP API -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Values travel as bodies, revisions as a header, conditions as a query.
+/// Sends and receives values as HTTP bodies and revisions in a header. The
+/// expected revision of a write is a parameter of the query.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,12 +24,12 @@
 
 namespace canvaswick {
 
-static constexpr size_t ConnectionsToPlatform = 8;
+static constexpr size_t MaxPlatformConnections = 8;
 static constexpr Duration CallTimeout = fromSeconds(2);
 
 PlatformClient::PlatformClient(Endpoint Address, CounterTable *Counters)
     : Address(std::move(Address)), Counters(Counters),
-      Pool(ConnectionsToPlatform) {}
+      Pool(MaxPlatformConnections) {}
 
 ExchangeResult PlatformClient::call(const std::string &Method,
                                     const std::string &Target,
@@ -48,7 +48,7 @@
   return Result;
 }
 
-static std::string getKeyTarget(const std::string &Key) {
+static std::string makeKeyTarget(const std::string &Key) {
   return "/v1/kv/" + Key;
 }
 
@@ -75,7 +75,8 @@
 }
 
 Result<PlatformValue> PlatformClient::get(const std::string &Key) {
-  ExchangeResult Answer = this->call("GET", getKeyTarget(Key), "", CallTimeout);
+  ExchangeResult Answer =
+      this->call("GET", makeKeyTarget(Key), "", CallTimeout);
   if (!isOk(Answer))
     return outcome::failure(describeFailure(Answer, "read " + Key));
   return PlatformValue{std::move(Answer.Body), readRevision(Answer)};
@@ -98,7 +99,7 @@
     return makeError(ErrorKind::InvalidArgument,
                      "write " + Key + ": the value is too long");
   const std::string Target =
-      fmt::format("{}?revision={}", getKeyTarget(Key), Expected);
+      fmt::format("{}?revision={}", makeKeyTarget(Key), Expected);
   const ExchangeResult Answer = this->call("PUT", Target, Value, CallTimeout);
   if (!isOk(Answer))
     return outcome::failure(describeFailure(Answer, "write " + Key));
@@ -107,7 +108,7 @@
 
 Result<void> PlatformClient::remove(const std::string &Key, uint64_t Expected) {
   const std::string Target =
-      fmt::format("{}?revision={}", getKeyTarget(Key), Expected);
+      fmt::format("{}?revision={}", makeKeyTarget(Key), Expected);
   const ExchangeResult Answer = this->call("DELETE", Target, "", CallTimeout);
   if (!isOk(Answer))
     return outcome::failure(describeFailure(Answer, "remove " + Key));
@@ -120,16 +121,17 @@
     return outcome::failure(describeFailure(Answer, "list of VMs"));
   Json::Value List;
   if (!parseJson(Answer.Body, List) || !List.isArray())
-    return makeError(ErrorKind::OutcomeUnknown, "list of VMs: not understood");
+    return makeError(ErrorKind::OutcomeUnknown,
+                     "list of VMs: expected a JSON array");
   VmList Vms;
   Vms.Revision = readRevision(Answer);
-  for (const Json::Value &Each : List) {
-    if (!Each.isObject())
+  for (const Json::Value &Vm : List) {
+    if (!Vm.isObject())
       continue;
-    Vms.Entries.push_back({Each.get("name", "").asString(),
-                           Each.get("address", "").asString(),
-                           Each.get("tag", "").asString(),
-                           Each.get("state", "").asString() == "leaving"});
+    Vms.Entries.push_back({Vm.get("name", "").asString(),
+                           Vm.get("address", "").asString(),
+                           Vm.get("tag", "").asString(),
+                           Vm.get("state", "").asString() == "leaving"});
   }
   return Vms;
 }
--- a/lib/Tool/Program.cpp
+++ b/lib/Tool/Program.cpp
@@ -1,4 +1,4 @@
-//===- Program.cpp - What every program has in common ---------------------===//
+//===- Program.cpp - Command line, errors and signals of programs ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Wraps gflags and the signal calls.
+/// Implements the helpers with gflags and the signal calls of POSIX.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -57,16 +57,16 @@
   sigset_t Signals = makeStopSignals();
   sigaddset(&Signals, SIGHUP);
   const timespec Wait{Millis / 1000, (Millis % 1000) * 1000000};
-  const int Which = sigtimedwait(&Signals, nullptr, &Wait);
-  if (Which <= 0)
+  const int Signal = sigtimedwait(&Signals, nullptr, &Wait);
+  if (Signal <= 0)
     return ProcessSignal::None;
-  return Which == SIGHUP ? ProcessSignal::Reload : ProcessSignal::Stop;
+  return Signal == SIGHUP ? ProcessSignal::Reload : ProcessSignal::Stop;
 }
 
 void waitForStopSignal() {
   const sigset_t Signals = makeStopSignals();
-  int Which = 0;
-  sigwait(&Signals, &Which);
+  int Signal = 0;
+  sigwait(&Signals, &Signal);
 }
 
 bool waitForSecondStopSignal(int64_t Millis) {
--- a/tools/canvaswickctl/canvaswickctl.cpp
+++ b/tools/canvaswickctl/canvaswickctl.cpp
@@ -1,4 +1,4 @@
-//===- canvaswickctl.cpp - The operators' tool ----------------------------===//
+//===- canvaswickctl.cpp - Command-line tool for operators ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Finds the command, runs it, prints its text or its error.
+/// Runs the command that the first argument names and prints its result or its
+/// error.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/unittests/Json/JsonTextTest.cpp
+++ b/unittests/Json/JsonTextTest.cpp
@@ -1,4 +1,4 @@
-//===- JsonTextTest.cpp - Tests of reading and writing JSON ---------------===//
+//===- JsonTextTest.cpp - Tests of JsonText -------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What comes from the network is read whatever it holds, on many threads, some
-/// hundred times a second; the time of that is stated, not asserted.
+/// Tests that any text from the network can be parsed, on many threads at once.
+/// Daemons parse some hundred messages per second, so the processor time per
+/// message is reported; it is not checked.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +25,7 @@
 
 using namespace canvaswick;
 
-/// As long as what a daemon tells its hall.
+/// Returns a message as long as a daemon's report to its hall.
 static std::string makeMessage() {
   Json::Value Message;
   Message["source"] = "front-vancouver-hall-12";
@@ -39,42 +40,43 @@
   return writeJson(Message);
 }
 
-TEST_CASE("what is written is read back, without white space") {
+TEST_CASE("written values are parsed back and have no white space") {
   Json::Value Value;
   Value["a"] = 1;
   Value["b"].append("x y");
   CHECK(writeJson(Value) == R"({"a":1,"b":["x y"]})");
-  Json::Value Read;
-  REQUIRE(parseJson(writeJson(Value), Read));
-  CHECK(Read == Value);
+  Json::Value Parsed;
+  REQUIRE(parseJson(writeJson(Value), Parsed));
+  CHECK(Parsed == Value);
 }
 
-TEST_CASE("what is no JSON is refused, and nothing of it is left behind") {
-  Json::Value Read;
-  CHECK_FALSE(parseJson("", Read));
-  CHECK_FALSE(parseJson("{\"a\":", Read));
-  REQUIRE(parseJson("[1]", Read));
-  CHECK(Read.size() == 1);
+TEST_CASE("malformed text is rejected and does not affect the next parse") {
+  Json::Value Parsed;
+  CHECK_FALSE(parseJson("", Parsed));
+  CHECK_FALSE(parseJson("{\"a\":", Parsed));
+  REQUIRE(parseJson("[1]", Parsed));
+  CHECK(Parsed.size() == 1);
 }
 
-// Found by reading: the library throws where values lie too deep in each other,
-// and what came by a datagram would have ended the process.
-TEST_CASE("values that lie too deep in each other are refused") {
-  Json::Value Read;
-  CHECK_FALSE(parseJson(std::string(5000, '['), Read));
-  CHECK_FALSE(parseJson(std::string(5000, '[') + std::string(5000, ']'), Read));
-  REQUIRE(parseJson("{}", Read));
+// Guards against an exception of jsoncpp, which throws if values are nested too
+// deeply: a datagram from the network could end the process with it.
+TEST_CASE("values that are nested too deeply are rejected") {
+  Json::Value Parsed;
+  CHECK_FALSE(parseJson(std::string(5000, '['), Parsed));
+  CHECK_FALSE(
+      parseJson(std::string(5000, '[') + std::string(5000, ']'), Parsed));
+  REQUIRE(parseJson("{}", Parsed));
 }
 
-TEST_CASE("random text never throws") {
+TEST_CASE("parsing random text never throws") {
   CHECK(rc::check([](const std::string &Text) {
-    Json::Value Read;
-    if (parseJson(Text, Read))
-      (void)writeJson(Read);
+    Json::Value Parsed;
+    if (parseJson(Text, Parsed))
+      (void)writeJson(Parsed);
   }));
 }
 
-TEST_CASE("many threads read and write at once") {
+TEST_CASE("several threads parse and write at the same time") {
   const std::string Text = makeMessage();
   constexpr size_t ThreadCount = 8;
   std::vector<std::thread> Threads;
@@ -83,8 +85,8 @@
   for (size_t I = 0; I < ThreadCount; ++I)
     Threads.emplace_back([&] {
       for (int Round = 0; Round < 200; ++Round) {
-        Json::Value Read;
-        if (!parseJson(Text, Read) || writeJson(Read) != Text)
+        Json::Value Parsed;
+        if (!parseJson(Text, Parsed) || writeJson(Parsed) != Text)
           ++Wrong;
       }
     });
@@ -93,16 +95,16 @@
   CHECK(Wrong == 0);
 }
 
-TEST_CASE("the processor time of a message is stated") {
+TEST_CASE("the processor time per message is reported") {
   const std::string Text = makeMessage();
   constexpr int Rounds = 2000;
-  const std::clock_t Began = std::clock();
+  const std::clock_t Start = std::clock();
   for (int I = 0; I < Rounds; ++I) {
-    Json::Value Read;
-    REQUIRE(parseJson(Text, Read));
-    REQUIRE(writeJson(Read).size() == Text.size());
+    Json::Value Parsed;
+    REQUIRE(parseJson(Text, Parsed));
+    REQUIRE(writeJson(Parsed).size() == Text.size());
   }
-  const double Spent = static_cast<double>(std::clock() - Began);
+  const double Spent = static_cast<double>(std::clock() - Start);
   MESSAGE("reading and writing ", Text.size(),
           " bytes: ", 1e6 * Spent / CLOCKS_PER_SEC / Rounds, " us");
 }
