--- a/include/canvaswick/Operator/Commands.h
+++ b/include/canvaswick/Operator/Commands.h
@@ -36,8 +36,8 @@
   int64_t FromVersion = -1;
   int64_t ToVersion = -1;
   bool IsCsv = false;
-  /// The arguments after the name of the command.
-  std::vector<std::string> Words;
+  /// The positional arguments after the name of the command.
+  std::vector<std::string> Arguments;
 };
 
 // Queries that need neither the platform nor a daemon.
--- a/lib/Operator/FleetCommands.cpp
+++ b/lib/Operator/FleetCommands.cpp
@@ -131,7 +131,8 @@
 }
 
 Result<std::string> runExplain(const OperatorOptions &Options) {
-  const std::string Name = Options.Words.empty() ? "" : Options.Words[0];
+  const std::string Name =
+      Options.Arguments.empty() ? "" : Options.Arguments[0];
   const size_t Slash = Name.find('/');
   if (Slash == std::string::npos)
     return makeError(ErrorKind::InvalidArgument, "expected SERVICE/SERVER");
--- a/lib/Operator/LogCommands.cpp
+++ b/lib/Operator/LogCommands.cpp
@@ -19,22 +19,22 @@
 namespace canvaswick {
 
 Result<std::string> runRequest(const OperatorOptions &Options) {
-  if (Options.Words.size() < 2)
+  if (Options.Arguments.size() < 2)
     return makeError(ErrorKind::InvalidArgument,
                      "needs a request's id and the files to look in");
-  const std::vector<std::string> Files(Options.Words.begin() + 1,
-                                       Options.Words.end());
+  const std::vector<std::string> Files(Options.Arguments.begin() + 1,
+                                       Options.Arguments.end());
   BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Files));
-  return describeRequest(Options.Words[0], Lines);
+  return describeRequest(Options.Arguments[0], Lines);
 }
 
 /// Builds a table from the log files in the command's arguments.
 static Result<std::string>
 buildTable(const OperatorOptions &Options,
            std::string (*MakeTable)(const std::vector<LogLine> &)) {
-  if (Options.Words.empty())
+  if (Options.Arguments.empty())
     return makeError(ErrorKind::InvalidArgument, "needs the files to look in");
-  BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Options.Words));
+  BOOST_OUTCOME_TRY(std::vector<LogLine> Lines, readLogs(Options.Arguments));
   return MakeTable(Lines);
 }
 
--- a/lib/Operator/SettingsCommands.cpp
+++ b/lib/Operator/SettingsCommands.cpp
@@ -128,7 +128,7 @@
 }
 
 Result<std::string> runEffective(const OperatorOptions &Options) {
-  if (Options.Words.size() != 1)
+  if (Options.Arguments.size() != 1)
     return makeError(ErrorKind::InvalidArgument, "expected SERVICE/SERVER");
   std::string Text;
   if (Options.File.empty()) {
@@ -140,9 +140,10 @@
                     SettingsTree::parse(Text, Options.File.empty()
                                                   ? "platform"
                                                   : Options.File));
-  const SettingNode *Node = Tree.find(SettingLevel::Server, Options.Words[0]);
+  const SettingNode *Node =
+      Tree.find(SettingLevel::Server, Options.Arguments[0]);
   if (!Node)
-    return makeError(ErrorKind::NotFound, "no server " + Options.Words[0]);
+    return makeError(ErrorKind::NotFound, "no server " + Options.Arguments[0]);
   const SettingLevels Levels = levelBit(SettingLevel::Region) |
                                levelBit(SettingLevel::Service) |
                                levelBit(SettingLevel::Server);
@@ -204,26 +205,26 @@
 /// a version at the same time.
 static Result<std::string> setState(const OperatorOptions &Options,
                                     const char *State) {
-  if (Options.Words.size() != 1)
+  if (Options.Arguments.size() != 1)
     return makeError(ErrorKind::InvalidArgument, "expected SERVICE/SERVER");
   BOOST_OUTCOME_TRY(Endpoint Address, parsePlatform(Options));
   PlatformClient Platform(Address, nullptr);
   ConfigPublisher Publisher(Platform);
   ConfigRequest Request = makeRequest(Options);
   Request.FileName = "platform";
-  Request.Note = fmt::format("{} {}", State, Options.Words[0]);
+  Request.Note = fmt::format("{} {}", State, Options.Arguments[0]);
   for (int Attempt = 0; Attempt < MaxEditAttempts; ++Attempt) {
     BOOST_OUTCOME_TRY(ConfigManifest Manifest, Publisher.readManifest());
     BOOST_OUTCOME_TRY(std::string Text, Publisher.readTree(Manifest));
     BOOST_OUTCOME_TRY(Request.Text,
-                      setTreeValue(Text, "server " + Options.Words[0],
+                      setTreeValue(Text, "server " + Options.Arguments[0],
                                    getSettingSpec(SettingKey::State).Name,
                                    State));
     Request.BaseVersion = Manifest.Version;
     Result<uint64_t> Version = Publisher.publish(Request, readCalendarMillis());
     if (Version)
-      return fmt::format("{} is {} from version {}\n", Options.Words[0], State,
-                         Version.value());
+      return fmt::format("{} is {} from version {}\n", Options.Arguments[0],
+                         State, Version.value());
     if (Version.error().Kind != ErrorKind::Conflict)
       return outcome::failure(addRecoveryHint(Version.error(), Request));
   }
--- a/tools/canvaswickctl/canvaswickctl.cpp
+++ b/tools/canvaswickctl/canvaswickctl.cpp
@@ -55,7 +55,7 @@
   Options.ToVersion = FLAGS_to;
   Options.IsCsv = FLAGS_csv;
   for (int I = 2; I < Count; ++I)
-    Options.Words.push_back(Values[I]);
+    Options.Arguments.push_back(Values[I]);
   return Options;
 }
 
