--- a/include/canvaswick/Admission/FleetQuota.h
+++ b/include/canvaswick/Admission/FleetQuota.h
@@ -91,13 +91,13 @@
   /// Started is the process's start: what an earlier process of this daemon has
   /// admitted is not known to it, and after a start of the whole fleet to
   /// nobody. Draw is in [0, 1) and differs between daemons.
-  FleetQuota(AllowanceBounds Bounds, TimePoint Started, double Draw);
+  FleetQuota(QuotaBounds Bounds, TimePoint Started, double Draw);
 
   /// Takes the organisations of a version of the settings.
   void configure(const OrganisationDirectoryRef &Directory, TimePoint Now);
 
   /// Changes the bounds.
-  void setBounds(const AllowanceBounds &Given) { this->Bounds = Given; }
+  void setBounds(const QuotaBounds &Given) { this->Bounds = Given; }
 
   /// Returns who there is and is heard.
   FleetLiveness &getLiveness() { return this->Heard; }
@@ -232,7 +232,7 @@
                  const QuotaUsage &Given, bool WasSilent, TimePoint Now);
   bool isAlone() const { return this->Heard.countDaemons() <= 1; }
 
-  AllowanceBounds Bounds;
+  QuotaBounds Bounds;
   const TimePoint Started;
   const double Draw;
   OrganisationDirectoryRef Directory;
--- a/include/canvaswick/Admission/FleetRetryBudget.h
+++ b/include/canvaswick/Admission/FleetRetryBudget.h
@@ -37,12 +37,12 @@
 public:
   /// Started is the process's start: what an earlier process of this daemon
   /// has sent is not known, so the reserve is held back for one window.
-  FleetRetryBudget(RepeatAllowance Allowance, TimePoint Started);
+  FleetRetryBudget(FleetRetryLimit Allowance, TimePoint Started);
 
   /// Changes the allowance, and sets how many daemons there may be and which of
   /// them, counted from 0, this one is. The most daemons that were ever set
   /// count.
-  void configure(const RepeatAllowance &Allowance, size_t Daemons, size_t Rank);
+  void configure(const FleetRetryLimit &Allowance, size_t Daemons, size_t Rank);
 
   /// Notes the first try of a request.
   void recordRequest(TimePoint Now);
@@ -74,7 +74,7 @@
   void forgetOld(TimePoint Now);
   bool hasOwnRoom(TimePoint Now);
 
-  RepeatAllowance Allowance;
+  FleetRetryLimit Allowance;
   const TimePoint Started;
   size_t Daemons = 1;
   /// What this daemon may round up by, from 0 to 1.
--- a/include/canvaswick/Bench/AllowanceModel.h
+++ b/include/canvaswick/Bench/AllowanceModel.h
@@ -100,7 +100,7 @@
 };
 
 /// The bound that the users set.
-AllowanceBounds getModelBounds();
+QuotaBounds getModelBounds();
 
 /// Plays a scenario.
 AllowanceOutcome runAllowanceModel(const AllowanceScenario &Scenario,
--- a/include/canvaswick/Claims/ClaimGate.h
+++ b/include/canvaswick/Claims/ClaimGate.h
@@ -34,7 +34,7 @@
   /// A try began and how it ended is not known. It will not be run again.
   NotKnown,
   /// The key was used for a different request.
-  Different,
+  DifferentRequest,
   /// The claim could not be stored; nothing was run.
   Unavailable,
 };
--- a/include/canvaswick/Claims/ClaimIndex.h
+++ b/include/canvaswick/Claims/ClaimIndex.h
@@ -55,8 +55,8 @@
 
   /// Returns what to answer a request. Claim is the asker's own claim: if it is
   /// the one that holds the key, the answer is Granted.
-  ClaimVerdict judge(const std::string &Key, const std::string &Fingerprint,
-                     uint64_t Claim) const;
+  ClaimVerdict evaluate(const std::string &Key, const std::string &Fingerprint,
+                        uint64_t Claim) const;
 
   /// Returns the holder of a key whose end is not known yet, or an empty text.
   std::string getRunningHolder(const std::string &Key) const;
--- a/include/canvaswick/Claims/ClaimLog.h
+++ b/include/canvaswick/Claims/ClaimLog.h
@@ -31,9 +31,9 @@
   ClaimEntry Entry;
   /// Set by append.
   ClaimVerdict Verdict;
-  bool IsLanded = false;
+  bool IsAppended = false;
   /// Set by ClaimWriter when the verdict is there.
-  bool IsSettled = false;
+  bool IsResolved = false;
 };
 
 /// One shard's log as one writer sees it. Not thread-safe.
@@ -70,20 +70,21 @@
   Result<bool> tryWrite(const std::vector<PendingEntry *> &Batch,
                         int64_t NowMillis);
   bool willBeFree(const std::string &Key) const;
-  bool hasRunning(const std::vector<PendingEntry *> &Batch) const;
+  bool hasRunningKey(const std::vector<PendingEntry *> &Batch) const;
   std::vector<ClaimEntry>
   chooseEntries(const std::vector<PendingEntry *> &Batch,
                 int64_t NowMillis) const;
-  void settle(std::vector<PendingEntry *> &Batch);
+  void fillVerdicts(std::vector<PendingEntry *> &Batch);
   /// Answers from what is known without a write: only verdicts that cannot
   /// change any more.
-  ClaimVerdict peek(const std::string &Key, const std::string &Fingerprint,
-                    uint64_t Claim) const;
+  ClaimVerdict findFinalVerdict(const std::string &Key,
+                                const std::string &Fingerprint,
+                                uint64_t Claim) const;
   void abandon(const std::vector<PendingEntry *> &Batch);
   void answerWithoutWriting(std::vector<PendingEntry *> &Batch);
   std::string getChunkKey(uint64_t Chunk) const;
   std::string getHeadKey() const;
-  void applyFrom(const ClaimChunk &Read);
+  void applyNewEntries(const ClaimChunk &Read);
 
   PlatformClient &Platform;
   const size_t Shard;
--- a/include/canvaswick/Claims/ClaimWriter.h
+++ b/include/canvaswick/Claims/ClaimWriter.h
@@ -54,14 +54,14 @@
 
 private:
   /// What one write takes along.
-  struct Load {
+  struct WriteBatch {
     std::vector<PendingEntry *> Begins;
     std::vector<ClaimEntry> Ends;
     std::vector<std::pair<std::string, uint64_t>> GivenUp;
   };
 
-  void lead(std::unique_lock<std::mutex> &Lock);
-  void write(Load &Taken, std::vector<PendingEntry> &Ends);
+  void writeWaiting(std::unique_lock<std::mutex> &Lock);
+  void write(WriteBatch &Taken, std::vector<PendingEntry> &Ends);
 
   const Duration Gap;
   std::mutex Mutex;
@@ -69,7 +69,7 @@
   /// True while a thread uses the log without holding the mutex.
   bool IsWriting = false;
   TimePoint NextWrite{};
-  Load Waiting;
+  WriteBatch Waiting;
   ClaimLog Log;
 };
 
--- a/include/canvaswick/Config/ConfigFollower.h
+++ b/include/canvaswick/Config/ConfigFollower.h
@@ -59,10 +59,10 @@
 /// Decides which daemons look at the platform. A few watch it for all; the
 /// others look only when nobody has confirmed for long that what they hold is
 /// the newest, and then so rarely that the sum over the fleet stays the same.
-class ConfigWatchDuty {
+class ConfigWatchSchedule {
 public:
   /// Sum of looks a second over the fleet while nobody confirms.
-  static constexpr double OrphanLooksPerSecond = 3;
+  static constexpr double UnconfirmedReadsPerSecond = 3;
 
   /// How many daemons watch for all.
   static constexpr size_t Watchers = 3;
@@ -73,14 +73,14 @@
 
   /// Notes that the platform was read successfully, by us or by someone who
   /// told us Age ago.
-  void noteConfirmed(Duration Age, TimePoint Now);
+  void recordConfirmation(Duration Age, TimePoint Now);
 
   /// Returns how long ago the newest known confirmation was.
-  Duration getConfirmedAge(TimePoint Now) const;
+  Duration getConfirmationAge(TimePoint Now) const;
 
   /// Returns whether a daemon that does not watch should look now, when asked
   /// once a second. Draw is a random number from 0 to 1.
-  bool shouldLook(size_t Working, double Draw, TimePoint Now) const;
+  bool shouldReadPlatform(size_t Working, double Draw, TimePoint Now) const;
 
 private:
   TimePoint Confirmed{};
--- a/include/canvaswick/Daemon/ConfigAgent.h
+++ b/include/canvaswick/Daemon/ConfigAgent.h
@@ -69,7 +69,7 @@
   std::mutex FetchMutex;
   mutable std::mutex Mutex;
   ConfigFollower Follower;
-  ConfigWatchDuty Duty;
+  ConfigWatchSchedule Duty;
   uint64_t PlatformRevision = 0;
   std::mt19937_64 Random;
 };
--- a/include/canvaswick/Daemon/Gateway.h
+++ b/include/canvaswick/Daemon/Gateway.h
@@ -62,7 +62,7 @@
   void stopWaitingForSettings();
 
   /// Changes the repeats that the fleet may send.
-  void setRetryLimit(const RepeatAllowance &Allowance);
+  void setRetryLimit(const FleetRetryLimit &Allowance);
 
   /// Turns readiness red; answers from now on close their connections.
   void beginStop();
--- a/include/canvaswick/Membership/MemberTable.h
+++ b/include/canvaswick/Membership/MemberTable.h
@@ -53,8 +53,8 @@
 
 /// How quickly members are suspected and dropped.
 struct MembershipTuning {
-  Duration SuspectTime = fromSeconds(4);
-  Duration DeadMemory = fromSeconds(600);
+  Duration SuspectTimeout = fromSeconds(4);
+  Duration DeadRetention = fromSeconds(600);
   /// Each change is passed on this many times for each doubling of the fleet.
   int SendsPerDoubling = 3;
   size_t ChangesPerMessage = 12;
@@ -66,13 +66,13 @@
   MemberTable(MemberRecord Self, MembershipTuning Tuning, TimePoint Now);
 
   /// Takes what another daemon said. Returns whether it was news.
-  bool take(const MemberRecord &Record, TimePoint Now);
+  bool applyRecord(const MemberRecord &Record, TimePoint Now);
 
   /// Notes that a member answered or called us.
-  void noteHeard(const std::string &Name, TimePoint Now);
+  void recordContact(const std::string &Name, TimePoint Now);
 
   /// Notes that neither we nor the ones we asked reached a member.
-  void noteUnreachable(const std::string &Name, TimePoint Now);
+  void recordUnreachable(const std::string &Name, TimePoint Now);
 
   /// Marks this daemon as leaving.
   void leave();
@@ -82,14 +82,14 @@
 
   /// Returns the next member to ping, or nothing when alone. Each member comes
   /// up once a round, in a new random order each round.
-  std::optional<MemberRecord> nextToPing(std::mt19937_64 &Random);
+  std::optional<MemberRecord> choosePingTarget(std::mt19937_64 &Random);
 
   /// Returns up to Count other members at random, without Except.
   std::vector<MemberRecord> choose(size_t Count, const std::string &Except,
                                    std::mt19937_64 &Random) const;
 
   /// Returns the changes to put into a message to Receiver.
-  std::vector<MemberRecord> takeChanges(const std::string &Receiver);
+  std::vector<MemberRecord> collectChanges(const std::string &Receiver);
 
   /// Returns all records that are not dead, our own included.
   std::vector<MemberRecord> getAll() const;
@@ -113,8 +113,8 @@
     int SendsLeft = 0;
   };
 
-  void announce(Member &Changed);
-  int computeSends() const;
+  void scheduleSends(Member &Changed);
+  int computeSendCount() const;
   void refute(const MemberRecord &Record);
 
   MemberRecord Self;
--- a/include/canvaswick/Proxy/OrganisationQuotas.h
+++ b/include/canvaswick/Proxy/OrganisationQuotas.h
@@ -25,7 +25,7 @@
 /// mutex.
 class OrganisationQuotas {
 public:
-  OrganisationQuotas(AllowanceBounds Bounds, TimePoint Started, double Draw)
+  OrganisationQuotas(QuotaBounds Bounds, TimePoint Started, double Draw)
       : Allowance(Bounds, Started, Draw) {}
 
   /// Runs Work on the allowances while nobody else does anything with them.
--- a/include/canvaswick/Proxy/ProxyOptions.h
+++ b/include/canvaswick/Proxy/ProxyOptions.h
@@ -83,7 +83,7 @@
   /// is known.
   int DefaultRetryAfterMs = 1000;
   /// What is borne above organisations' allowances.
-  AllowanceBounds Allowances;
+  QuotaBounds Allowances;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -109,7 +109,7 @@
   /// Which policy judges servers, and whose repeats are counted: a daemon on
   /// the users' platform shares observations and one budget with the fleet.
   SettingsSource Source = SettingsSource::Own;
-  RepeatAllowance Repeats;
+  FleetRetryLimit Repeats;
   TimePoint Started{};
   PolicySwitches Switches;
   /// What servers say of themselves. Null: the previous version's, or one of
@@ -241,7 +241,7 @@
 
   /// Sets the fleet's allowance of repeats, how many daemons share it and which
   /// of them this one is.
-  void setRetryLimit(const RepeatAllowance &Allowance, size_t Daemons,
+  void setRetryLimit(const FleetRetryLimit &Allowance, size_t Daemons,
                      size_t Rank);
 
   const ServiceConfig &getConfig() const { return this->Config; }
--- a/include/canvaswick/Settings/DaemonConfig.h
+++ b/include/canvaswick/Settings/DaemonConfig.h
@@ -29,7 +29,7 @@
 
 /// How many repeats the whole fleet may send to one service within any span of
 /// Window: Share of the service's requests, and Reserve besides.
-struct RepeatAllowance {
+struct FleetRetryLimit {
   double Share = 0;
   Duration Window{};
   int64_t Reserve = 0;
@@ -38,7 +38,7 @@
 /// What the operators bear above organisations' allowances, over the whole
 /// fleet: within any span of Window no more than the rate's and the burst's
 /// requests, Excess of them besides, and Slack.
-struct AllowanceBounds {
+struct QuotaBounds {
   Duration Window = fromSeconds(5);
   double Excess = 0;
   double Slack = 0;
@@ -74,8 +74,8 @@
   uint16_t PeerPort = 0;
   Duration Grace{};
   int FloorPercent = 0;
-  RepeatAllowance Repeats;
-  AllowanceBounds Allowances;
+  FleetRetryLimit RetryLimit;
+  QuotaBounds QuotaLimits;
   Duration Lease{};
   Duration AloneWait{};
   Duration Drain{};
--- a/include/canvaswick/Settings/PolicySwitches.h
+++ b/include/canvaswick/Settings/PolicySwitches.h
@@ -40,23 +40,23 @@
   /// How often spells begin and end is learned.
   LearnedRates,
   /// When to try elsewhere follows from the chances of both tries.
-  WeighedRepeats,
+  WeighedRetries,
   /// Daemons lend each other rights to repeats.
-  RepeatLoans,
+  RetryLoans,
   /// Servers that the floor keeps are used while many requests fail.
   Floor,
   /// Servers that nobody uses are tested.
   Tests,
   /// Servers of the own hall go first.
-  NearFirst,
+  SameHallFirst,
   /// What may run once gets a connection of its own.
   FreshConnections,
   /// A daemon that has just started hears what its hall knows.
-  NewcomerEstimates,
+  StartupEstimates,
 };
 
 inline constexpr size_t MechanismCount =
-    static_cast<size_t>(Mechanism::NewcomerEstimates) + 1;
+    static_cast<size_t>(Mechanism::StartupEstimates) + 1;
 
 /// Returns the name of a mechanism as the settings have it.
 const char *getName(Mechanism Which);
--- a/lib/Admission/FleetQuota.cpp
+++ b/lib/Admission/FleetQuota.cpp
@@ -69,7 +69,7 @@
   return hashText(Name) & IdMask;
 }
 
-FleetQuota::FleetQuota(AllowanceBounds Bounds, TimePoint Started, double Draw)
+FleetQuota::FleetQuota(QuotaBounds Bounds, TimePoint Started, double Draw)
     : Bounds(Bounds), Started(Started), Draw(Draw),
       Directory(makeOrganisationDirectory({}, false)) {}
 
--- a/lib/Admission/FleetRetryBudget.cpp
+++ b/lib/Admission/FleetRetryBudget.cpp
@@ -23,12 +23,12 @@
 /// windows of different rates.
 static constexpr double UsedPart = 0.8;
 
-FleetRetryBudget::FleetRetryBudget(RepeatAllowance Allowance, TimePoint Started)
+FleetRetryBudget::FleetRetryBudget(FleetRetryLimit Allowance, TimePoint Started)
     : Allowance(Allowance), Started(Started) {}
 
 /// Parts of one or two repeats lose much when each is rounded down. Daemons in
 /// order round up by ever more, so that their parts add up nearly as they are.
-void FleetRetryBudget::configure(const RepeatAllowance &Given, size_t Count,
+void FleetRetryBudget::configure(const FleetRetryLimit &Given, size_t Count,
                                  size_t Rank) {
   this->Allowance = Given;
   this->Daemons = std::max(this->Daemons, Count);
--- a/lib/Bench/AllowanceModel.cpp
+++ b/lib/Bench/AllowanceModel.cpp
@@ -36,7 +36,7 @@
 
 const char *getName(AllowanceWay Way) { return getEnumName(WayNames, Way); }
 
-AllowanceBounds getModelBounds() { return {fromSeconds(5), 0.1, 20}; }
+QuotaBounds getModelBounds() { return {fromSeconds(5), 0.1, 20}; }
 
 namespace {
 
@@ -46,7 +46,7 @@
   /// A higher limit binds until one window after it was lowered.
   void note(TimePoint At, const ModelFleet &Fleet, double HighestRate) {
     this->Instants.push_back(At);
-    const AllowanceBounds Bounds = getModelBounds();
+    const QuotaBounds Bounds = getModelBounds();
     while (this->Instants.front() <= At - Bounds.Window)
       this->Instants.pop_front();
     const double Burst = Fleet.Burst / Fleet.Rate * HighestRate;
--- a/lib/Bench/AllowanceWays.h
+++ b/lib/Bench/AllowanceWays.h
@@ -72,7 +72,7 @@
 
 /// The part of a bucket that may be given out besides its burst.
 inline double getModelSlack(const ModelFleet &Fleet) {
-  const AllowanceBounds Bounds = getModelBounds();
+  const QuotaBounds Bounds = getModelBounds();
   return Bounds.Slack +
          Bounds.Excess * (Fleet.Rate * toSeconds(Bounds.Window) + Fleet.Burst);
 }
--- a/lib/Bench/CapacityWire.cpp
+++ b/lib/Bench/CapacityWire.cpp
@@ -210,7 +210,7 @@
     for (const MemberRecord &Self : All) {
       Tables.emplace_back(Self, Tuning, Now);
       for (const MemberRecord &Other : All)
-        Tables.back().take(Other, Now);
+        Tables.back().applyRecord(Other, Now);
     }
     const double TableKb =
         (readResidentMegabytes() - Before) * 1000 / static_cast<double>(Count);
@@ -219,19 +219,20 @@
     const auto Talk = [&](size_t From, uint64_t &Bytes) {
       const size_t To = Random() % Count;
       Json::Value Message;
-      for (const MemberRecord &Record : Tables[From].takeChanges(Names[To])) {
+      for (const MemberRecord &Record :
+           Tables[From].collectChanges(Names[To])) {
         Message["changes"].append(encodeMember(Record));
-        Tables[To].take(Record, Now);
+        Tables[To].applyRecord(Record, Now);
       }
-      for (const MemberRecord &Record : Tables[To].takeChanges(Names[From]))
-        Tables[From].take(Record, Now);
+      for (const MemberRecord &Record : Tables[To].collectChanges(Names[From]))
+        Tables[From].applyRecord(Record, Now);
       Bytes += writeJson(Message).size();
     };
     for (MemberTable &Each : Tables)
       for (int I = 0; I < FirstAnnouncements; ++I)
-        Each.takeChanges("nobody");
+        Each.collectChanges("nobody");
     All[0].Incarnation = 2;
-    Tables[1].take(All[0], Now);
+    Tables[1].applyRecord(All[0], Now);
     int Rounds = 0;
     uint64_t Bytes = 0;
     const CpuTimer Timer;
--- a/lib/Claims/ClaimGate.cpp
+++ b/lib/Claims/ClaimGate.cpp
@@ -21,7 +21,7 @@
     {ClaimKind::FirstAnswer, "first-answer"},
     {ClaimKind::StillRunning, "still-running"},
     {ClaimKind::NotKnown, "not-known"},
-    {ClaimKind::Different, "different"},
+    {ClaimKind::DifferentRequest, "different"},
     {ClaimKind::Unavailable, "unavailable"},
 }};
 
--- a/lib/Claims/ClaimIndex.cpp
+++ b/lib/Claims/ClaimIndex.cpp
@@ -57,9 +57,9 @@
   return this->Keys.count(Key) == 0;
 }
 
-ClaimVerdict ClaimIndex::judge(const std::string &Key,
-                               const std::string &Fingerprint,
-                               uint64_t Claim) const {
+ClaimVerdict ClaimIndex::evaluate(const std::string &Key,
+                                  const std::string &Fingerprint,
+                                  uint64_t Claim) const {
   ClaimVerdict Verdict;
   const auto Found = this->Keys.find(Key);
   if (Found == this->Keys.end())
@@ -67,7 +67,7 @@
   const KeyState &State = Found->second;
   Verdict.Claim = State.Claim;
   if (State.Fingerprint != Fingerprint)
-    Verdict.Kind = ClaimKind::Different;
+    Verdict.Kind = ClaimKind::DifferentRequest;
   else if (State.State == ClaimEntryKind::Begin && State.Claim == Claim)
     Verdict.Kind = ClaimKind::Granted;
   else if (State.State == ClaimEntryKind::Begin)
--- a/lib/Claims/ClaimLog.cpp
+++ b/lib/Claims/ClaimLog.cpp
@@ -46,7 +46,7 @@
 }
 
 /// Applies what a newer state of the current chunk holds beyond ours.
-void ClaimLog::applyFrom(const ClaimChunk &Read) {
+void ClaimLog::applyNewEntries(const ClaimChunk &Read) {
   for (size_t I = this->Chunk.Entries.size(); I < Read.Entries.size(); ++I)
     this->Index.apply(Read.Entries[I]);
   this->Chunk = Read;
@@ -66,7 +66,7 @@
     if (!Value)
       return outcome::failure(Value.error());
     BOOST_OUTCOME_TRY(ClaimChunk Read, decodeChunk(Value.value().Value));
-    this->applyFrom(Read);
+    this->applyNewEntries(Read);
     this->Revision = Value.value().Revision;
     if (!Read.IsSealed)
       return outcome::success();
@@ -126,7 +126,7 @@
 }
 
 /// Returns whether a request of the batch finds its key running.
-bool ClaimLog::hasRunning(const std::vector<PendingEntry *> &Batch) const {
+bool ClaimLog::hasRunningKey(const std::vector<PendingEntry *> &Batch) const {
   return std::any_of(
       Batch.begin(), Batch.end(), [this](const PendingEntry *Pending) {
         return !this->Index.getRunningHolder(Pending->Entry.Key).empty();
@@ -140,7 +140,7 @@
   const std::vector<ClaimEntry> Chosen = this->chooseEntries(Batch, NowMillis);
   if (Chosen.empty()) {
     // What runs here may have ended in the log meanwhile.
-    if (this->hasRunning(Batch)) {
+    if (this->hasRunningKey(Batch)) {
       BOOST_OUTCOME_TRY(this->readNewest());
     }
     return true;
@@ -156,7 +156,7 @@
   Result<uint64_t> Written = this->Platform.put(
       this->getChunkKey(this->CurrentChunk), Text, this->Revision);
   if (Written) {
-    this->applyFrom(Next);
+    this->applyNewEntries(Next);
     this->Revision = Written.value();
     this->Abandoned.clear();
     if (Next.IsSealed) {
@@ -177,11 +177,11 @@
 }
 
 /// Fills the verdicts of a batch from the index.
-void ClaimLog::settle(std::vector<PendingEntry *> &Batch) {
+void ClaimLog::fillVerdicts(std::vector<PendingEntry *> &Batch) {
   for (PendingEntry *Pending : Batch) {
-    Pending->IsLanded = true;
+    Pending->IsAppended = true;
     if (Pending->Entry.Kind == ClaimEntryKind::Begin)
-      Pending->Verdict = this->Index.judge(
+      Pending->Verdict = this->Index.evaluate(
           Pending->Entry.Key, Pending->Entry.Fingerprint, Pending->Entry.Claim);
   }
 }
@@ -191,7 +191,7 @@
 void ClaimLog::answerWithoutWriting(std::vector<PendingEntry *> &Batch) {
   for (PendingEntry *Pending : Batch)
     if (Pending->Entry.Kind == ClaimEntryKind::Begin)
-      Pending->Verdict = this->peek(
+      Pending->Verdict = this->findFinalVerdict(
           Pending->Entry.Key, Pending->Entry.Fingerprint, Pending->Entry.Claim);
 }
 
@@ -215,7 +215,7 @@
       break;
     }
     if (Done.value()) {
-      this->settle(Batch);
+      this->fillVerdicts(Batch);
       return;
     }
   }
@@ -227,13 +227,13 @@
   this->Abandoned[Claim] = Key;
 }
 
-ClaimVerdict ClaimLog::peek(const std::string &Key,
-                            const std::string &Fingerprint,
-                            uint64_t Claim) const {
-  ClaimVerdict Verdict = this->Index.judge(Key, Fingerprint, Claim);
+ClaimVerdict ClaimLog::findFinalVerdict(const std::string &Key,
+                                        const std::string &Fingerprint,
+                                        uint64_t Claim) const {
+  ClaimVerdict Verdict = this->Index.evaluate(Key, Fingerprint, Claim);
   const bool IsFinal = Verdict.Kind == ClaimKind::FirstAnswer ||
                        Verdict.Kind == ClaimKind::NotKnown ||
-                       Verdict.Kind == ClaimKind::Different;
+                       Verdict.Kind == ClaimKind::DifferentRequest;
   return IsFinal ? Verdict : ClaimVerdict();
 }
 
--- a/lib/Claims/ClaimWriter.cpp
+++ b/lib/Claims/ClaimWriter.cpp
@@ -24,7 +24,7 @@
 
 /// Writes all that waits. The caller holds Lock and has seen no write under
 /// way; the lock is released meanwhile.
-void ClaimWriter::lead(std::unique_lock<std::mutex> &Lock) {
+void ClaimWriter::writeWaiting(std::unique_lock<std::mutex> &Lock) {
   this->IsWriting = true;
   if (readSteadyClock() < this->NextWrite) {
     Lock.unlock();
@@ -32,7 +32,7 @@
     Lock.lock();
   }
   this->NextWrite = readSteadyClock() + this->Gap;
-  Load Taken;
+  WriteBatch Taken;
   std::swap(Taken, this->Waiting);
   std::vector<PendingEntry> Ends(Taken.Ends.size());
   Lock.unlock();
@@ -40,15 +40,15 @@
   Lock.lock();
   // An end that did not land is tried again with the next write.
   for (const PendingEntry &End : Ends)
-    if (!End.IsLanded)
+    if (!End.IsAppended)
       this->Waiting.Ends.push_back(End.Entry);
   for (PendingEntry *Begin : Taken.Begins)
-    Begin->IsSettled = true;
+    Begin->IsResolved = true;
   this->IsWriting = false;
   this->Written.notify_all();
 }
 
-void ClaimWriter::write(Load &Taken, std::vector<PendingEntry> &Ends) {
+void ClaimWriter::write(WriteBatch &Taken, std::vector<PendingEntry> &Ends) {
   for (const auto &[Key, Claim] : Taken.GivenUp)
     this->Log.abandonClaim(Key, Claim);
   std::vector<PendingEntry *> Batch;
@@ -65,11 +65,11 @@
   Pending.Entry = std::move(Entry);
   std::unique_lock<std::mutex> Lock(this->Mutex);
   this->Waiting.Begins.push_back(&Pending);
-  while (!Pending.IsSettled) {
+  while (!Pending.IsResolved) {
     if (this->IsWriting)
       this->Written.wait(Lock);
     else
-      this->lead(Lock);
+      this->writeWaiting(Lock);
   }
   return Pending.Verdict;
 }
@@ -88,7 +88,7 @@
   std::unique_lock<std::mutex> Lock(this->Mutex);
   this->Written.wait(Lock, [this] { return !this->IsWriting; });
   if (!this->Waiting.Ends.empty() || !this->Waiting.GivenUp.empty())
-    this->lead(Lock);
+    this->writeWaiting(Lock);
   this->Written.wait(Lock, [this] { return !this->IsWriting; });
   this->IsWriting = true;
   Lock.unlock();
--- a/lib/Config/ConfigFollower.cpp
+++ b/lib/Config/ConfigFollower.cpp
@@ -71,8 +71,8 @@
 /// While a confirmation is younger than this, nobody else needs to look.
 static constexpr Duration ConfirmationLife = fromSeconds(4);
 
-bool ConfigWatchDuty::isWatcher(const std::string &Self,
-                                const std::vector<std::string> &Working) {
+bool ConfigWatchSchedule::isWatcher(const std::string &Self,
+                                    const std::vector<std::string> &Working) {
   const std::vector<size_t> Order = rankByRendezvous("config-watch", Working);
   const size_t Count = std::min(Order.size(), Watchers);
   for (size_t I = 0; I < Count; ++I)
@@ -81,23 +81,23 @@
   return Working.empty();
 }
 
-void ConfigWatchDuty::noteConfirmed(Duration Age, TimePoint Now) {
+void ConfigWatchSchedule::recordConfirmation(Duration Age, TimePoint Now) {
   const TimePoint At = Now - Age;
   if (!this->WasConfirmed || At > this->Confirmed)
     this->Confirmed = At;
   this->WasConfirmed = true;
 }
 
-Duration ConfigWatchDuty::getConfirmedAge(TimePoint Now) const {
+Duration ConfigWatchSchedule::getConfirmationAge(TimePoint Now) const {
   return this->WasConfirmed ? Now - this->Confirmed : Duration::max();
 }
 
-bool ConfigWatchDuty::shouldLook(size_t Working, double Draw,
-                                 TimePoint Now) const {
-  if (this->getConfirmedAge(Now) < ConfirmationLife)
+bool ConfigWatchSchedule::shouldReadPlatform(size_t Working, double Draw,
+                                             TimePoint Now) const {
+  if (this->getConfirmationAge(Now) < ConfirmationLife)
     return false;
-  const double Part =
-      OrphanLooksPerSecond / static_cast<double>(std::max<size_t>(1, Working));
+  const double Part = UnconfirmedReadsPerSecond /
+                      static_cast<double>(std::max<size_t>(1, Working));
   return Draw < Part;
 }
 
--- a/lib/Daemon/ConfigAgent.cpp
+++ b/lib/Daemon/ConfigAgent.cpp
@@ -68,7 +68,7 @@
 
 void ConfigAgent::runRound() {
   const std::vector<std::string> Working = this->Members.getWorking();
-  if (ConfigWatchDuty::isWatcher(this->Context.Config.Name, Working)) {
+  if (ConfigWatchSchedule::isWatcher(this->Context.Config.Name, Working)) {
     this->watchPlatform();
     return;
   }
@@ -76,8 +76,8 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     std::uniform_real_distribution<double> Draw(0, 1);
-    ShouldLook = this->Duty.shouldLook(Working.size(), Draw(this->Random),
-                                       readSteadyClock());
+    ShouldLook = this->Duty.shouldReadPlatform(
+        Working.size(), Draw(this->Random), readSteadyClock());
   }
   if (ShouldLook)
     this->lookAtPlatform();
@@ -98,7 +98,7 @@
   }
   if (Value.error().Kind == ErrorKind::Timeout) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->Duty.noteConfirmed(Duration::zero(), readSteadyClock());
+    this->Duty.recordConfirmation(Duration::zero(), readSteadyClock());
     return;
   }
   std::this_thread::sleep_for(FailureWait);
@@ -122,7 +122,7 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->PlatformRevision = Value.Revision;
-    this->Duty.noteConfirmed(Duration::zero(), readSteadyClock());
+    this->Duty.recordConfirmation(Duration::zero(), readSteadyClock());
     if (Manifest.value().Version <= this->Follower.getVersion())
       return;
     Missing = this->Follower.findMissing(Manifest.value());
@@ -239,7 +239,7 @@
 void ConfigAgent::writeVersions(Json::Value &Message) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Message["config"] = static_cast<Json::UInt64>(this->Follower.getVersion());
-  const Duration Age = this->Duty.getConfirmedAge(readSteadyClock());
+  const Duration Age = this->Duty.getConfirmationAge(readSteadyClock());
   if (Age != Duration::max())
     Message["confirmed"] = static_cast<Json::Int64>(toMillis(Age));
 }
@@ -253,8 +253,8 @@
     IsBehind = Theirs > this->Follower.getVersion();
     // A peer that holds less than we do confirms nothing.
     if (Message.isMember("confirmed") && Theirs >= this->Follower.getVersion())
-      this->Duty.noteConfirmed(fromMillis(Message["confirmed"].asInt64()),
-                               readSteadyClock());
+      this->Duty.recordConfirmation(fromMillis(Message["confirmed"].asInt64()),
+                                    readSteadyClock());
   }
   if (IsBehind)
     this->Context.Calls.trySubmit([this, Peer] { this->fetchFrom(Peer); });
@@ -267,7 +267,7 @@
 
 int64_t ConfigAgent::getConfirmedAgeMillis() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const Duration Age = this->Duty.getConfirmedAge(readSteadyClock());
+  const Duration Age = this->Duty.getConfirmationAge(readSteadyClock());
   return Age == Duration::max() ? -1 : toMillis(Age);
 }
 
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -58,7 +58,7 @@
 /// The daemon's settings bound what the adapter's options do not.
 static ProxyOptions addBounds(ProxyOptions Options,
                               const DaemonConfig &Config) {
-  Options.Allowances = Config.Allowances;
+  Options.Allowances = Config.QuotaLimits;
   return Options;
 }
 
@@ -75,7 +75,7 @@
     : Config(std::move(Given)), Self(makeSelf(this->Config)),
       Proxy(this->Config.Name, this->Fleet, this->Upstreams, this->Counters,
             nullptr, addBounds(std::move(Options), this->Config)),
-      Repeats(this->Config.Repeats) {}
+      Repeats(this->Config.RetryLimit) {}
 
 Result<void> Gateway::Impl::start() {
   // Metrics tell of it, so it is there before they are served.
@@ -274,7 +274,7 @@
   this->Implementation->setDaemons(Daemons);
 }
 
-void Gateway::setRetryLimit(const RepeatAllowance &Allowance) {
+void Gateway::setRetryLimit(const FleetRetryLimit &Allowance) {
   this->Implementation->setRetryLimit(Allowance);
 }
 
--- a/lib/Daemon/GatewayFleet.cpp
+++ b/lib/Daemon/GatewayFleet.cpp
@@ -106,7 +106,7 @@
     this->build(FleetConfigRef(&Current->getConfig()));
 }
 
-void Gateway::Impl::setRetryLimit(const RepeatAllowance &Allowance) {
+void Gateway::Impl::setRetryLimit(const FleetRetryLimit &Allowance) {
   std::lock_guard<std::mutex> Lock(this->BuildMutex);
   this->Repeats = Allowance;
   if (const FleetRuntimeRef Current = this->Fleet.get())
--- a/lib/Daemon/GatewayImpl.h
+++ b/lib/Daemon/GatewayImpl.h
@@ -41,7 +41,7 @@
   Result<void> start();
   void setFleet(const FleetConfigRef &Config);
   void setDaemons(const std::vector<DaemonRecord> &Daemons);
-  void setRetryLimit(const RepeatAllowance &Allowance);
+  void setRetryLimit(const FleetRetryLimit &Allowance);
   void setStoreState(const StoreState &State, bool IsNews);
   void stopWaitingForSettings();
   void beginStop();
@@ -88,7 +88,7 @@
   /// Guards Store; held for no call.
   std::mutex StoreMutex;
   StoreState Store;
-  RepeatAllowance Repeats;
+  FleetRetryLimit Repeats;
   std::atomic<bool> IsStopping{false};
   std::atomic<bool> IsStopped{false};
   /// Used by the health rounds only.
--- a/lib/Daemon/MembershipAgent.cpp
+++ b/lib/Daemon/MembershipAgent.cpp
@@ -84,7 +84,7 @@
     Message["from"] = encodeMember(this->Table.getSelf());
     Message["changes"] = Json::arrayValue;
     const std::vector<MemberRecord> Records =
-        WantsAll ? this->Table.getAll() : this->Table.takeChanges(Receiver);
+        WantsAll ? this->Table.getAll() : this->Table.collectChanges(Receiver);
     for (const MemberRecord &Record : Records)
       Message["changes"].append(encodeMember(Record));
   }
@@ -102,12 +102,12 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     const uint64_t Before = this->Table.getWorkingVersion();
-    this->Table.take(From, Now);
-    this->Table.noteHeard(From.Name, Now);
+    this->Table.applyRecord(From, Now);
+    this->Table.recordContact(From.Name, Now);
     for (const Json::Value &Value : Message["changes"]) {
       MemberRecord Record;
       if (decodeMember(Value, Record))
-        this->Table.take(Record, Now);
+        this->Table.applyRecord(Record, Now);
     }
     IsChanged = Before != this->Table.getWorkingVersion();
   }
@@ -207,13 +207,13 @@
   std::optional<MemberRecord> Target;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    Target = this->Table.nextToPing(this->Random);
+    Target = this->Table.choosePingTarget(this->Random);
   }
   if (!Target) {
     this->join();
   } else if (!this->ping(*Target, PingTimeout) && !this->askOthers(*Target)) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->Table.noteUnreachable(Target->Name, readSteadyClock());
+    this->Table.recordUnreachable(Target->Name, readSteadyClock());
   }
   size_t Lost = 0;
   {
--- a/lib/Daemon/PeerExchange.cpp
+++ b/lib/Daemon/PeerExchange.cpp
@@ -218,7 +218,7 @@
   if (this->Switches.isOn(Mechanism::HallEstimates) &&
       this->isMyTurn(EstimateInterval, Interval))
     this->sendEstimates(Current, Now);
-  if (this->Switches.isOn(Mechanism::NewcomerEstimates) &&
+  if (this->Switches.isOn(Mechanism::StartupEstimates) &&
       this->isMyTurn(NewcomerInterval, Interval))
     this->sendUsedEstimates(Current, Now);
 }
@@ -278,7 +278,7 @@
 }
 
 bool PeerExchange::borrowRetry(ServiceRuntime &Service, TimePoint Now) {
-  return this->Switches.isOn(Mechanism::RepeatLoans) &&
+  return this->Switches.isOn(Mechanism::RetryLoans) &&
          this->Loans.borrow(Service, Now);
 }
 
--- a/lib/Membership/MemberTable.cpp
+++ b/lib/Membership/MemberTable.cpp
@@ -46,18 +46,18 @@
 
 MemberTable::MemberTable(MemberRecord Self, MembershipTuning Tuning, TimePoint)
     : Self(std::move(Self)), Tuning(Tuning) {
-  this->SelfSendsLeft = this->computeSends();
+  this->SelfSendsLeft = this->computeSendCount();
 }
 
-int MemberTable::computeSends() const {
+int MemberTable::computeSendCount() const {
   int Doublings = 1;
   for (size_t Size = this->Members.size() + 1; Size > 1; Size /= 2)
     ++Doublings;
   return Doublings * this->Tuning.SendsPerDoubling;
 }
 
-void MemberTable::announce(Member &Changed) {
-  Changed.SendsLeft = this->computeSends();
+void MemberTable::scheduleSends(Member &Changed) {
+  Changed.SendsLeft = this->computeSendCount();
 }
 
 /// Answers what is wrongly said of ourselves with a higher incarnation.
@@ -67,10 +67,10 @@
   if (IsRightAlready && Record.Incarnation <= this->Self.Incarnation)
     return;
   this->Self.Incarnation = Record.Incarnation + 1;
-  this->SelfSendsLeft = this->computeSends();
+  this->SelfSendsLeft = this->computeSendCount();
 }
 
-bool MemberTable::take(const MemberRecord &Record, TimePoint Now) {
+bool MemberTable::applyRecord(const MemberRecord &Record, TimePoint Now) {
   if (Record.Name == this->Self.Name) {
     this->refute(Record);
     return false;
@@ -83,7 +83,7 @@
     Member &Added = this->Members[Record.Name];
     Added.Record = Record;
     Added.StateSince = Now;
-    this->announce(Added);
+    this->scheduleSends(Added);
     if (isWorking(Record.State))
       ++this->WorkingVersion;
     return true;
@@ -95,11 +95,11 @@
     ++this->WorkingVersion;
   Known.Record = Record;
   Known.StateSince = Now;
-  this->announce(Known);
+  this->scheduleSends(Known);
   return true;
 }
 
-void MemberTable::noteHeard(const std::string &Name, TimePoint Now) {
+void MemberTable::recordContact(const std::string &Name, TimePoint Now) {
   // Being heard proves nothing about whether it hears us, and suspicion ends
   // only by the member's own word; but the time to drop it starts anew.
   const auto Found = this->Members.find(Name);
@@ -108,27 +108,27 @@
     Found->second.StateSince = Now;
 }
 
-void MemberTable::noteUnreachable(const std::string &Name, TimePoint Now) {
+void MemberTable::recordUnreachable(const std::string &Name, TimePoint Now) {
   const auto Found = this->Members.find(Name);
   if (Found == this->Members.end() ||
       Found->second.Record.State != MemberState::Alive)
     return;
   Found->second.Record.State = MemberState::Suspect;
   Found->second.StateSince = Now;
-  this->announce(Found->second);
+  this->scheduleSends(Found->second);
 }
 
 void MemberTable::leave() {
   this->Self.State = MemberState::Leaving;
   ++this->Self.Incarnation;
-  this->SelfSendsLeft = this->computeSends();
+  this->SelfSendsLeft = this->computeSendCount();
   ++this->WorkingVersion;
 }
 
 size_t MemberTable::advance(TimePoint Now) {
   size_t Lost = 0;
   for (auto &[Name, Each] : this->Members) {
-    const bool IsOverdue = Now - Each.StateSince >= this->Tuning.SuspectTime;
+    const bool IsOverdue = Now - Each.StateSince >= this->Tuning.SuspectTimeout;
     const bool MayDie = Each.Record.State == MemberState::Suspect ||
                         Each.Record.State == MemberState::Leaving;
     if (!MayDie || !IsOverdue)
@@ -139,16 +139,17 @@
     }
     Each.Record.State = MemberState::Dead;
     Each.StateSince = Now;
-    this->announce(Each);
+    this->scheduleSends(Each);
   }
   std::erase_if(this->Members, [&](const auto &Entry) {
     return Entry.second.Record.State == MemberState::Dead &&
-           Now - Entry.second.StateSince >= this->Tuning.DeadMemory;
+           Now - Entry.second.StateSince >= this->Tuning.DeadRetention;
   });
   return Lost;
 }
 
-std::optional<MemberRecord> MemberTable::nextToPing(std::mt19937_64 &Random) {
+std::optional<MemberRecord>
+MemberTable::choosePingTarget(std::mt19937_64 &Random) {
   for (int Round = 0; Round < 2; ++Round) {
     while (!this->PingRound.empty()) {
       const std::string Name = this->PingRound.back();
@@ -180,7 +181,7 @@
 }
 
 std::vector<MemberRecord>
-MemberTable::takeChanges(const std::string &Receiver) {
+MemberTable::collectChanges(const std::string &Receiver) {
   std::vector<MemberRecord> Changes = {this->Self};
   // Whoever is wrongly thought gone must hear of it to refute it.
   const auto Known = this->Members.find(Receiver);
--- a/lib/Proxy/RequestClaims.cpp
+++ b/lib/Proxy/RequestClaims.cpp
@@ -45,7 +45,7 @@
     return {409, RunOutcome::NotKnown, "still-running", RunningWait};
   case ClaimKind::NotKnown:
     return {409, RunOutcome::NotKnown, "outcome-not-known", NoWait};
-  case ClaimKind::Different:
+  case ClaimKind::DifferentRequest:
     return {422, RunOutcome::NotRun, "key-used-differently", NoWait};
   case ClaimKind::Granted:
   case ClaimKind::Unavailable:
@@ -107,7 +107,7 @@
                                    const ClaimVerdict &Verdict) {
   httplib::Response &Response = Request.Exchange.Response;
   const bool IsRefused = Verdict.Kind == ClaimKind::Unavailable ||
-                         Verdict.Kind == ClaimKind::Different;
+                         Verdict.Kind == ClaimKind::DifferentRequest;
   this->Counters.add(IsRefused ? Counter::ClaimsRefused
                                : Counter::ClaimsRepeated);
   if (Verdict.Kind != ClaimKind::FirstAnswer || !Verdict.Answer.HasBody) {
--- a/lib/Proxy/ServiceRetries.cpp
+++ b/lib/Proxy/ServiceRetries.cpp
@@ -67,7 +67,7 @@
   return this->FleetRetries && this->FleetRetries->hasRoom(Now);
 }
 
-void ServiceRuntime::setRetryLimit(const RepeatAllowance &Allowance,
+void ServiceRuntime::setRetryLimit(const FleetRetryLimit &Allowance,
                                    size_t Daemons, size_t Rank) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->FleetRetries)
@@ -122,7 +122,7 @@
                                           TimePoint Now) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto *Spells = std::get_if<MarkovPolicy>(&this->Policy);
-  if (!Spells || !this->isOn(Mechanism::WeighedRepeats))
+  if (!Spells || !this->isOn(Mechanism::WeighedRetries))
     return false;
   const int Best = this->findBestElsewhere(*Spells, Each, Needs, Now);
   if (Best < 0)
--- a/lib/Proxy/ServiceRuntime.cpp
+++ b/lib/Proxy/ServiceRuntime.cpp
@@ -228,7 +228,7 @@
   SelectionRules Rules;
   if (std::holds_alternative<PooledPolicy>(this->Policy))
     return Rules;
-  if (this->isOn(Mechanism::NearFirst))
+  if (this->isOn(Mechanism::SameHallFirst))
     Rules.RemoteWeight =
         Class == RouteClass::Download ? FarShareOfLarge : FarShareOfSmall;
   Rules.IsLoadInShares = true;
--- a/lib/Settings/DaemonConfig.cpp
+++ b/lib/Settings/DaemonConfig.cpp
@@ -78,13 +78,15 @@
   Config.Grace = fromSeconds(Decimal(SettingKey::GraceSeconds));
   Config.FloorPercent =
       static_cast<int>(std::lround(Decimal(SettingKey::FloorShare) * 100));
-  Config.Repeats.Share = Decimal(SettingKey::RepeatShare);
-  Config.Repeats.Window = fromSeconds(Decimal(SettingKey::RepeatWindowSeconds));
-  Config.Repeats.Reserve = Tree.lookupInteger(Node, SettingKey::RepeatReserve);
-  Config.Allowances.Window =
+  Config.RetryLimit.Share = Decimal(SettingKey::RepeatShare);
+  Config.RetryLimit.Window =
+      fromSeconds(Decimal(SettingKey::RepeatWindowSeconds));
+  Config.RetryLimit.Reserve =
+      Tree.lookupInteger(Node, SettingKey::RepeatReserve);
+  Config.QuotaLimits.Window =
       fromSeconds(Decimal(SettingKey::AllowanceWindowSeconds));
-  Config.Allowances.Excess = Decimal(SettingKey::AllowanceExcess);
-  Config.Allowances.Slack =
+  Config.QuotaLimits.Excess = Decimal(SettingKey::AllowanceExcess);
+  Config.QuotaLimits.Slack =
       static_cast<double>(Tree.lookupInteger(Node, SettingKey::AllowanceSlack));
   Config.Lease = fromSeconds(Decimal(SettingKey::LeaseSeconds));
   Config.AloneWait = fromSeconds(Decimal(SettingKey::AloneWaitSeconds));
--- a/lib/Settings/PolicySwitches.cpp
+++ b/lib/Settings/PolicySwitches.cpp
@@ -26,13 +26,13 @@
     {Mechanism::ElapsedEvidence, "elapsed-evidence"},
     {Mechanism::LearnedTimes, "learned-times"},
     {Mechanism::LearnedRates, "learned-rates"},
-    {Mechanism::WeighedRepeats, "weighed-repeats"},
-    {Mechanism::RepeatLoans, "repeat-loans"},
+    {Mechanism::WeighedRetries, "weighed-repeats"},
+    {Mechanism::RetryLoans, "repeat-loans"},
     {Mechanism::Floor, "floor"},
     {Mechanism::Tests, "tests"},
-    {Mechanism::NearFirst, "near-first"},
+    {Mechanism::SameHallFirst, "near-first"},
     {Mechanism::FreshConnections, "fresh-connections"},
-    {Mechanism::NewcomerEstimates, "newcomer-estimates"},
+    {Mechanism::StartupEstimates, "newcomer-estimates"},
 }};
 
 const char *getName(Mechanism Which) {
--- a/unittests/Admission/FleetQuotaTest.cpp
+++ b/unittests/Admission/FleetQuotaTest.cpp
@@ -19,8 +19,8 @@
 static const TimePoint Begin = TimePoint{} + fromSeconds(1000);
 
 /// A daemon of a fleet that states no slack, or the users' one.
-static const AllowanceBounds NoSlack;
-static const AllowanceBounds UsersBounds{fromSeconds(5), 0.1, 20};
+static const QuotaBounds NoSlack;
+static const QuotaBounds UsersBounds{fromSeconds(5), 0.1, 20};
 
 static OrganisationDirectoryRef makeOne(double Rate, double Burst,
                                         const std::string &Name = "o") {
--- a/unittests/Admission/FleetRetryBudgetTest.cpp
+++ b/unittests/Admission/FleetRetryBudgetTest.cpp
@@ -22,7 +22,7 @@
 
 using namespace canvaswick;
 
-static constexpr RepeatAllowance Allowance{0.2, fromSeconds(10), 58};
+static constexpr FleetRetryLimit Allowance{0.2, fromSeconds(10), 58};
 static constexpr TimePoint Start{fromSeconds(1000)};
 
 TEST_CASE("repeats follow the daemon's own requests and its part of the rest") {
--- a/unittests/Claims/ClaimIndexTest.cpp
+++ b/unittests/Claims/ClaimIndexTest.cpp
@@ -68,7 +68,8 @@
     Entry.Claim = Claim;
     Entry.Fingerprint = this->Body;
     Real.Under.apply(Entry);
-    const ClaimVerdict Verdict = Real.Under.judge(this->Key, this->Body, Claim);
+    const ClaimVerdict Verdict =
+        Real.Under.evaluate(this->Key, this->Body, Claim);
     const auto Found = State.Keys.find(this->Key);
     const bool IsFree = Found == State.Keys.end() || Found->second.Holder == 0;
     // The one thing that must never be: granted while someone holds it.
@@ -77,7 +78,7 @@
       return;
     const OracleKey &Known = Found->second;
     if (Known.Body != this->Body)
-      RC_ASSERT(Verdict.Kind == ClaimKind::Different);
+      RC_ASSERT(Verdict.Kind == ClaimKind::DifferentRequest);
     else if (!Known.IsEnded)
       RC_ASSERT(Verdict.Kind == ClaimKind::StillRunning);
     else if (Known.HasAnswer)
--- a/unittests/Config/ConfigFollowerTest.cpp
+++ b/unittests/Config/ConfigFollowerTest.cpp
@@ -117,26 +117,27 @@
     CAPTURE(Daemons);
     std::mt19937_64 Random(1);
     std::uniform_real_distribution<double> Draw(0, 1);
-    ConfigWatchDuty Duty;
+    ConfigWatchSchedule Duty;
     int Looks = 0;
     static constexpr int Seconds = 200;
     for (int S = 0; S < Seconds; ++S)
       for (size_t D = 0; D < Daemons; ++D)
-        Looks += Duty.shouldLook(Daemons, Draw(Random), TimePoint{});
-    CHECK(Looks < 1.3 * Seconds * ConfigWatchDuty::OrphanLooksPerSecond);
+        Looks += Duty.shouldReadPlatform(Daemons, Draw(Random), TimePoint{});
+    CHECK(Looks <
+          1.3 * Seconds * ConfigWatchSchedule::UnconfirmedReadsPerSecond);
   }
 }
 
 TEST_CASE("a young confirmation keeps others from looking") {
-  ConfigWatchDuty Duty;
+  ConfigWatchSchedule Duty;
   const TimePoint Now = TimePoint{} + fromSeconds(100);
-  CHECK(Duty.shouldLook(1, 0, Now));
-  Duty.noteConfirmed(fromSeconds(1), Now);
-  CHECK(!Duty.shouldLook(1, 0, Now));
-  CHECK(Duty.shouldLook(1, 0, Now + fromSeconds(10)));
+  CHECK(Duty.shouldReadPlatform(1, 0, Now));
+  Duty.recordConfirmation(fromSeconds(1), Now);
+  CHECK(!Duty.shouldReadPlatform(1, 0, Now));
+  CHECK(Duty.shouldReadPlatform(1, 0, Now + fromSeconds(10)));
   // An older word does not replace a younger one.
-  Duty.noteConfirmed(fromSeconds(50), Now);
-  CHECK(Duty.getConfirmedAge(Now) == fromSeconds(1));
+  Duty.recordConfirmation(fromSeconds(50), Now);
+  CHECK(Duty.getConfirmationAge(Now) == fromSeconds(1));
 }
 
 namespace {
--- a/unittests/Daemon/QuotaAgentTest.cpp
+++ b/unittests/Daemon/QuotaAgentTest.cpp
@@ -54,7 +54,7 @@
       this->Config, this->Counters, this->Caller,  this->Platform,
       this->Calls,  this->Fleet,    this->Notices, 7000};
   MembershipAgent Members{this->Context};
-  OrganisationQuotas Gate{AllowanceBounds(), Begin, 0};
+  OrganisationQuotas Gate{QuotaBounds(), Begin, 0};
   QuotaAgent Agent{this->Context, this->Members, this->Gate};
 };
 
--- a/unittests/Membership/MemberTableTest.cpp
+++ b/unittests/Membership/MemberTableTest.cpp
@@ -35,19 +35,19 @@
 TEST_CASE("a later incarnation wins, then the graver state") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  CHECK(Table.take(makeRecord("x", 5), Now));
-  CHECK(!Table.take(makeRecord("x", 4, MemberState::Dead), Now));
-  CHECK(!Table.take(makeRecord("x", 5), Now));
-  CHECK(Table.take(makeRecord("x", 5, MemberState::Suspect), Now));
-  CHECK(!Table.take(makeRecord("x", 5, MemberState::Alive), Now));
-  CHECK(Table.take(makeRecord("x", 6, MemberState::Alive), Now));
+  CHECK(Table.applyRecord(makeRecord("x", 5), Now));
+  CHECK(!Table.applyRecord(makeRecord("x", 4, MemberState::Dead), Now));
+  CHECK(!Table.applyRecord(makeRecord("x", 5), Now));
+  CHECK(Table.applyRecord(makeRecord("x", 5, MemberState::Suspect), Now));
+  CHECK(!Table.applyRecord(makeRecord("x", 5, MemberState::Alive), Now));
+  CHECK(Table.applyRecord(makeRecord("x", 6, MemberState::Alive), Now));
 }
 
 TEST_CASE("a member is suspected before it is dropped") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  Table.take(makeRecord("x"), Now);
-  Table.noteUnreachable("x", Now);
+  Table.applyRecord(makeRecord("x"), Now);
+  Table.recordUnreachable("x", Now);
   CHECK(Table.getWorking().size() == 2);
   Now += fromSeconds(3);
   CHECK(Table.advance(Now) == 0);
@@ -55,19 +55,19 @@
   CHECK(Table.advance(Now) == 1);
   CHECK(Table.getWorking() == std::vector<std::string>{"self"});
   // Its old record does not bring it back; its own newer one does.
-  CHECK(!Table.take(makeRecord("x"), Now));
-  CHECK(Table.take(makeRecord("x", 2), Now));
+  CHECK(!Table.applyRecord(makeRecord("x"), Now));
+  CHECK(Table.applyRecord(makeRecord("x", 2), Now));
   CHECK(Table.getWorking().size() == 2);
 }
 
 TEST_CASE("a member that is heard is not dropped while it is suspect") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  Table.take(makeRecord("x"), Now);
-  Table.noteUnreachable("x", Now);
+  Table.applyRecord(makeRecord("x"), Now);
+  Table.recordUnreachable("x", Now);
   for (int I = 0; I < 10; ++I) {
     Now += fromSeconds(2);
-    Table.noteHeard("x", Now);
+    Table.recordContact("x", Now);
     CHECK(Table.advance(Now) == 0);
   }
 }
@@ -75,20 +75,20 @@
 TEST_CASE("what is wrongly said of this daemon is refuted") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  Table.take(makeRecord("self", 1, MemberState::Dead), Now);
+  Table.applyRecord(makeRecord("self", 1, MemberState::Dead), Now);
   CHECK(Table.getSelf().Incarnation == 2);
   CHECK(Table.getSelf().State == MemberState::Alive);
-  CHECK(Table.takeChanges("anyone").front().Incarnation == 2);
+  CHECK(Table.collectChanges("anyone").front().Incarnation == 2);
 }
 
 TEST_CASE("who is thought gone is told so") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  Table.take(makeRecord("x"), Now);
-  Table.noteUnreachable("x", Now);
+  Table.applyRecord(makeRecord("x"), Now);
+  Table.recordUnreachable("x", Now);
   Now += fromSeconds(10);
   Table.advance(Now);
-  const std::vector<MemberRecord> Changes = Table.takeChanges("x");
+  const std::vector<MemberRecord> Changes = Table.collectChanges("x");
   CHECK(std::any_of(
       Changes.begin(), Changes.end(), [](const MemberRecord &Record) {
         return Record.Name == "x" && Record.State == MemberState::Dead;
@@ -98,7 +98,7 @@
 TEST_CASE("a leaving member does no work and is dropped") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  Table.take(makeRecord("x", 2, MemberState::Leaving), Now);
+  Table.applyRecord(makeRecord("x", 2, MemberState::Leaving), Now);
   CHECK(Table.getWorking().size() == 1);
   Now += fromSeconds(5);
   Table.advance(Now);
@@ -109,12 +109,12 @@
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   for (int I = 0; I < 10; ++I)
-    Table.take(makeRecord(fmt::format("m{}", I)), Now);
+    Table.applyRecord(makeRecord(fmt::format("m{}", I)), Now);
   std::mt19937_64 Random(1);
   std::vector<std::string> Round;
   Round.reserve(10);
   for (int I = 0; I < 10; ++I)
-    Round.push_back(Table.nextToPing(Random)->Name);
+    Round.push_back(Table.choosePingTarget(Random)->Name);
   std::sort(Round.begin(), Round.end());
   CHECK(std::unique(Round.begin(), Round.end()) == Round.end());
 }
@@ -122,10 +122,10 @@
 TEST_CASE("a change is passed on a bounded number of times") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
-  Table.take(makeRecord("x"), Now);
+  Table.applyRecord(makeRecord("x"), Now);
   int Sent = 0;
   for (int I = 0; I < 100; ++I)
-    for (const MemberRecord &Record : Table.takeChanges("other"))
+    for (const MemberRecord &Record : Table.collectChanges("other"))
       Sent += Record.Name == "x";
   CHECK(Sent > 0);
   CHECK(Sent < 20);
@@ -137,10 +137,10 @@
     for (MemberTable &To : Tables) {
       if (&From == &To)
         continue;
-      for (const MemberRecord &Record : From.takeChanges(To.getSelf().Name))
-        To.take(Record, Now);
+      for (const MemberRecord &Record : From.collectChanges(To.getSelf().Name))
+        To.applyRecord(Record, Now);
       for (const MemberRecord &Record : From.getAll())
-        To.take(Record, Now);
+        To.applyRecord(Record, Now);
     }
 }
 
@@ -161,10 +161,10 @@
         continue;
       const std::string Name = Tables[To].getSelf().Name;
       if (IsLost)
-        Tables[From].noteUnreachable(Name, Now);
+        Tables[From].recordUnreachable(Name, Now);
       else
-        for (const MemberRecord &Record : Tables[From].takeChanges(Name))
-          Tables[To].take(Record, Now);
+        for (const MemberRecord &Record : Tables[From].collectChanges(Name))
+          Tables[To].applyRecord(Record, Now);
       Tables[From].advance(Now);
     }
     // The cuts are healed: a few rounds bring everyone back.
--- a/unittests/PlatformAdapter/FleetAtSizeTest.cpp
+++ b/unittests/PlatformAdapter/FleetAtSizeTest.cpp
@@ -129,7 +129,7 @@
     Config.Callers = {"127.0.0.1", PlatformFixture::findFreePort()};
     Config.Ready = {"127.0.0.1", PlatformFixture::findFreePort()};
     Config.ExpectedDaemons = 1;
-    Config.Repeats = {0.2, fromSeconds(10), 630};
+    Config.RetryLimit = {0.2, fromSeconds(10), 630};
     return Config;
   }
 
--- a/unittests/PlatformAdapter/PlatformDaemonTest.cpp
+++ b/unittests/PlatformAdapter/PlatformDaemonTest.cpp
@@ -245,7 +245,7 @@
       [&] { return Fixture.One.Arrivals + Fixture.Two.Arrivals == 1; });
   // Meanwhile other requests use up the retries.
   DaemonConfig Config = Fixture.Config;
-  Config.Repeats = {0, fromSeconds(10), 0};
+  Config.RetryLimit = {0, fromSeconds(10), 0};
   Fixture.Daemon->reload(Config);
   Caller.join();
   CHECK(Result.Status == 200);
@@ -258,7 +258,7 @@
   // With retries left, requests may leave a server that was not used before
   // again and again before it can answer, which counts as evidence against it.
   DaemonConfig Config = Fixture.Config;
-  Config.Repeats = {0, fromSeconds(10), 0};
+  Config.RetryLimit = {0, fromSeconds(10), 0};
   Fixture.Daemon->reload(Config);
   Fixture.One.AnswerDelay = Fixture.Two.AnswerDelay = TypicalAnswerTime;
   int OfOne = 0;
--- a/unittests/PlatformAdapter/PlatformFixture.h
+++ b/unittests/PlatformAdapter/PlatformFixture.h
@@ -202,7 +202,7 @@
     Config.Grace = fromSeconds(3);
     Config.Drain = fromSeconds(2);
     Config.FloorPercent = 70;
-    Config.Repeats = {1, fromSeconds(10), 1000};
+    Config.RetryLimit = {1, fromSeconds(10), 1000};
     Config.Lease = fromSeconds(60);
     return Config;
   }
