--- a/include/canvaswick/Claims/ClaimGate.h
+++ b/include/canvaswick/Claims/ClaimGate.h
@@ -1,5 +1,4 @@
-//===- ClaimGate.h - The way the data path asks for the right to run a request
-// once -*- C++ -*-===//
+//===- ClaimGate.h - Interface that grants claims on requests ---*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A keyed request of the class once is run only after its claim is granted.
-/// This interface keeps the data path apart from how claims are stored.
+/// A request with an idempotency key on a route of the class once is run only
+/// after its claim is granted. This interface separates the data path from the
+/// storage of claims.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,57 +23,61 @@
 
 namespace canvaswick {
 
-/// The kinds of answer to a claim.
+/// The outcome of asking for a claim.
 enum class ClaimKind : uint8_t {
-  /// Nobody has run it and nobody else will: run it.
+  /// The key was free and now belongs to this claim. Its holder alone may run
+  /// the request.
   Granted,
-  /// It ran; the first answer is here.
+  /// The request ran before, and the verdict holds its stored response.
   FirstAnswer,
-  /// Another try of the same request is under way.
+  /// Another attempt at the same request is in progress.
   StillRunning,
-  /// A try began and how it ended is not known. It will not be run again.
+  /// An earlier attempt started and its outcome is unknown. The request is not
+  /// run again.
   NotKnown,
-  /// The key was used for a different request.
+  /// The key was used before for a different request.
   DifferentRequest,
-  /// The claim could not be stored; nothing was run.
+  /// The claim could not be stored, so the request was not run.
   Unavailable,
 };
 
-/// Returns the name of a kind as reports print it.
+/// Returns the name of an outcome as it appears in reports.
 const char *getName(ClaimKind Kind);
 
-/// The stored answer of a request that ran.
+/// The stored response of a request that ran.
 struct FirstAnswer {
   int Status = 0;
   std::string ContentType;
   std::string Body;
-  /// False if the body was too long to keep.
+  /// Is false if the body was too long to store.
   bool HasBody = true;
 };
 
-/// What came of asking.
+/// The reply to a request for a claim.
 struct ClaimVerdict {
   ClaimKind Kind = ClaimKind::Unavailable;
+  /// The stored response if Kind is FirstAnswer.
   FirstAnswer Answer;
-  /// Names the granted claim.
+  /// Identifies the claim that holds the key.
   uint64_t Claim = 0;
 };
 
-/// How a claimed request ended.
+/// How a request that was granted a claim ended.
 enum class ClaimEnd : uint8_t { Ran, NotRun, NotKnown };
 
-/// Grants claims and takes their ends. Thread-safe.
+/// Grants claims and records how their requests ended. Thread-safe.
 class ClaimGate {
 public:
   virtual ~ClaimGate() = default;
 
-  /// Asks for the right to run the request that Key names. Fingerprint is the
-  /// same for the same request only. Waits until Deadline at most.
+  /// Asks for the right to run the request with the idempotency key Key.
+  /// Fingerprint tells whether two requests with one key are the same request.
+  /// Blocks until Deadline at most.
   virtual ClaimVerdict begin(const std::string &Key,
                              const std::string &Fingerprint,
                              TimePoint Deadline) = 0;
 
-  /// Tells how a granted claim ended.
+  /// Records how the request of a granted claim ended.
   virtual void finish(const std::string &Key, uint64_t Claim, ClaimEnd End,
                       const FirstAnswer &Answer) = 0;
 };
--- a/include/canvaswick/Claims/ClaimLog.h
+++ b/include/canvaswick/Claims/ClaimLog.h
@@ -1,4 +1,4 @@
-//===- ClaimLog.h - One shard's log of claims at the platform ---*- C++ -*-===//
+//===- ClaimLog.h - Log of the claims of one shard --------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Appends batches of entries by compare-and-swap to numbered chunks. A writer
-/// holds the newest revision or fails, so one that was paused learns what
-/// happened meanwhile before it can write anything: no clock is trusted.
+/// Appends batches of entries by compare-and-swap to numbered chunks, which the
+/// platform stores. A write fails unless the writer has read the newest
+/// revision, so a writer that was paused reads what other writers appended
+/// before it can write. The exclusion of writers does not depend on clocks.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,40 +27,44 @@
 
 namespace canvaswick {
 
-/// A claim or an end that waits for its place in the log.
+/// A begin or an end of a claim that is to be appended to the log.
 struct PendingEntry {
   ClaimEntry Entry;
-  /// Set by append.
+  /// The verdict of a Begin. ClaimLog::append sets it.
   ClaimVerdict Verdict;
+  /// Whether append has processed the entry. An entry with false is to be tried
+  /// again.
   bool IsAppended = false;
-  /// Set by ClaimWriter when the verdict is there.
+  /// Whether Verdict is final. ClaimWriter sets it.
   bool IsResolved = false;
 };
 
-/// One shard's log as one writer sees it. Not thread-safe.
+/// The view that one writer has of the log of a shard. Not thread-safe.
 class ClaimLog {
 public:
-  /// Keys live below canvaswick/claims/SHARD.
+  /// Stores the log below the key canvaswick/claims/SHARD of the platform. Keys
+  /// of requests are remembered for Memory.
   ClaimLog(PlatformClient &Platform, size_t Shard, Duration Memory);
 
-  /// Appends the entries and fills their verdicts. A Begin that is not the
-  /// first of its key is not written. After a failure to reach the platform
-  /// the verdict of every Begin that is not known to have landed is
-  /// Unavailable, and the entry counts as abandoned: if it landed after all,
-  /// it is ended as not run later.
+  /// Appends the entries and sets their verdicts. A Begin that is not the first
+  /// of its key is not written. If the platform cannot be reached, each Begin
+  /// whose outcome is not final gets the verdict Unavailable. If a write was
+  /// attempted, its claims also count as abandoned: a later append releases the
+  /// keys of those that were stored nevertheless.
   void append(std::vector<PendingEntry *> &Batch, int64_t NowMillis);
 
-  /// Notes that a claim of ours was given up without being run, wherever it
-  /// may have landed. The next append releases its key.
+  /// Records that a claim of this daemon was given up and its request not run.
+  /// The next append releases the key, if the claim was stored in the log.
   void abandonClaim(const std::string &Key, uint64_t Claim);
 
-  /// Returns the holder of a running key.
+  /// Returns the holder of a key whose request is running, or an empty string.
   std::string getRunningHolder(const std::string &Key) const;
 
-  /// Empties one chunk that is older than the memory, if there is one.
+  /// Empties the oldest chunk if all its entries are older than the time for
+  /// which keys are remembered.
   void prune(int64_t NowMillis);
 
-  /// Returns how many writes this writer has made.
+  /// Returns how many writes to chunks this writer has attempted.
   uint64_t countWrites() const { return this->Writes; }
 
   size_t countKeys() const { return this->Index.countKeys(); }
@@ -75,8 +80,8 @@
   chooseEntries(const std::vector<PendingEntry *> &Batch,
                 int64_t NowMillis) const;
   void fillVerdicts(std::vector<PendingEntry *> &Batch);
-  /// Answers from what is known without a write: only verdicts that cannot
-  /// change any more.
+  /// Returns the verdict that the index gives if no later entry can change it,
+  /// else Unavailable.
   ClaimVerdict findFinalVerdict(const std::string &Key,
                                 const std::string &Fingerprint,
                                 uint64_t Claim) const;
@@ -90,14 +95,18 @@
   const size_t Shard;
   const Duration Memory;
   bool IsLoaded = false;
+  /// Number of the oldest chunk that is not pruned, and the revision of the
+  /// value that stores this number.
   uint64_t FirstChunk = 0;
   uint64_t HeadRevision = 0;
+  /// Number, revision and content of the chunk that is appended to.
   uint64_t CurrentChunk = 0;
   uint64_t Revision = 0;
   ClaimChunk Chunk;
-  /// Newest entry time of each sealed chunk, by number.
+  /// Time of the newest entry of each sealed chunk, by number of the chunk.
   std::map<uint64_t, int64_t> SealedAt;
   ClaimIndex Index;
+  /// Keys of the claims that are to be released, by claim.
   std::map<uint64_t, std::string> Abandoned;
   uint64_t Writes = 0;
 };
--- a/include/canvaswick/Claims/ClaimWriter.h
+++ b/include/canvaswick/Claims/ClaimWriter.h
@@ -1,4 +1,4 @@
-//===- ClaimWriter.h - Many claims, one write -------------------*- C++ -*-===//
+//===- ClaimWriter.h - Batches the claims of many threads -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Threads hand in claims for one log; whoever finds no write under way writes
-/// for all that wait, and the others sleep until theirs is settled. So the
-/// platform sees one write at a time whatever the load.
+/// Many threads submit claims for one log. A thread that finds no write in
+/// progress writes the entries of all waiting threads, and the others sleep
+/// until theirs are resolved. The platform therefore receives one write at a
+/// time, independent of the load.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,34 +27,38 @@
 
 namespace canvaswick {
 
-/// A claim log that many threads share. Thread-safe.
+/// A claim log that several threads share. Thread-safe.
 class ClaimWriter {
 public:
-  /// Writes follow each other no sooner than Gap, so that all logs together
-  /// stay within what the platform bears; what waits meanwhile shares a write.
+  /// Gap is the minimum time between the starts of two writes. It keeps the
+  /// write rate of all logs together within the capacity of the platform.
+  /// Entries that arrive meanwhile share the next write.
   ClaimWriter(PlatformClient &Platform, size_t Shard, Duration Memory,
               Duration Gap);
 
-  /// Writes a Begin and returns its verdict. Waits for the writes before it.
+  /// Writes a Begin and returns its verdict. Blocks until it is written or has
+  /// failed.
   ClaimVerdict begin(ClaimEntry Entry);
 
-  /// Hands in the end of a claim. It is written with the next write.
+  /// Queues the end of a claim for the next write. Does not block on the
+  /// platform.
   void addEnd(ClaimEntry Entry);
 
-  /// Notes that a claim of ours was given up without being run.
+  /// Records that a claim of this daemon was given up and its request not run.
+  /// The next write releases the key.
   void giveUp(const std::string &Key, uint64_t Claim);
 
-  /// Writes ends that wait for nobody's claim, and empties old chunks.
+  /// Writes queued ends if no Begin has carried them, and prunes the log.
   void runRound();
 
-  /// Returns the holder of a running key, or an empty text.
+  /// Returns the holder of a key whose request is running, or an empty string.
   std::string getRunningHolder(const std::string &Key);
 
-  /// Returns how many writes were made.
+  /// Returns how many writes to the platform were attempted.
   uint64_t countWrites();
 
 private:
-  /// What one write takes along.
+  /// The entries that the next write appends.
   struct WriteBatch {
     std::vector<PendingEntry *> Begins;
     std::vector<ClaimEntry> Ends;
@@ -66,7 +71,7 @@
   const Duration Gap;
   std::mutex Mutex;
   std::condition_variable Written;
-  /// True while a thread uses the log without holding the mutex.
+  /// Is true while a thread uses Log without holding Mutex.
   bool IsWriting = false;
   TimePoint NextWrite{};
   WriteBatch Waiting;
--- a/include/canvaswick/Config/ConfigFollower.h
+++ b/include/canvaswick/Config/ConfigFollower.h
@@ -1,5 +1,4 @@
-//===- ConfigFollower.h - Which version of the settings is in force at a daemon
-//-*- C++ -*-===//
+//===- ConfigFollower.h - Version of the settings in force ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Takes newer versions from wherever they come, never an older one, and never
-/// one that fails the check. Says which parts are missing and when to look at
-/// the platform. No sockets: the daemon fetches.
+/// Tracks the version of the settings that is in force at a daemon. Accepts
+/// only newer versions that pass validation, whichever source they come from,
+/// and reports which parts are missing. Also decides which daemons read the
+/// platform and when. Does no input or output; the daemon fetches the parts.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,28 +26,30 @@
 
 namespace canvaswick {
 
-/// The settings of one daemon. Not thread-safe.
+/// Holds the version of the settings in force at one daemon. Not thread-safe.
 class ConfigFollower {
 public:
-  /// Returns the version in force, 0 for none.
+  /// Returns the version in force, or 0 if no published version is in force.
   uint64_t getVersion() const { return this->Manifest.Version; }
 
   const ConfigManifest &getManifest() const { return this->Manifest; }
 
-  /// Returns the text of a part in force, or null.
+  /// Returns the text of a part of the version in force, or null.
   const std::string *findText(const std::string &Hash) const;
 
-  /// Returns the hashes of the parts of Candidate that are not here.
+  /// Returns the hashes of the parts of Candidate whose text is not held.
   std::vector<std::string> findMissing(const ConfigManifest &Candidate) const;
 
   /// Puts a version in force. Fetched holds the parts that were missing. Fails
-  /// with Conflict if it is not newer, and with InvalidArgument if the tree
-  /// fails its check; the version in force then stays.
+  /// with Conflict if Candidate is not newer than the version in force, with
+  /// the error of joinTree if a part is missing or does not match its hash, and
+  /// with InvalidArgument if the tree fails validation. After an error the
+  /// version in force is unchanged.
   Result<FleetConfigRef> accept(const ConfigManifest &Candidate,
                                 const ConfigTexts &Fetched);
 
-  /// Puts a tree from a local file in force as version 0, while there is no
-  /// other.
+  /// Compiles a tree from a local file as version 0. Fails with Conflict if a
+  /// published version is in force.
   Result<FleetConfigRef> acceptLocal(const std::string &Text,
                                      const std::string &FileName);
 
@@ -56,30 +58,34 @@
   ConfigTexts Texts;
 };
 
-/// Decides which daemons look at the platform. A few watch it for all; the
-/// others look only when nobody has confirmed for long that what they hold is
-/// the newest, and then so rarely that the sum over the fleet stays the same.
+/// Decides which daemons read the settings from the platform. A few elected
+/// watchers read it for the whole fleet. The other daemons read it only if the
+/// version in force has not been confirmed as the newest for some time, and
+/// then with a probability that keeps the read rate of the fleet constant.
 class ConfigWatchSchedule {
 public:
-  /// Sum of looks a second over the fleet while nobody confirms.
+  /// Reads per second of all daemons together while no watcher confirms.
   static constexpr double UnconfirmedReadsPerSecond = 3;
 
-  /// How many daemons watch for all.
+  /// Number of daemons that watch the platform for the fleet.
   static constexpr size_t Watchers = 3;
 
-  /// Returns whether Self is one of those who watch.
+  /// Returns whether the daemon Self is a watcher. Working lists the members
+  /// that share the work; if it is empty, every daemon is a watcher.
   static bool isWatcher(const std::string &Self,
                         const std::vector<std::string> &Working);
 
-  /// Notes that the platform was read successfully, by us or by someone who
-  /// told us Age ago.
+  /// Records that this daemon, or a peer that reported it, read the platform
+  /// successfully Age before Now.
   void recordConfirmation(Duration Age, TimePoint Now);
 
-  /// Returns how long ago the newest known confirmation was.
+  /// Returns the age of the newest known confirmation, or Duration::max() if
+  /// there is none.
   Duration getConfirmationAge(TimePoint Now) const;
 
-  /// Returns whether a daemon that does not watch should look now, when asked
-  /// once a second. Draw is a random number from 0 to 1.
+  /// Returns whether a daemon that is not a watcher should read the platform
+  /// now. To be called once per second. Working is the number of members that
+  /// share the work, and Draw is a uniform random number from 0 to 1.
   bool shouldReadPlatform(size_t Working, double Draw, TimePoint Now) const;
 
 private:
--- a/include/canvaswick/Config/ConfigManifest.h
+++ b/include/canvaswick/Config/ConfigManifest.h
@@ -1,5 +1,4 @@
-//===- ConfigManifest.h - A version of the operators' settings, in parts -*- C++
-//-*-===//
+//===- ConfigManifest.h - Version of the settings in parts ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A tree at the target size is longer than one value of the platform may be.
-/// It is stored as parts named by their content and one manifest that names
-/// them; the manifest alone is written by compare-and-swap, so readers see a
-/// version whole or not at all.
+/// A settings tree can be longer than one value of the platform may be. It is
+/// stored as parts, whose keys are hashes of their content, and one manifest
+/// that lists them. Only the manifest is written by compare-and-swap, so a
+/// reader sees either a complete version or none.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,13 +26,13 @@
 
 namespace canvaswick {
 
-/// The key of the manifest at the platform.
+/// The key of the newest manifest at the platform.
 inline constexpr const char *ManifestKey = "canvaswick/config/manifest";
 
-/// Returns the key of a part by the hash of its content.
+/// Returns the key of the part whose content has the given hash.
 std::string getPartKey(const std::string &Hash);
 
-/// Returns the key under which the manifest of a past version is kept.
+/// Returns the key of the manifest of a past version.
 std::string getPastManifestKey(uint64_t Version);
 
 /// One part of a version.
@@ -43,39 +42,41 @@
   bool operator==(const ConfigPart &) const = default;
 };
 
-/// One accepted change, for the history and for finding out whether a change
-/// landed.
+/// One accepted change of the settings. Changes are kept for the history and to
+/// find out whether a change took effect after its response was lost.
 struct ConfigChange {
   uint64_t Version = 0;
   std::string ChangeId;
   std::string Author;
   std::string Note;
+  /// Calendar time of the change in milliseconds.
   int64_t TimeMillis = 0;
 };
 
-/// What a version consists of.
+/// The content of a version: its parts and the changes that led to it.
 struct ConfigManifest {
   uint64_t Version = 0;
   std::vector<ConfigPart> Parts;
-  /// The newest changes, newest last; the last one made this version.
+  /// The most recent changes, oldest first. The last one made this version.
   std::vector<ConfigChange> Changes;
 };
 
-/// The texts of parts by hash.
+/// The texts of parts by the hash of the text.
 using ConfigTexts = std::map<std::string, std::string>;
 
-/// Writes a manifest as one value of the platform.
+/// Encodes a manifest as JSON.
 std::string encodeManifest(const ConfigManifest &Manifest);
 
-/// Reads a manifest.
+/// Decodes a manifest. Fails with InvalidArgument if Text is malformed.
 Result<ConfigManifest> decodeManifest(const std::string &Text);
 
-/// Splits a tree's text by sections. A change to one service changes one part.
-/// Fills Texts and returns the parts in order.
+/// Splits the text of a tree into parts by section, such that a change of one
+/// service changes one part. Adds the texts of the parts to Texts and returns
+/// the parts ordered by name.
 std::vector<ConfigPart> splitTree(const std::string &Text, ConfigTexts &Texts);
 
-/// Joins the parts again. Fails with NotFound if one is missing, and with Io if
-/// one does not match its hash.
+/// Joins parts into the text of a tree. Fails with NotFound if the text of a
+/// part is missing, and with Io if it does not match the hash of the part.
 Result<std::string> joinTree(const std::vector<ConfigPart> &Parts,
                              const ConfigTexts &Texts);
 
--- a/include/canvaswick/Settings/DaemonConfig.h
+++ b/include/canvaswick/Settings/DaemonConfig.h
@@ -1,4 +1,4 @@
-//===- DaemonConfig.h - The daemon's own settings ---------------*- C++ -*-===//
+//===- DaemonConfig.h - Settings of one daemon ------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What one process must know before it can reach anything: its name, region,
-/// hall and addresses, where the platform is, and its bounds.
+/// The settings that a daemon process needs before it can reach the platform:
+/// its name, region, hall and addresses, the address of the platform, and its
+/// limits.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,28 +25,31 @@
 
 namespace canvaswick {
 
-/// Where a daemon's settings and list of servers come from.
+/// The source of a daemon's fleet settings and list of backend servers: the
+/// settings tree of the fleet's operators, or the users' platform.
 enum class SettingsSource : uint8_t { Own, Platform };
 
-/// How many repeats the whole fleet may send to one service within any span of
-/// Window: Share of the service's requests, and Reserve besides.
+/// The limit on the retries that the whole fleet may send to one service:
+/// within any period of length Window, the fraction Share of the service's
+/// requests plus Reserve retries.
 struct FleetRetryLimit {
   double Share = 0;
   Duration Window{};
   int64_t Reserve = 0;
 };
 
-/// What the operators bear above organisations' allowances, over the whole
-/// fleet: within any span of Window no more than the rate's and the burst's
-/// requests, Excess of them besides, and Slack.
+/// The amount by which the whole fleet may exceed the quota of an organisation.
+/// Within any period of length Window, the fleet admits at most the requests
+/// that rate and burst allow, plus the fraction Excess of them, plus Slack
+/// requests.
 struct QuotaBounds {
   Duration Window = fromSeconds(5);
   double Excess = 0;
   double Slack = 0;
 };
 
-/// The checked content of a daemon's INI file: section [daemon], and [policy]
-/// if there is one.
+/// The validated content of a daemon's INI file: section [daemon] and the
+/// optional section [policy].
 struct DaemonConfig {
   std::string Name;
   std::string Region;
@@ -53,37 +57,55 @@
   Endpoint Callers;
   Endpoint Control;
   Endpoint Platform;
+  /// File with the keys that sign calls between daemons.
   std::string KeyFile;
+  /// Maximum number of threads that serve callers.
   int Workers = 0;
-  /// At most Workers.
+  /// Number of these threads that are kept when idle. At most Workers.
   int KeptWorkers = 0;
+  /// Time after which an idle thread beyond KeptWorkers ends.
   Duration WorkerIdle{};
   int MaxConnections = 0;
+  /// Time after which an idle connection of a caller is closed.
   int64_t IdleSeconds = 0;
+  /// Maximum time that a planned stop waits for requests in flight.
   int64_t StopSeconds = 0;
-  /// A settings tree to start from while the platform has none. May be empty.
+  /// File with the settings tree to use until the platform holds one. May be
+  /// empty.
   std::string SettingsFile;
+  /// Minimum number of daemons among which the connections to a backend server
+  /// are divided.
   int ExpectedDaemons = 0;
+  /// Control addresses of other daemons, from which this one learns the
+  /// members.
   std::vector<Endpoint> Seeds;
+  /// Time for which an idempotency key is remembered.
   int64_t ClaimMemorySeconds = 0;
   SettingsSource Source = SettingsSource::Own;
-  /// The rest is used with SettingsSource::Platform only.
+  /// The members from here to Drain apply only to SettingsSource::Platform.
   Endpoint Ready;
-  /// For those who read metrics. Port 0: they read them at Ready.
+  /// The address that serves metrics. If its port is 0, Ready serves them.
   Endpoint Metrics;
+  /// UDP port for messages between daemons, or 0 for none.
   uint16_t PeerPort = 0;
+  /// Time from the stop signal until the platform kills the process.
   Duration Grace{};
+  /// Minimum percentage of the backend servers of a service that stay in use.
   int FloorPercent = 0;
   FleetRetryLimit RetryLimit;
   QuotaBounds QuotaLimits;
+  /// Duration of the lease of this daemon's entry at the platform.
   Duration Lease{};
+  /// Time that a started daemon waits for others of its hall to register.
   Duration AloneWait{};
+  /// Time within which a backend server that leaves receives no new requests.
   Duration Drain{};
-  /// Section [policy].
+  /// The content of section [policy].
   PolicySwitches Policy;
 };
 
-/// Loads and checks a daemon's INI file.
+/// Loads and validates a daemon's INI file. Fails with Io if it cannot be read
+/// and with InvalidArgument, naming file and line, if it is invalid.
 Result<DaemonConfig> loadDaemonConfig(const std::string &Path);
 
 } // namespace canvaswick
--- a/include/canvaswick/Settings/FleetConfig.h
+++ b/include/canvaswick/Settings/FleetConfig.h
@@ -1,4 +1,4 @@
-//===- FleetConfig.h - Settings compiled for the decisions ------*- C++ -*-===//
+//===- FleetConfig.h - Compiled settings of the fleet -----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The data path and the decisions read these plain typed records. One
-/// FleetConfig is one accepted version; it never changes and is shared by
+/// Typed records of the settings, which the data path and the policies read. A
+/// FleetConfig holds one accepted version. It is immutable and shared through
 /// counted references.
 ///
 //===----------------------------------------------------------------------===//
@@ -29,16 +29,20 @@
 
 namespace canvaswick {
 
-/// Which error an operator would rather have. One setting, three presets.
+/// The trade-off between the two errors of ejection, as a preset that operators
+/// choose: Detection avoids keeping an unhealthy server in use, FalseEjections
+/// avoids ejecting a healthy one.
 enum class Weighing : uint8_t { Detection, Balanced, FalseEjections };
 
-/// Whether a request of a route may be run more than once.
+/// Whether a request of a route may run more than once. A Download may, and has
+/// a large response.
 enum class RouteClass : uint8_t { Repeatable, Once, Download };
 
-/// What the operators want of a backend server.
+/// The state of a backend server that operators have set. A draining server
+/// receives no new requests.
 enum class ServerState : uint8_t { Active, Draining };
 
-/// An IP address and port. The host is always a number, never a name.
+/// An IPv4 address and port. Host is a numeric address, never a host name.
 struct Endpoint {
   std::string Host;
   uint16_t Port = 0;
@@ -48,7 +52,7 @@
   bool operator==(const Endpoint &) const = default;
 };
 
-/// Parses "host:port".
+/// Parses "host:port". Fails with InvalidArgument if it is malformed.
 Result<Endpoint> parseEndpoint(const std::string &Text);
 
 /// One backend server of a service.
@@ -56,14 +60,16 @@
   std::string Name;
   Endpoint Address;
   std::string Hall;
+  /// Number of requests that the server works on at once.
   int Slots = 1;
+  /// Number of connections that the server accepts from the whole fleet.
   int Connections = 1;
   ServerState State = ServerState::Active;
-  /// Identity of one start of the server; a request that names it is declined
-  /// by every other. Empty: not known.
+  /// Identifies one instance of the server, from its start to its stop. Other
+  /// instances decline a request that names it. Empty if unknown.
   std::string Instance;
-  /// Until when the server is expected to be slow from its start. The epoch:
-  /// not known.
+  /// The time until which the server is expected to be slow after its start.
+  /// The epoch of the clock means that it is unknown.
   TimePoint WarmAt{};
 
   bool operator==(const ServerConfig &) const = default;
@@ -74,10 +80,15 @@
   std::string Name;
   std::string Region;
   int FloorPercent = 0;
+  /// The setting "weighing".
   Weighing Preference = Weighing::Balanced;
   int64_t DeadlineMs = 0;
+  /// Time without a byte after which a body counts as stalled.
   int64_t StallMs = 0;
+  /// A response later than this counts as slow. 0 selects three times
+  /// the typical time of the service.
   int64_t SlowAfterMs = 0;
+  /// Time over which a new server is given its full share.
   int64_t ColdStartMs = 0;
   int64_t MaxInFlight = 0;
   int64_t RetryPercent = 0;
@@ -90,36 +101,41 @@
   bool operator==(const ServiceConfig &) const = default;
 };
 
-/// One part of a split route.
+/// One destination of a route that divides its requests among services.
 struct WeightedService {
-  /// Index among the services of the same FleetConfig.
+  /// Index into the services of the same FleetConfig.
   uint32_t Service = 0;
-  /// Its part of the route's requests is Weight over the sum of all weights.
+  /// The fraction of the requests of the route that this service receives is
+  /// Weight divided by the sum of all weights.
   int64_t Weight = 0;
 };
 
-/// One route: requests of a host below a path prefix go to a service.
+/// One route: assigns the requests for a host and a path prefix to a service.
 struct RouteConfig {
   std::string Name;
   std::string Host;
   std::string Prefix;
   uint32_t Service = 0;
   RouteClass Class = RouteClass::Repeatable;
-  /// Where the requests go if not all to Service. Empty: all.
+  /// The destinations of the requests. If empty, all requests go to Service.
   std::vector<WeightedService> Split;
-  /// Longest time a request is held, in milliseconds. 0: its service's.
+  /// Maximum time that a request is held, in milliseconds. 0 selects the
+  /// deadline of the service.
   int64_t TimeoutMs = 0;
-  /// Time within which an answer is worth most. 0: its service's.
+  /// Time within which a response has its full utility, in milliseconds. 0
+  /// selects the value of the service.
   int64_t ObjectiveMs = 0;
-  /// Servers that one request may be sent to. 0: the product's own bound.
+  /// Maximum number of servers that one request is sent to. 0 selects the
+  /// built-in limit.
   int64_t MaxAttempts = 0;
-  /// Rank when capacity is short; 0 is the highest.
+  /// Priority when capacity is short. 0 is the highest.
   int64_t Priority = 0;
-  /// Whether callers need no key.
+  /// Whether callers may send requests without a key.
   bool IsPublic = false;
 };
 
-/// What a caller may send and how long it may take. 0: the daemon's own bound.
+/// Limits on the size and duration of the requests of callers. 0 selects the
+/// limit of the daemon.
 struct CallerLimits {
   int64_t MaxHeadBytes = 0;
   int64_t MaxBodyBytes = 0;
@@ -129,23 +145,23 @@
   bool operator==(const CallerLimits &) const = default;
 };
 
-/// One accepted version of the whole tree, compiled.
+/// One accepted version of the settings tree in compiled form.
 struct FleetConfig : boost::intrusive_ref_counter<FleetConfig> {
   uint64_t Version = 0;
   std::vector<ServiceConfig> Services;
   std::vector<RouteConfig> Routes;
-  /// Who callers may belong to.
+  /// The organisations that callers may belong to.
   OrganisationDirectoryRef Organisations = makeOrganisationDirectory({}, false);
   CallerLimits Limits;
 
-  /// Returns the index of a service, or -1.
+  /// Returns the index of the service with the given name, or -1.
   int findService(const std::string &Name) const;
 };
 
 /// A counted reference to a FleetConfig.
 using FleetConfigRef = boost::intrusive_ptr<const FleetConfig>;
 
-/// Compiles a checked tree.
+/// Compiles a validated tree.
 FleetConfigRef compileFleetConfig(const SettingsTree &Tree, uint64_t Version);
 
 } // namespace canvaswick
--- a/include/canvaswick/Settings/IniDocument.h
+++ b/include/canvaswick/Settings/IniDocument.h
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads INI by the inih library and keeps the line of every entry, so that a
-/// later check can name the place of a wrong value.
+/// Parses INI text with the inih library and keeps the line number of each
+/// entry, so that later validation can report the location of a wrong value.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,10 +29,11 @@
   int Line;
 };
 
-/// One section and its entries in the order of the text. A section that stands
-/// twice is one section here; a key that stands twice in it stays twice.
+/// One section and its entries in the order of the text. Sections with the same
+/// name are merged into one; repeated keys in a section are kept as they are.
 struct IniSection {
   std::string Name;
+  /// Line of the first header of the section.
   int Line;
   std::vector<IniEntry> Entries;
 
@@ -40,21 +41,21 @@
   const IniEntry *find(const std::string &Key) const;
 };
 
-/// A whole INI text.
+/// A parsed INI text.
 struct IniDocument {
   std::string FileName;
   std::vector<IniSection> Sections;
 };
 
-/// Parses Text. FileName is used in errors only, which read
-/// "file:line: what".
+/// Parses Text. Fails with InvalidArgument and a message of the form
+/// "file:line: problem". FileName is used only in that message.
 Result<IniDocument> parseIni(const std::string &Text,
                              const std::string &FileName);
 
-/// Reads and parses a file. Errors are of the kinds Io and InvalidArgument.
+/// Reads and parses a file. Fails with Io or InvalidArgument.
 Result<IniDocument> loadIni(const std::string &Path);
 
-/// Reads a whole file as text.
+/// Returns the content of a file. Fails with Io if it cannot be opened.
 Result<std::string> readFile(const std::string &Path);
 
 } // namespace canvaswick
--- a/include/canvaswick/Settings/OrganisationDirectory.h
+++ b/include/canvaswick/Settings/OrganisationDirectory.h
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The organisations of one version of the settings, found by a caller's key.
-/// Built once for a version and shared by counted references: a change of
-/// servers, which is frequent, must not copy 70,000 keys.
+/// The organisations of one version of the settings, with look-up by the key of
+/// a caller. A directory is built once per version and shared through counted
+/// references, because a change of the backend servers is frequent and must not
+/// copy up to 70,000 keys.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,43 +30,47 @@
 
 namespace canvaswick {
 
-/// One organisation as the operators wrote it.
+/// The settings of one organisation.
 struct OrganisationConfig {
   std::string Name;
-  /// Requests a second that the whole fleet takes of it. 0: any number.
+  /// Requests per second that the whole fleet admits from the organisation. 0
+  /// means no limit.
   double RequestsPerSecond = 0;
-  /// Requests beyond the rate that it may save up.
+  /// Capacity of the token bucket: requests that the organisation may send at
+  /// once after it has sent less than its rate.
   double Burst = 0;
-  /// Its rank when capacity is short, 0 the highest. None: that of the route.
+  /// Priority when capacity is short. 0 is the highest. If it has no value, the
+  /// priority of the route applies.
   std::optional<int64_t> Priority;
-  /// What its callers may show, digested.
+  /// Digests of the keys that its callers may present.
   std::vector<KeyDigest> Keys;
 
   bool operator==(const OrganisationConfig &) const = default;
 };
 
-/// The name of the organisation whose limits hold for every caller that is of
-/// no other one.
+/// The name of the organisation whose limits apply to each caller that belongs
+/// to no other organisation.
 inline constexpr const char *DefaultOrganisation = "default";
 
-/// All organisations of one version. Never changes.
+/// The organisations of one version of the settings. Immutable.
 class OrganisationDirectory
     : public boost::intrusive_ref_counter<OrganisationDirectory> {
 public:
-  /// A key that several organisations claim belongs to the first of them.
-  /// NeedsKeys: callers must show one.
+  /// A key that several organisations list belongs to the first of them.
+  /// NeedsKeys states whether callers must present a key.
   OrganisationDirectory(std::vector<OrganisationConfig> All, bool NeedsKeys);
 
   /// Returns the organisation that a key belongs to, or null.
   const OrganisationConfig *findByKey(const KeyDigest &Key) const;
 
-  /// Returns an organisation by its name, or null.
+  /// Returns the organisation with the given name, or null.
   const OrganisationConfig *findByName(const std::string &Name) const;
 
-  /// Returns whether callers must show a key, but on public routes.
+  /// Returns whether callers must present a key on routes that are not public.
   bool needsKeys() const { return this->NeedsKeys; }
 
-  /// Returns how many keys are claimed by more than one organisation.
+  /// Returns how many listings of a key were ignored because an earlier
+  /// organisation lists the key too.
   size_t countDisputedKeys() const { return this->DisputedKeys; }
 
   const std::vector<OrganisationConfig> &getAll() const { return this->All; }
@@ -83,7 +88,7 @@
 using OrganisationDirectoryRef =
     boost::intrusive_ptr<const OrganisationDirectory>;
 
-/// Builds a directory.
+/// Creates a directory.
 OrganisationDirectoryRef
 makeOrganisationDirectory(std::vector<OrganisationConfig> All, bool NeedsKeys);
 
--- a/include/canvaswick/Settings/OrganisationKeys.h
+++ b/include/canvaswick/Settings/OrganisationKeys.h
@@ -1,4 +1,4 @@
-//===- OrganisationKeys.h - Keys in the settings tree -----------*- C++ -*-===//
+//===- OrganisationKeys.h - Key digests in the settings tree ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads and checks the digests of keys that organisations of a settings tree
-/// have.
+/// Reads and validates the key digests of the organisations of a settings tree.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,12 +22,13 @@
 
 namespace canvaswick {
 
-/// Returns the digests that an organisation of a checked tree has.
+/// Returns the key digests of an organisation of a validated tree.
 std::vector<KeyDigest> listKeyDigests(const SettingNode &Organisation);
 
-/// Returns what is wrong with the keys of a tree's organisations, a line each,
-/// with file, line and section, but never a key: a text of another form may be
-/// one that was pasted by mistake.
+/// Returns the problems with the key digests of a tree's organisations, one per
+/// line, with file, line and section. The result never contains the value of
+/// the setting, because a text that is not a digest may be a key that was
+/// pasted by mistake.
 std::string checkOrganisationKeys(const SettingsTree &Tree,
                                   const std::string &FileName);
 
--- a/include/canvaswick/Settings/PolicySwitches.h
+++ b/include/canvaswick/Settings/PolicySwitches.h
@@ -1,4 +1,4 @@
-//===- PolicySwitches.h - Mechanisms that can be off ------------*- C++ -*-===//
+//===- PolicySwitches.h - Switches for optional mechanisms ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +8,8 @@
 ///
 /// \file
 /// The section [policy] of a daemon's INI file: one switch for each mechanism
-/// that decides over requests, so that what it is worth can be measured by a
-/// run without it. All are on by default.
+/// of request handling, so that the effect of a mechanism can be measured by a
+/// run without it. All mechanisms are on by default.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,52 +23,56 @@
 
 namespace canvaswick {
 
-/// What can be switched off.
+/// The mechanisms that can be switched off.
 enum class Mechanism : uint8_t {
-  /// Peers of a hall tell each other what they saw of servers.
+  /// Daemons of a hall exchange their observations of servers.
   PooledObservations,
-  /// Halls tell each other what they think of their servers.
+  /// Halls exchange their estimates of the health of servers.
   HallEstimates,
-  /// Peers of a hall tell each other what they have in flight.
+  /// Daemons of a hall exchange the number of their requests in flight.
   SharedInFlight,
-  /// A loaded server gets fewer requests.
+  /// A server with a high load receives fewer requests.
   LoadFactor,
-  /// A request that is still out counts against its server.
+  /// A request that is in flight for long counts as evidence against its
+  /// server.
   ElapsedEvidence,
-  /// The spread of answer times is learned.
+  /// The distribution of response times is learned.
   LearnedTimes,
-  /// How often spells begin and end is learned.
+  /// The rates at which failure episodes begin and end are learned.
   LearnedRates,
-  /// When to try elsewhere follows from the chances of both tries.
+  /// The time of a retry at another server follows from the success
+  /// probabilities
+  /// of both attempts.
   WeighedRetries,
-  /// Daemons lend each other rights to repeats.
+  /// Daemons lend each other retries from the budget of the fleet.
   RetryLoans,
-  /// Servers that the floor keeps are used while many requests fail.
+  /// The servers of the operators' minimum stay in use while many requests
+  /// fail.
   Floor,
-  /// Servers that nobody uses are tested.
+  /// Servers that receive no requests are tested.
   Tests,
-  /// Servers of the own hall go first.
+  /// Servers of the same hall are preferred.
   SameHallFirst,
-  /// What may run once gets a connection of its own.
+  /// A request that may run only once is sent on a new connection.
   FreshConnections,
-  /// A daemon that has just started hears what its hall knows.
+  /// A daemon that has just started receives the estimates of its hall.
   StartupEstimates,
 };
 
 inline constexpr size_t MechanismCount =
     static_cast<size_t>(Mechanism::StartupEstimates) + 1;
 
-/// Returns the name of a mechanism as the settings have it.
+/// Returns the name of a mechanism as it is written in settings.
 const char *getName(Mechanism Which);
 
-/// Which mechanisms are on.
+/// Holds which mechanisms are on.
 class PolicySwitches {
 public:
   bool isOn(Mechanism Which) const {
     return !this->Off.test(static_cast<size_t>(Which));
   }
 
-  /// Switches one on or off.
+  /// Switches a mechanism on or off.
   void set(Mechanism Which, bool IsOn) {
     this->Off.set(static_cast<size_t>(Which), !IsOn);
   }
@@ -78,7 +82,7 @@
 };
 
 /// Reads the section [policy]. Fails with InvalidArgument, naming file, line
-/// and key, if a mechanism is not known or its value is neither on nor off.
+/// and key, if a mechanism is unknown or its value is neither "on" nor "off".
 Result<PolicySwitches> readPolicySwitches(const IniSection &Section,
                                           const std::string &FileName);
 
--- a/include/canvaswick/Settings/SettingTable.h
+++ b/include/canvaswick/Settings/SettingTable.h
@@ -1,4 +1,4 @@
-//===- SettingTable.h - The table of every setting --------------*- C++ -*-===//
+//===- SettingTable.h - Table of all settings -------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One row a setting: name, levels, type, bounds, default, unit and meaning.
-/// The checks, the reference in docs/SETTINGS.md and the operators' tool all
-/// read this table, so none of them can disagree with it.
+/// Describes each setting in one row: name, levels, type, bounds, default, unit
+/// and meaning. Validation, the reference in docs/SETTINGS.md and the
+/// operators' tool all use this table, so they cannot disagree.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,9 @@
 
 namespace canvaswick {
 
-/// Where in the tree a value was set. A lower level overrides a higher one.
+/// The level of the settings tree at which a value is set. A value of a server
+/// overrides that of its service, and that one overrides the value of the
+/// region.
 enum class SettingLevel : uint8_t {
   Default,
   Region,
@@ -36,22 +38,22 @@
   Daemon,
 };
 
-/// Returns the name of a level as reports print it.
+/// Returns the name of a level as it appears in reports.
 const char *getName(SettingLevel Level);
 
-/// A set of levels, one bit a level.
+/// A set of levels with one bit per level.
 using SettingLevels = uint8_t;
 
-/// Returns the bit of a level in SettingLevels.
+/// Returns the bit that represents a level in SettingLevels.
 constexpr SettingLevels levelBit(SettingLevel Level) {
   return static_cast<SettingLevels>(1u << static_cast<unsigned>(Level));
 }
 
-/// What kind of value a setting takes.
-/// A decimal has up to three places and is kept in thousandths.
+/// The type of the value of a setting. A decimal has up to three decimal places
+/// and is stored as an integer number of thousandths.
 enum class SettingType : uint8_t { Integer, Choice, Text, Address, Decimal };
 
-/// Every setting. The order is that of the table.
+/// Identifies a setting. The order is the order of the table.
 enum class SettingKey : uint8_t {
   FloorPercent,
   Weighing,
@@ -113,15 +115,16 @@
   DrainSeconds,
 };
 
-/// A decimal setting is kept as a whole number of these parts of one.
+/// Number of stored units of a decimal setting that make up the value 1.
 inline constexpr int64_t DecimalParts = 1000;
 
-/// Returns the number that a decimal setting of so many parts stands for.
+/// Returns the value of a decimal setting that is stored as Parts.
 inline double toDecimal(int64_t Parts) {
   return static_cast<double>(Parts) / static_cast<double>(DecimalParts);
 }
 
-/// A checked value: a whole number (also the index of a choice) or a text.
+/// A validated value: an integer, which for a choice is the index of the
+/// choice, or a text.
 using SettingValue = std::variant<int64_t, std::string>;
 
 /// One row of the table.
@@ -130,38 +133,45 @@
   const char *Name;
   SettingLevels Levels;
   SettingType Type;
+  /// Bounds of the value in the stored unit; for a text, of its length in
+  /// bytes.
   int64_t Min;
   int64_t Max;
-  /// The default as an operator would write it. Empty means none: the value
-  /// must be given where a program needs it.
+  /// The default as written in a settings file. Empty means that there is none,
+  /// so the value must be given where it is required.
   const char *Default;
   const char *Unit;
-  /// For a choice: the names, separated by "|". Null otherwise.
+  /// For a choice, the names separated by "|"; otherwise null.
   const char *Choices;
+  /// The description of the setting in the reference.
   const char *Meaning;
 };
 
-/// Returns the whole table.
+/// Returns the table.
 std::span<const SettingSpec> getSettingTable();
 
 /// Returns the row of Key.
 const SettingSpec &getSettingSpec(SettingKey Key);
 
-/// Returns the row with this name that may stand at Level, or null.
+/// Returns the row of the setting that is called Name and allowed at Level, or
+/// null.
 const SettingSpec *findSettingSpec(const std::string &Name, SettingLevel Level);
 
-/// Returns the known name at Level that is nearest to Name by edit distance.
+/// Returns the name of the setting allowed at Level that has the smallest edit
+/// distance to Name.
 std::string suggestSettingName(const std::string &Name, SettingLevel Level);
 
-/// Checks a written value against its row. The error says what was expected.
+/// Parses and validates a value. Fails with InvalidArgument and a message that
+/// states what was expected.
 Result<SettingValue> parseSettingValue(const SettingSpec &Spec,
                                        const std::string &Text);
 
-/// Writes a value as an operator would.
+/// Formats a value as it is written in a settings file.
 std::string formatSettingValue(const SettingSpec &Spec,
                                const SettingValue &Value);
 
-/// Returns the settings reference in Markdown, as docs/SETTINGS.md holds it.
+/// Returns the settings reference in Markdown. docs/SETTINGS.md holds this
+/// text.
 std::string formatSettingsReference();
 
 } // namespace canvaswick
--- a/lib/Claims/ClaimGate.cpp
+++ b/lib/Claims/ClaimGate.cpp
@@ -1,4 +1,4 @@
-//===- ClaimGate.cpp - Names of the kinds of answer to a claim ------------===//
+//===- ClaimGate.cpp - Interface that grants claims on requests -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Holds the table that reports print.
+/// Defines the names of claim outcomes in reports.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Claims/ClaimIndex.cpp
+++ b/lib/Claims/ClaimIndex.cpp
@@ -1,4 +1,4 @@
-//===- ClaimIndex.cpp - What is known of claimed requests -----------------===//
+//===- ClaimIndex.cpp - State of all claimed requests of a log ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The rules of the log and its encoding.
+/// Implements the replay of log entries and the JSON encoding of chunks.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -44,7 +44,7 @@
                          Found->second.State == ClaimEntryKind::Begin;
   if (!IsCurrent)
     return;
-  // A request that was not run leaves its key free for the next try.
+  // A request that was not run leaves its key free for the next attempt.
   if (Entry.Kind == ClaimEntryKind::NotRun) {
     this->Keys.erase(Found);
     return;
--- a/lib/Claims/ClaimLog.cpp
+++ b/lib/Claims/ClaimLog.cpp
@@ -1,4 +1,4 @@
-//===- ClaimLog.cpp - One shard's log of claims at the platform -----------===//
+//===- ClaimLog.cpp - Log of the claims of one shard ----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Load, append, find out after a lost answer, seal, prune.
+/// Implements loading, appending, recovery from lost responses, sealing of full
+/// chunks and pruning.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,11 +21,11 @@
 
 namespace canvaswick {
 
-/// A chunk is sealed when it grows beyond this.
-static constexpr size_t ChunkBytes = 64 * 1024;
+/// A chunk is sealed when its encoding exceeds this size.
+static constexpr size_t MaxChunkBytes = 64 * 1024;
 
-/// Tries to get a batch into the log before it is given up.
-static constexpr int WriteTries = 8;
+/// Attempts to append a batch before it is abandoned.
+static constexpr int MaxWriteAttempts = 8;
 
 ClaimLog::ClaimLog(PlatformClient &Platform, size_t Shard, Duration Memory)
     : Platform(Platform), Shard(Shard), Memory(Memory) {}
@@ -37,7 +38,7 @@
   return fmt::format("canvaswick/claims/{}/first", this->Shard);
 }
 
-/// Returns the newest time in a chunk.
+/// Returns the time of the newest entry of a chunk, or 0 if it has none.
 static int64_t getNewestTime(const ClaimChunk &Chunk) {
   int64_t Newest = 0;
   for (const ClaimEntry &Entry : Chunk.Entries)
@@ -45,20 +46,21 @@
   return Newest;
 }
 
-/// Applies what a newer state of the current chunk holds beyond ours.
+/// Applies the entries that a newer revision of the current chunk has beyond
+/// the known one.
 void ClaimLog::applyNewEntries(const ClaimChunk &Read) {
   for (size_t I = this->Chunk.Entries.size(); I < Read.Entries.size(); ++I)
     this->Index.apply(Read.Entries[I]);
   this->Chunk = Read;
 }
 
-/// Reads on from the current chunk to the newest one.
+/// Reads the log from the current chunk to its end.
 Result<void> ClaimLog::readNewest() {
   while (true) {
     Result<PlatformValue> Value =
         this->Platform.get(this->getChunkKey(this->CurrentChunk));
     if (!Value && Value.error().Kind == ErrorKind::NotFound) {
-      // The log ends here: the next write creates this chunk.
+      // The chunk does not exist yet. The next write creates it.
       this->Revision = 0;
       this->Chunk = ClaimChunk();
       return outcome::success();
@@ -93,18 +95,19 @@
   return outcome::success();
 }
 
-/// Returns whether a key is free once our abandoned claims are released.
+/// Returns whether a key is free once the abandoned claims are released.
 bool ClaimLog::willBeFree(const std::string &Key) const {
   return this->Index.isFree(Key) ||
          this->Abandoned.count(this->Index.getClaim(Key)) > 0;
 }
 
-/// Returns the entries of a batch that are worth writing now.
+/// Returns the entries to write: a release for each abandoned claim, and the
+/// batch without those begins that cannot be granted.
 std::vector<ClaimEntry>
 ClaimLog::chooseEntries(const std::vector<PendingEntry *> &Batch,
                         int64_t NowMillis) const {
   std::vector<ClaimEntry> Chosen;
-  // A claim of ours that landed although we gave it up was never run.
+  // An abandoned claim that was stored nevertheless was never run.
   for (const auto &[Claim, Key] : this->Abandoned) {
     ClaimEntry Release;
     Release.Kind = ClaimEntryKind::NotRun;
@@ -125,7 +128,7 @@
   return Chosen;
 }
 
-/// Returns whether a request of the batch finds its key running.
+/// Returns whether the request of any key of the batch is running.
 bool ClaimLog::hasRunningKey(const std::vector<PendingEntry *> &Batch) const {
   return std::any_of(
       Batch.begin(), Batch.end(), [this](const PendingEntry *Pending) {
@@ -133,13 +136,14 @@
       });
 }
 
-/// Writes once. Returns whether it took effect; false means that the log has
-/// moved on and was read again.
+/// Attempts one write. Returns true if the batch is appended or needs no write,
+/// and false if the write may not have taken effect: the newest state has then
+/// been read, and the caller tries again.
 Result<bool> ClaimLog::tryWrite(const std::vector<PendingEntry *> &Batch,
                                 int64_t NowMillis) {
   const std::vector<ClaimEntry> Chosen = this->chooseEntries(Batch, NowMillis);
   if (Chosen.empty()) {
-    // What runs here may have ended in the log meanwhile.
+    // Another writer may have appended the end of a running request.
     if (this->hasRunningKey(Batch)) {
       BOOST_OUTCOME_TRY(this->readNewest());
     }
@@ -148,7 +152,7 @@
   ClaimChunk Next = this->Chunk;
   Next.Entries.insert(Next.Entries.end(), Chosen.begin(), Chosen.end());
   std::string Text = encodeChunk(Next);
-  if (Text.size() > ChunkBytes) {
+  if (Text.size() > MaxChunkBytes) {
     Next.IsSealed = true;
     Text = encodeChunk(Next);
   }
@@ -170,13 +174,13 @@
   const ErrorKind Kind = Written.error().Kind;
   if (Kind != ErrorKind::Conflict && Kind != ErrorKind::OutcomeUnknown)
     return outcome::failure(Written.error());
-  // Either someone else wrote, or our answer was lost: reading tells, because
-  // every claim has a name of its own.
+  // Another writer was faster, or the response of the platform was lost. The
+  // log tells which, because every claim has a unique identifier.
   BOOST_OUTCOME_TRY(this->readNewest());
   return false;
 }
 
-/// Fills the verdicts of a batch from the index.
+/// Sets the verdicts of an appended batch from the index.
 void ClaimLog::fillVerdicts(std::vector<PendingEntry *> &Batch) {
   for (PendingEntry *Pending : Batch) {
     Pending->IsAppended = true;
@@ -186,8 +190,8 @@
   }
 }
 
-/// Answers a batch that could not be written: from what is known where that
-/// cannot change any more, and as unavailable otherwise.
+/// Sets the verdicts of a batch that could not be written: final verdicts from
+/// the index, and Unavailable otherwise.
 void ClaimLog::answerWithoutWriting(std::vector<PendingEntry *> &Batch) {
   for (PendingEntry *Pending : Batch)
     if (Pending->Entry.Kind == ClaimEntryKind::Begin)
@@ -204,11 +208,11 @@
 void ClaimLog::append(std::vector<PendingEntry *> &Batch, int64_t NowMillis) {
   this->Index.forgetBefore(NowMillis - toMillis(this->Memory));
   if (!this->IsLoaded && !this->load()) {
-    // Nothing was written, so nothing needs to be released.
+    // No write was attempted, so there is no claim to release.
     this->answerWithoutWriting(Batch);
     return;
   }
-  for (int Try = 0; Try < WriteTries; ++Try) {
+  for (int Attempt = 0; Attempt < MaxWriteAttempts; ++Attempt) {
     Result<bool> Done = this->tryWrite(Batch, NowMillis);
     if (!Done) {
       this->IsLoaded = false;
@@ -247,7 +251,8 @@
   if (First == this->SealedAt.end() || First->second >= Oldest ||
       First->first != this->FirstChunk)
     return;
-  // The pointer moves first: a reader never starts at a chunk that is gone.
+  // The number of the first chunk is advanced before the chunk is emptied, so
+  // that no reader starts at an emptied chunk.
   Result<uint64_t> Moved = this->Platform.put(
       this->getHeadKey(), fmt::format("{}", this->FirstChunk + 1),
       this->HeadRevision);
@@ -256,8 +261,9 @@
     return;
   }
   this->HeadRevision = Moved.value();
-  // The chunk is emptied, not removed: a writer that was paused since before
-  // the pointer moved must find it sealed, or it could begin the log anew.
+  // The chunk is emptied and not deleted. A writer that was paused before the
+  // number advanced must find the chunk sealed; if the chunk did not exist,
+  // that writer would create it and start a second log.
   const std::string Key = this->getChunkKey(this->FirstChunk);
   ClaimChunk Empty;
   Empty.IsSealed = true;
--- a/lib/Claims/ClaimWriter.cpp
+++ b/lib/Claims/ClaimWriter.cpp
@@ -1,4 +1,4 @@
-//===- ClaimWriter.cpp - Many claims, one write ---------------------------===//
+//===- ClaimWriter.cpp - Batches the claims of many threads ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The mutex guards what waits; the flag guards the log, which is used without
-/// the mutex because its writer waits for the platform.
+/// Mutex guards the waiting entries. IsWriting guards the log, which is used
+/// without holding Mutex because a write blocks on the platform.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,8 +22,8 @@
                          Duration Memory, Duration Gap)
     : Gap(Gap), Log(Platform, Shard, Memory) {}
 
-/// Writes all that waits. The caller holds Lock and has seen no write under
-/// way; the lock is released meanwhile.
+/// Writes all waiting entries. The caller holds Lock and has checked that no
+/// write is in progress. Lock is released during the write.
 void ClaimWriter::writeWaiting(std::unique_lock<std::mutex> &Lock) {
   this->IsWriting = true;
   if (readSteadyClock() < this->NextWrite) {
@@ -38,7 +38,7 @@
   Lock.unlock();
   this->write(Taken, Ends);
   Lock.lock();
-  // An end that did not land is tried again with the next write.
+  // An end that was not appended is queued again for the next write.
   for (const PendingEntry &End : Ends)
     if (!End.IsAppended)
       this->Waiting.Ends.push_back(End.Entry);
--- a/lib/Config/ConfigFollower.cpp
+++ b/lib/Config/ConfigFollower.cpp
@@ -1,5 +1,4 @@
-//===- ConfigFollower.cpp - Which version of the settings is in force at a
-// daemon -===//
+//===- ConfigFollower.cpp - Version of the settings in force --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Versions only grow; a version is compiled before it replaces another.
+/// Implements the validation and replacement of the version in force, and the
+/// schedule of platform reads.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -68,8 +68,9 @@
   return compileFleetConfig(Tree, 0);
 }
 
-/// While a confirmation is younger than this, nobody else needs to look.
-static constexpr Duration ConfirmationLife = fromSeconds(4);
+/// While the newest confirmation is younger than this, only the watchers read
+/// the platform.
+static constexpr Duration MaxConfirmationAge = fromSeconds(4);
 
 bool ConfigWatchSchedule::isWatcher(const std::string &Self,
                                     const std::vector<std::string> &Working) {
@@ -94,11 +95,11 @@
 
 bool ConfigWatchSchedule::shouldReadPlatform(size_t Working, double Draw,
                                              TimePoint Now) const {
-  if (this->getConfirmationAge(Now) < ConfirmationLife)
+  if (this->getConfirmationAge(Now) < MaxConfirmationAge)
     return false;
-  const double Part = UnconfirmedReadsPerSecond /
-                      static_cast<double>(std::max<size_t>(1, Working));
-  return Draw < Part;
+  const double Probability = UnconfirmedReadsPerSecond /
+                             static_cast<double>(std::max<size_t>(1, Working));
+  return Draw < Probability;
 }
 
 } // namespace canvaswick
--- a/lib/Config/ConfigManifest.cpp
+++ b/lib/Config/ConfigManifest.cpp
@@ -1,5 +1,4 @@
-//===- ConfigManifest.cpp - A version of the operators' settings, in parts
-//-===//
+//===- ConfigManifest.cpp - Version of the settings in parts --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// JSON for the manifest; the parts are plain INI.
+/// Implements the JSON encoding of manifests and the division of a tree into
+/// parts. A part is INI text.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -55,25 +55,25 @@
 }
 
 static Result<ConfigManifest> readManifestFields(const Json::Value &Root) {
-  const auto Fail = [] {
+  const auto MakeMalformedError = [] {
     return makeError(ErrorKind::InvalidArgument, "the manifest is malformed");
   };
   if (!Root.isObject() || !Root["version"].isUInt64() ||
       !Root["parts"].isArray() || !Root["changes"].isArray())
-    return Fail();
+    return MakeMalformedError();
   ConfigManifest Manifest;
   Manifest.Version = Root["version"].asUInt64();
   for (const Json::Value &Entry : Root["parts"]) {
     if (!Entry.isObject() || !Entry["name"].isString() ||
         !Entry["hash"].isString())
-      return Fail();
+      return MakeMalformedError();
     Manifest.Parts.push_back(
         {Entry["name"].asString(), Entry["hash"].asString()});
   }
   for (const Json::Value &Entry : Root["changes"]) {
     if (!Entry.isObject() || !Entry["version"].isUInt64() ||
         !Entry["id"].isString() || !Entry["time"].isInt64())
-      return Fail();
+      return MakeMalformedError();
     Manifest.Changes.push_back(
         {Entry["version"].asUInt64(), Entry["id"].asString(),
          Entry.get("author", "").asString(), Entry.get("note", "").asString(),
@@ -89,12 +89,13 @@
   return readManifestFields(Root);
 }
 
-/// Routes and organisations are spread over this many parts each, so that no
-/// part grows beyond a value of the platform.
+/// Numbers of parts over which routes and organisations are distributed by the
+/// hash of their name, so that no part exceeds the maximum size of a value of
+/// the platform.
 static constexpr uint64_t RouteParts = 16;
 static constexpr uint64_t OrganisationParts = 64;
 
-/// Returns the part that a section belongs to.
+/// Returns the name of the part that a section belongs to.
 static std::string getPartOfSection(const std::string &Section) {
   const size_t Space = Section.find(' ');
   const std::string Kind = Section.substr(0, Space);
@@ -112,6 +113,7 @@
   return "regions";
 }
 
+/// Returns whether a line of INI text is empty or holds only a comment.
 static bool isCommentOrBlank(const std::string &Line) {
   const size_t First = Line.find_first_not_of(" \t\r");
   return First == std::string::npos || Line[First] == '#' || Line[First] == ';';
@@ -127,7 +129,8 @@
     const size_t Close = Line.find(']');
     if (!Line.empty() && Line[0] == '[' && Close != std::string::npos)
       Current = getPartOfSection(Line.substr(1, Close - 1));
-    // A comment stays with what follows it.
+    // Comments and blank lines belong to the part of the line that follows
+    // them.
     Pending += Line + "\n";
     if (isCommentOrBlank(Line))
       continue;
--- a/lib/Config/ConfigPublisher.cpp
+++ b/lib/Config/ConfigPublisher.cpp
@@ -1,4 +1,4 @@
-//===- ConfigPublisher.cpp - Puts a change of the settings into force -----===//
+//===- ConfigPublisher.cpp - Publishes changes of the settings ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Parts are named by their content, so writing one twice changes nothing; only
-/// the manifest decides.
+/// The key of a part is the hash of its content, so writing a part again
+/// changes nothing. A change takes effect when its manifest is written.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,11 +19,11 @@
 
 namespace canvaswick {
 
-/// Changes that a manifest remembers.
-static constexpr size_t ChangesKept = 100;
+/// Number of recent changes that a manifest holds.
+static constexpr size_t MaxKeptChanges = 100;
 
-/// Tries to read after a lost answer.
-static constexpr int FindTries = 5;
+/// Attempts to read the manifest after a lost response.
+static constexpr int MaxFindAttempts = 5;
 
 ConfigPublisher::ConfigPublisher(PlatformClient &Platform)
     : Platform(Platform) {}
@@ -54,8 +54,8 @@
   for (const ConfigPart &Part : Parts) {
     Result<uint64_t> Written =
         this->Platform.put(getPartKey(Part.Hash), Texts.at(Part.Hash), 0);
-    // A conflict means that it is there already; after a lost answer a second
-    // write tells whether it is.
+    // A conflict means that the part exists already. After a lost response, a
+    // second write tells whether the first one took effect.
     if (!Written && Written.error().Kind == ErrorKind::OutcomeUnknown)
       Written =
           this->Platform.put(getPartKey(Part.Hash), Texts.at(Part.Hash), 0);
@@ -67,14 +67,14 @@
 
 static Error describeConflict(const ConfigManifest &Manifest,
                               uint64_t BaseVersion) {
-  std::string Who = "nobody on record";
+  std::string LastChange = "nobody on record";
   if (!Manifest.Changes.empty())
-    Who = fmt::format("{} ({})", Manifest.Changes.back().Author,
-                      Manifest.Changes.back().Note);
+    LastChange = fmt::format("{} ({})", Manifest.Changes.back().Author,
+                             Manifest.Changes.back().Note);
   return {ErrorKind::Conflict,
           fmt::format("the settings are at version {}, not {}; last changed by "
                       "{}",
-                      Manifest.Version, BaseVersion, Who)};
+                      Manifest.Version, BaseVersion, LastChange)};
 }
 
 static const ConfigChange *findChangeIn(const ConfigManifest &Manifest,
@@ -92,17 +92,17 @@
   return makeError(ErrorKind::NotFound, "change " + ChangeId + " did not land");
 }
 
-static ConfigManifest makeNext(const ConfigManifest &Current,
-                               const ConfigRequest &Request,
-                               std::vector<ConfigPart> Parts,
-                               int64_t NowMillis) {
+static ConfigManifest makeNextManifest(const ConfigManifest &Current,
+                                       const ConfigRequest &Request,
+                                       std::vector<ConfigPart> Parts,
+                                       int64_t NowMillis) {
   ConfigManifest Next;
   Next.Version = Current.Version + 1;
   Next.Parts = std::move(Parts);
   Next.Changes = Current.Changes;
   Next.Changes.push_back({Next.Version, Request.ChangeId, Request.Author,
                           Request.Note, NowMillis});
-  if (Next.Changes.size() > ChangesKept)
+  if (Next.Changes.size() > MaxKeptChanges)
     Next.Changes.erase(Next.Changes.begin());
   return Next;
 }
@@ -122,7 +122,7 @@
   } else if (Value.error().Kind != ErrorKind::NotFound) {
     return outcome::failure(Value.error());
   }
-  // The same change asked for twice is one change.
+  // A change that was published before keeps its version.
   if (const ConfigChange *Landed = findChangeIn(Current, Request.ChangeId))
     return Landed->Version;
   if (Current.Version != Request.BaseVersion)
@@ -130,12 +130,14 @@
   ConfigTexts Texts;
   const std::vector<ConfigPart> Parts = splitTree(Request.Text, Texts);
   BOOST_OUTCOME_TRY(this->writeParts(Parts, Texts));
-  const ConfigManifest Next = makeNext(Current, Request, Parts, NowMillis);
+  const ConfigManifest Next =
+      makeNextManifest(Current, Request, Parts, NowMillis);
   const std::string Encoded = encodeManifest(Next);
   Result<uint64_t> Written = this->Platform.put(ManifestKey, Encoded, Revision);
   if (!Written && Written.error().Kind == ErrorKind::OutcomeUnknown) {
-    // The answer was lost: read until it is known whether the change landed.
-    for (int Try = 0; Try < FindTries; ++Try) {
+    // The response was lost: read the manifest to find out whether the change
+    // took effect.
+    for (int Attempt = 0; Attempt < MaxFindAttempts; ++Attempt) {
       Result<uint64_t> Found = this->findChange(Request.ChangeId);
       if (Found || Found.error().Kind == ErrorKind::NotFound) {
         Written = Found;
@@ -149,7 +151,8 @@
   }
   if (!Written)
     return outcome::failure(Written.error());
-  // For history and diff only: losing it loses no promise.
+  // The past manifest serves only the history and diffs of versions, so an
+  // error is ignored.
   (void)this->Platform.put(getPastManifestKey(Next.Version), Encoded, 0);
   return Next.Version;
 }
--- a/lib/Membership/MemberTable.cpp
+++ b/lib/Membership/MemberTable.cpp
@@ -1,4 +1,4 @@
-//===- MemberTable.cpp - Which daemons there are --------------------------===//
+//===- MemberTable.cpp - Membership of the fleet at one daemon ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The precedence of records, suspicion, refutation and the spread of changes.
+/// Implements the precedence of records, suspicion, refutation and the
+/// dissemination of changes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,11 +34,13 @@
   return findEnumValue(MemberStateNames, Name);
 }
 
+/// Returns whether members in a state share the work of the fleet.
 static bool isWorking(MemberState State) {
   return State == MemberState::Alive || State == MemberState::Suspect;
 }
 
-/// Returns whether Left says more than Right about the same member.
+/// Returns whether Left takes precedence over Right. Both are records of the
+/// same member.
 static bool isNewer(const MemberRecord &Left, const MemberRecord &Right) {
   if (Left.Incarnation != Right.Incarnation)
     return Left.Incarnation > Right.Incarnation;
@@ -60,11 +63,12 @@
   Changed.SendsLeft = this->computeSendCount();
 }
 
-/// Answers what is wrongly said of ourselves with a higher incarnation.
+/// Refutes a wrong record about this daemon by raising its own incarnation
+/// above that of the record.
 void MemberTable::refute(const MemberRecord &Record) {
-  const bool IsRightAlready =
+  const bool IsConsistent =
       isNewer(this->Self, Record) || Record.State == this->Self.State;
-  if (IsRightAlready && Record.Incarnation <= this->Self.Incarnation)
+  if (IsConsistent && Record.Incarnation <= this->Self.Incarnation)
     return;
   this->Self.Incarnation = Record.Incarnation + 1;
   this->SelfSendsLeft = this->computeSendCount();
@@ -77,7 +81,8 @@
   }
   const auto Found = this->Members.find(Record.Name);
   if (Found == this->Members.end()) {
-    // A dead member that nobody here knew is nobody's news.
+    // A dead member that is not in the table changes nothing, so its record is
+    // not stored or passed on.
     if (Record.State == MemberState::Dead)
       return false;
     Member &Added = this->Members[Record.Name];
@@ -100,8 +105,9 @@
 }
 
 void MemberTable::recordContact(const std::string &Name, TimePoint Now) {
-  // Being heard proves nothing about whether it hears us, and suspicion ends
-  // only by the member's own word; but the time to drop it starts anew.
+  // A message from the member does not show that the member receives messages
+  // too. Only a record with a newer incarnation from the member itself ends the
+  // suspicion, but the timeout until it is declared dead restarts.
   const auto Found = this->Members.find(Name);
   if (Found != this->Members.end() &&
       Found->second.Record.State == MemberState::Suspect)
@@ -128,10 +134,11 @@
 size_t MemberTable::advance(TimePoint Now) {
   size_t Lost = 0;
   for (auto &[Name, Each] : this->Members) {
-    const bool IsOverdue = Now - Each.StateSince >= this->Tuning.SuspectTimeout;
-    const bool MayDie = Each.Record.State == MemberState::Suspect ||
-                        Each.Record.State == MemberState::Leaving;
-    if (!MayDie || !IsOverdue)
+    const bool IsTimedOut =
+        Now - Each.StateSince >= this->Tuning.SuspectTimeout;
+    const bool CanExpire = Each.Record.State == MemberState::Suspect ||
+                           Each.Record.State == MemberState::Leaving;
+    if (!CanExpire || !IsTimedOut)
       continue;
     if (isWorking(Each.Record.State)) {
       ++this->WorkingVersion;
@@ -183,7 +190,8 @@
 std::vector<MemberRecord>
 MemberTable::collectChanges(const std::string &Receiver) {
   std::vector<MemberRecord> Changes = {this->Self};
-  // Whoever is wrongly thought gone must hear of it to refute it.
+  // A receiver that is not thought alive gets its own record, so that it can
+  // refute the record if it is wrong.
   const auto Known = this->Members.find(Receiver);
   if (Known != this->Members.end() &&
       Known->second.Record.State != MemberState::Alive)
--- a/lib/Settings/DaemonConfig.cpp
+++ b/lib/Settings/DaemonConfig.cpp
@@ -1,4 +1,4 @@
-//===- DaemonConfig.cpp - The daemon's own settings -----------------------===//
+//===- DaemonConfig.cpp - Settings of one daemon --------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Checks section [daemon] against the table and fills the record.
+/// Validates section [daemon] against the table of settings and fills the
+/// record.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,12 +23,14 @@
 
 namespace canvaswick {
 
+/// The keys that are required with SettingsSource::Own.
 static const SettingKey RequiredKeys[] = {
     SettingKey::DaemonName,     SettingKey::DaemonRegion,
     SettingKey::DaemonHall,     SettingKey::CallerAddress,
     SettingKey::ControlAddress, SettingKey::PlatformAddress,
     SettingKey::KeyFile};
 
+/// The keys that are required with SettingsSource::Platform.
 static const SettingKey RequiredKeysOnPlatform[] = {
     SettingKey::DaemonName,   SettingKey::DaemonRegion,
     SettingKey::DaemonHall,   SettingKey::CallerAddress,
@@ -44,7 +47,7 @@
   return outcome::success();
 }
 
-/// Reads the bounds of the threads that serve callers.
+/// Reads the limits on the threads that serve callers.
 static Result<void> readWorkers(const SettingsTree &Tree,
                                 const SettingNode &Node,
                                 const std::string &Path, DaemonConfig &Config) {
@@ -67,7 +70,7 @@
                                Config.Workers));
 }
 
-/// Reads the keys that only a daemon on the users' platform has.
+/// Reads the keys that apply only to SettingsSource::Platform.
 static void readPlatformKeys(const SettingsTree &Tree, const SettingNode &Node,
                              DaemonConfig &Config) {
   const auto Decimal = [&](SettingKey Key) {
@@ -105,7 +108,8 @@
   BOOST_OUTCOME_TRY(
       SettingNode Node,
       buildNode(Document.Sections[0], SettingLevel::Daemon, "daemon", Path));
-  // A node with no parent resolves to its own values and the defaults.
+  // In an empty tree the node has no parent, so a look-up returns the values of
+  // the node or the defaults.
   const SettingsTree Tree;
   const auto Source =
       static_cast<SettingsSource>(Tree.lookupInteger(Node, SettingKey::Source));
@@ -117,7 +121,8 @@
     return Tree.lookupInteger(Node, Key);
   };
   const auto Text = [&](SettingKey Key) { return Tree.lookupText(Node, Key); };
-  // An address that is not given stays empty; those given are checked.
+  // An address that is not given stays empty. Those that are given have been
+  // validated by buildNode.
   const auto Address = [&](SettingKey Key) {
     return Node.find(Key) ? parseEndpoint(Text(Key)).value() : Endpoint();
   };
--- a/lib/Settings/FleetConfig.cpp
+++ b/lib/Settings/FleetConfig.cpp
@@ -1,4 +1,4 @@
-//===- FleetConfig.cpp - Settings compiled for the decisions --------------===//
+//===- FleetConfig.cpp - Compiled settings of the fleet -------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Turns the nodes of a checked tree into plain records.
+/// Converts the nodes of a validated tree to typed records.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,21 +27,21 @@
 }
 
 Result<Endpoint> parseEndpoint(const std::string &Text) {
-  const auto Fail = [&] {
+  const auto MakeParseError = [&] {
     return makeError(ErrorKind::InvalidArgument, "expected IP number:port");
   };
   const size_t Colon = Text.rfind(':');
   if (Colon == std::string::npos)
-    return Fail();
+    return MakeParseError();
   Endpoint Address{Text.substr(0, Colon), 0};
   in_addr Ignored;
   if (::inet_pton(AF_INET, Address.Host.c_str(), &Ignored) != 1)
-    return Fail();
+    return MakeParseError();
   const char *End = Text.data() + Text.size();
   auto [Rest, Code] =
       std::from_chars(Text.data() + Colon + 1, End, Address.Port);
   if (Code != std::errc() || Rest != End)
-    return Fail();
+    return MakeParseError();
   return Address;
 }
 
--- a/lib/Settings/IniDocument.cpp
+++ b/lib/Settings/IniDocument.cpp
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Wraps inih. Its reader callback is called once a line, which gives the line
-/// number that its value callback lacks.
+/// Wraps the inih library. Its reader callback is called once per line, which
+/// provides the line number that its value callback lacks.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -36,21 +36,21 @@
 
 namespace {
 
-/// What the two callbacks of inih share.
+/// The state that the two callbacks of inih share.
 struct ParseState {
   std::istringstream Input;
   int Line = 0;
-  /// The first line that is longer than inih's buffer, or 0.
-  int LongLine = 0;
+  /// Number of the first line that is longer than the buffer of inih, or 0.
+  int FirstLongLine = 0;
   IniDocument *Document = nullptr;
   std::unordered_map<std::string, size_t> SectionIndex;
 };
 
 } // namespace
 
-/// Records a "[name]" line. inih tells of a section only with its first entry,
-/// and a section may be empty.
-static void noteSection(ParseState &State, const std::string &Line) {
+/// Records the section if Line is a header "[name]". inih reports a section
+/// only with its first entry, so it would not report an empty section.
+static void recordSection(ParseState &State, const std::string &Line) {
   const size_t Close = Line.find(']');
   if (Line.empty() || Line[0] != '[' || Close == std::string::npos)
     return;
@@ -60,24 +60,27 @@
     Sections.push_back(IniSection{Name, State.Line, {}});
 }
 
+/// Reads the next line for inih. Returns null at the end of the text.
 static char *readLine(char *Buffer, int Size, void *Context) {
   auto *State = static_cast<ParseState *>(Context);
   std::string Line;
   if (!std::getline(State->Input, Line))
     return nullptr;
   ++State->Line;
-  const size_t Room = static_cast<size_t>(Size) - 1;
-  if (Line.size() > Room && State->LongLine == 0)
-    State->LongLine = State->Line;
-  noteSection(*State, Line);
-  const size_t Length = std::min(Line.size(), Room);
+  const size_t Capacity = static_cast<size_t>(Size) - 1;
+  if (Line.size() > Capacity && State->FirstLongLine == 0)
+    State->FirstLongLine = State->Line;
+  recordSection(*State, Line);
+  const size_t Length = std::min(Line.size(), Capacity);
   std::memcpy(Buffer, Line.data(), Length);
   Buffer[Length] = '\0';
   return Buffer;
 }
 
-static int takeEntry(void *Context, const char *Section, const char *Key,
-                     const char *Value) {
+/// Adds an entry for inih. Returns 0 for an error, which is an entry outside a
+/// section.
+static int addEntry(void *Context, const char *Section, const char *Key,
+                    const char *Value) {
   auto *State = static_cast<ParseState *>(Context);
   const auto Found = State->SectionIndex.find(Section);
   if (Found == State->SectionIndex.end())
@@ -94,11 +97,11 @@
   ParseState State;
   State.Input.str(Text);
   State.Document = &Document;
-  const int ErrorLine = ini_parse_stream(readLine, &State, takeEntry, &State);
-  if (State.LongLine > 0)
-    return makeError(
-        ErrorKind::InvalidArgument,
-        fmt::format("{}:{}: the line is too long", FileName, State.LongLine));
+  const int ErrorLine = ini_parse_stream(readLine, &State, addEntry, &State);
+  if (State.FirstLongLine > 0)
+    return makeError(ErrorKind::InvalidArgument,
+                     fmt::format("{}:{}: the line is too long", FileName,
+                                 State.FirstLongLine));
   if (ErrorLine > 0)
     return makeError(ErrorKind::InvalidArgument,
                      fmt::format("{}:{}: expected '[section]' or 'key = value'",
--- a/lib/Settings/OrganisationDirectory.cpp
+++ b/lib/Settings/OrganisationDirectory.cpp
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Two hash tables over one list.
+/// Implements look-up by key and by name with two hash tables.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,8 +24,8 @@
     const OrganisationConfig &Each = this->All[I];
     this->IndexOfName.emplace(Each.Name, I);
     for (const KeyDigest &Key : Each.Keys) {
-      const auto [Place, IsNew] = this->IndexOfKey.emplace(Key, I);
-      if (!IsNew && Place->second != I)
+      const auto [Existing, IsNew] = this->IndexOfKey.emplace(Key, I);
+      if (!IsNew && Existing->second != I)
         ++this->DisputedKeys;
     }
   }
--- a/lib/Settings/OrganisationKeys.cpp
+++ b/lib/Settings/OrganisationKeys.cpp
@@ -1,4 +1,4 @@
-//===- OrganisationKeys.cpp - Keys in the settings tree -------------------===//
+//===- OrganisationKeys.cpp - Key digests in the settings tree ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A setting holds digests with blanks between them.
+/// Parses the setting that holds the digests of an organisation, separated by
+/// spaces.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,13 +24,14 @@
 
 namespace {
 
-/// The words of an organisation's setting, and the line it stands in.
-struct WrittenKeys {
-  std::vector<std::string> Words;
+/// The space-separated texts of the key-digests setting of an organisation, and
+/// the line of the setting.
+struct DigestSetting {
+  std::vector<std::string> Texts;
   int Line = 0;
 };
 
-/// Collects problems, a line each.
+/// Collects problem descriptions, one per line.
 class ProblemList {
 public:
   explicit ProblemList(const std::string &FileName) : FileName(FileName) {}
@@ -49,24 +51,24 @@
 
 } // namespace
 
-static WrittenKeys readWrittenKeys(const SettingNode &Organisation) {
-  WrittenKeys Written;
+static DigestSetting readDigestSetting(const SettingNode &Organisation) {
+  DigestSetting Setting;
   const SettingOverride *Given =
       Organisation.find(SettingKey::OrganisationKeys);
   if (!Given)
-    return Written;
-  Written.Line = Given->Line;
+    return Setting;
+  Setting.Line = Given->Line;
   std::istringstream Stream(std::get<std::string>(Given->Value));
-  std::string Word;
-  while (Stream >> Word)
-    Written.Words.push_back(Word);
-  return Written;
+  std::string DigestText;
+  while (Stream >> DigestText)
+    Setting.Texts.push_back(DigestText);
+  return Setting;
 }
 
 std::vector<KeyDigest> listKeyDigests(const SettingNode &Organisation) {
   std::vector<KeyDigest> Digests;
-  for (const std::string &Word : readWrittenKeys(Organisation).Words)
-    if (const std::optional<KeyDigest> Digest = KeyDigest::parse(Word))
+  for (const std::string &DigestText : readDigestSetting(Organisation).Texts)
+    if (const std::optional<KeyDigest> Digest = KeyDigest::parse(DigestText))
       Digests.push_back(*Digest);
   return Digests;
 }
@@ -74,22 +76,22 @@
 std::string checkOrganisationKeys(const SettingsTree &Tree,
                                   const std::string &FileName) {
   ProblemList Problems(FileName);
-  std::unordered_map<KeyDigest, std::string, KeyDigestHash> Owners;
+  std::unordered_map<KeyDigest, std::string, KeyDigestHash> OwnersByDigest;
   for (const auto &[Name, Node] : Tree.getNodes(SettingLevel::Organisation)) {
-    const WrittenKeys Written = readWrittenKeys(Node);
-    if (!Written.Words.empty() && Name == DefaultOrganisation)
-      Problems.add(Written.Line, Name, "no caller can be told to be of it");
-    for (const std::string &Word : Written.Words) {
-      const std::optional<KeyDigest> Digest = KeyDigest::parse(Word);
+    const DigestSetting Setting = readDigestSetting(Node);
+    if (!Setting.Texts.empty() && Name == DefaultOrganisation)
+      Problems.add(Setting.Line, Name, "no caller can be told to be of it");
+    for (const std::string &DigestText : Setting.Texts) {
+      const std::optional<KeyDigest> Digest = KeyDigest::parse(DigestText);
       if (!Digest) {
-        Problems.add(Written.Line, Name,
+        Problems.add(Setting.Line, Name,
                      "expected digests of 32 hexadecimal digits, as "
                      "'canvaswickctl digest-key' prints them");
         continue;
       }
-      const auto [Owner, IsNew] = Owners.emplace(*Digest, Name);
+      const auto [Owner, IsNew] = OwnersByDigest.emplace(*Digest, Name);
       if (!IsNew)
-        Problems.add(Written.Line, Name,
+        Problems.add(Setting.Line, Name,
                      Owner->second == Name
                          ? "a key stands twice"
                          : "a key belongs to another organisation too");
--- a/lib/Settings/PolicySwitches.cpp
+++ b/lib/Settings/PolicySwitches.cpp
@@ -1,4 +1,4 @@
-//===- PolicySwitches.cpp - Mechanisms that can be off --------------------===//
+//===- PolicySwitches.cpp - Switches for optional mechanisms --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The table of names, and how the section is read.
+/// Defines the names of the mechanisms and parses section [policy].
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Settings/SettingTable.cpp
+++ b/lib/Settings/SettingTable.cpp
@@ -1,4 +1,4 @@
-//===- SettingTable.cpp - The table of every setting ----------------------===//
+//===- SettingTable.cpp - Table of all settings ---------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The rows, and the checks that read them.
+/// Defines the table and the parsing, validation and formatting that use it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -41,6 +41,7 @@
   return getEnumName(SettingLevelNames, Level);
 }
 
+/// The levels at which settings of the different kinds may be set.
 static constexpr SettingLevels Service =
     levelBit(SettingLevel::Region) | levelBit(SettingLevel::Service);
 static constexpr SettingLevels Inherited =
@@ -192,6 +193,7 @@
   return nullptr;
 }
 
+/// Returns the Levenshtein distance of two texts.
 static size_t computeEditDistance(const std::string &Left,
                                   const std::string &Right) {
   std::vector<size_t> Row(Right.size() + 1);
@@ -225,6 +227,7 @@
   return Best;
 }
 
+/// Returns the names of the choices of a setting in order.
 static std::vector<std::string> splitChoices(const SettingSpec &Spec) {
   std::vector<std::string> Names;
   std::istringstream Stream(Spec.Choices);
@@ -248,7 +251,7 @@
                                Spec.Unit));
 }
 
-/// Reads a decimal such as "0.25". Digits past the third place are dropped.
+/// Parses a decimal such as "0.25" and rounds it to three decimal places.
 static Result<SettingValue> parseDecimal(const SettingSpec &Spec,
                                          const std::string &Text) {
   double Value = 0;
@@ -329,6 +332,7 @@
   return Names;
 }
 
+/// Returns the accepted values of a setting as the reference states them.
 static std::string formatExpected(const SettingSpec &Spec) {
   switch (Spec.Type) {
   case SettingType::Integer:
--- a/lib/Settings/SettingsTree.cpp
+++ b/lib/Settings/SettingsTree.cpp
@@ -1,4 +1,4 @@
-//===- SettingsTree.cpp - The operators' tree of settings -----------------===//
+//===- SettingsTree.cpp - Settings tree of the operators ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Builds the nodes from INI sections, checks every value and every reference
-/// between nodes, and resolves a value by looking upwards.
+/// Implements building the nodes from INI sections, the validation of values
+/// and of references between nodes, and the inheritance of values.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -36,7 +36,7 @@
                                    const IniSection &Section,
                                    const IniEntry &Entry,
                                    const std::string &What) {
-  // What stands where digests belong may be a key.
+  // A value that should be a digest may be a secret key instead.
   const bool IsSecret =
       Entry.Key == getSettingSpec(SettingKey::OrganisationKeys).Name;
   return fmt::format("{}:{}: [{}] {} = {}: {}", FileName, Entry.Line,
@@ -44,13 +44,15 @@
                      IsSecret ? "(not shown)" : Entry.Value, What);
 }
 
+/// Appends a line to a text, with a line break between lines.
 static void appendLine(std::string &Text, const std::string &Line) {
   if (!Text.empty())
     Text += "\n";
   Text += Line;
 }
 
-/// Checks the entries of a section into Node. Returns the problems, one a line.
+/// Validates the entries of a section and adds them to Node. Returns the
+/// problems, one per line.
 static std::string fillNode(const IniSection &Section,
                             const std::string &FileName, SettingNode &Node) {
   std::string Problems;
@@ -93,12 +95,12 @@
     SettingLevel::Region, SettingLevel::Service, SettingLevel::Server,
     SettingLevel::Route, SettingLevel::Organisation};
 
-/// Returns the level that a section name such as "server catalogue/c1" states,
-/// or Default when it states none.
+/// Returns the level of a section name such as "server catalogue/c1", or
+/// Default if its first word is not the name of a level.
 static SettingLevel findLevelOfSection(const std::string &SectionName) {
-  const std::string Word = SectionName.substr(0, SectionName.find(' '));
+  const std::string Kind = SectionName.substr(0, SectionName.find(' '));
   for (const SettingLevel Level : TreeLevels)
-    if (Word == getName(Level))
+    if (Kind == getName(Level))
       return Level;
   return SettingLevel::Default;
 }
@@ -124,9 +126,9 @@
       appendLine(Problems, Found);
     Tree.Nodes[static_cast<size_t>(Level)].emplace(Name, std::move(Node));
   }
-  const std::string Broken = Tree.checkReferences(Document.FileName);
-  if (!Broken.empty())
-    appendLine(Problems, Broken);
+  const std::string ReferenceProblems = Tree.checkReferences(Document.FileName);
+  if (!ReferenceProblems.empty())
+    appendLine(Problems, ReferenceProblems);
   if (!Problems.empty())
     return makeError(ErrorKind::InvalidArgument, Problems);
   return Tree;
@@ -145,9 +147,9 @@
 
 const SettingNode *SettingsTree::find(SettingLevel Level,
                                       const std::string &Name) const {
-  const std::map<std::string, SettingNode> &Level2Nodes = this->getNodes(Level);
-  const auto Found = Level2Nodes.find(Name);
-  return Found == Level2Nodes.end() ? nullptr : &Found->second;
+  const std::map<std::string, SettingNode> &LevelNodes = this->getNodes(Level);
+  const auto Found = LevelNodes.find(Name);
+  return Found == LevelNodes.end() ? nullptr : &Found->second;
 }
 
 const SettingNode *SettingsTree::getParent(const SettingNode &Node) const {
@@ -164,9 +166,10 @@
 EffectiveSetting SettingsTree::lookup(const SettingNode &Node,
                                       SettingKey Key) const {
   const SettingSpec &Spec = getSettingSpec(Key);
-  for (const SettingNode *At = &Node; At; At = this->getParent(*At))
-    if (const SettingOverride *Override = At->find(Key))
-      return {&Spec, Override->Value, At->Level};
+  for (const SettingNode *Current = &Node; Current;
+       Current = this->getParent(*Current))
+    if (const SettingOverride *Override = Current->find(Key))
+      return {&Spec, Override->Value, Current->Level};
   if (!*Spec.Default)
     return {&Spec, SettingValue(std::string()), SettingLevel::Default};
   Result<SettingValue> Default = parseSettingValue(Spec, Spec.Default);
@@ -184,9 +187,9 @@
   return std::get<std::string>(this->lookup(Node, Key).Value);
 }
 
-static std::string describeNode(const std::string &FileName,
-                                const SettingNode &Node,
-                                const std::string &What) {
+static std::string describeNodeProblem(const std::string &FileName,
+                                       const SettingNode &Node,
+                                       const std::string &What) {
   return fmt::format("{}:{}: [{} {}]: {}", FileName, Node.Line,
                      getName(Node.Level), Node.Name, What);
 }
@@ -197,35 +200,39 @@
     const std::string Region =
         this->lookupText(Node, SettingKey::RegionOfService);
     if (!this->find(SettingLevel::Region, Region))
-      appendLine(Problems, describeNode(FileName, Node,
-                                        "region = " + Region +
-                                            ": expected a [region NAME] of "
-                                            "this tree"));
+      appendLine(Problems,
+                 describeNodeProblem(FileName, Node,
+                                     "region = " + Region +
+                                         ": expected a [region NAME] of "
+                                         "this tree"));
   }
   for (const auto &[Name, Node] : this->getNodes(SettingLevel::Server)) {
     if (Name.find('/') == std::string::npos || !this->getParent(Node))
-      appendLine(Problems, describeNode(FileName, Node,
-                                        "expected SERVICE/NAME with a "
-                                        "[service NAME] of this tree"));
+      appendLine(Problems, describeNodeProblem(FileName, Node,
+                                               "expected SERVICE/NAME with a "
+                                               "[service NAME] of this tree"));
     if (!Node.find(SettingKey::ServerAddress))
-      appendLine(Problems, describeNode(FileName, Node, "address is missing"));
+      appendLine(Problems,
+                 describeNodeProblem(FileName, Node, "address is missing"));
     if (!Node.find(SettingKey::Hall))
-      appendLine(Problems, describeNode(FileName, Node, "hall is missing"));
+      appendLine(Problems,
+                 describeNodeProblem(FileName, Node, "hall is missing"));
   }
   for (const auto &[Name, Node] : this->getNodes(SettingLevel::Route)) {
     const std::string Service =
         this->lookupText(Node, SettingKey::RouteService);
     if (!this->find(SettingLevel::Service, Service))
-      appendLine(Problems, describeNode(FileName, Node,
-                                        "service = " + Service +
-                                            ": expected a [service NAME] of "
-                                            "this tree"));
+      appendLine(Problems,
+                 describeNodeProblem(FileName, Node,
+                                     "service = " + Service +
+                                         ": expected a [service NAME] of "
+                                         "this tree"));
     const std::string Prefix = this->lookupText(Node, SettingKey::RoutePrefix);
     if (Prefix[0] != '/')
-      appendLine(Problems,
-                 describeNode(FileName, Node,
-                              "prefix = " + Prefix +
-                                  ": expected a path that begins with '/'"));
+      appendLine(Problems, describeNodeProblem(
+                               FileName, Node,
+                               "prefix = " + Prefix +
+                                   ": expected a path that begins with '/'"));
   }
   const std::string Keys = checkOrganisationKeys(*this, FileName);
   if (!Keys.empty())
--- a/unittests/Claims/ClaimIndexTest.cpp
+++ b/unittests/Claims/ClaimIndexTest.cpp
@@ -1,5 +1,4 @@
-//===- ClaimIndexTest.cpp - Stateful fuzzing of the claim index against a simple
-// oracle -===//
+//===- ClaimIndexTest.cpp - Stateful tests of the claim index -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Many writers append to one log in turn; the oracle knows who may run.
+/// Applies random sequences of begins and ends to the claim index and compares
+/// its verdicts with a simple model. Guards against granting a key to a second
+/// claim while another one holds it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,8 +26,8 @@
 
 namespace {
 
-/// What must be true of one key, kept as plainly as can be.
-struct OracleKey {
+/// The expected state of one key. Holder 0 means that the key is free.
+struct ModelKey {
   uint64_t Holder = 0;
   std::string Body;
   bool IsEnded = false;
@@ -34,49 +35,49 @@
   bool WasRun = false;
 };
 
-struct Oracle {
-  std::map<std::string, OracleKey> Keys;
+struct ClaimModel {
+  std::map<std::string, ModelKey> Keys;
   uint64_t NextClaim = 1;
 };
 
-struct Index {
-  ClaimIndex Under;
+struct IndexUnderTest {
+  ClaimIndex Claims;
 };
 
-using Command = rc::state::Command<Oracle, Index>;
+using Command = rc::state::Command<ClaimModel, IndexUnderTest>;
 
 std::string drawKey() {
   return std::string(1, *rc::gen::inRange<char>('a', 'd'));
 }
 
-/// One try of a request, by whichever daemon.
+/// One attempt at a request, by any daemon.
 struct BeginCommand : Command {
   std::string Key = drawKey();
   std::string Body = *rc::gen::element<std::string>("x", "y");
 
-  void apply(Oracle &State) const override {
-    OracleKey &Known = State.Keys[this->Key];
+  void apply(ClaimModel &State) const override {
+    ModelKey &Known = State.Keys[this->Key];
     const uint64_t Claim = State.NextClaim++;
     if (Known.Holder == 0)
       Known = {Claim, this->Body, false, false, true};
   }
 
-  void run(const Oracle &State, Index &Real) const override {
+  void run(const ClaimModel &State, IndexUnderTest &Real) const override {
     const uint64_t Claim = State.NextClaim;
     ClaimEntry Entry;
     Entry.Key = this->Key;
     Entry.Claim = Claim;
     Entry.Fingerprint = this->Body;
-    Real.Under.apply(Entry);
+    Real.Claims.apply(Entry);
     const ClaimVerdict Verdict =
-        Real.Under.evaluate(this->Key, this->Body, Claim);
+        Real.Claims.evaluate(this->Key, this->Body, Claim);
     const auto Found = State.Keys.find(this->Key);
     const bool IsFree = Found == State.Keys.end() || Found->second.Holder == 0;
-    // The one thing that must never be: granted while someone holds it.
+    // A key must never be granted while another claim holds it.
     RC_ASSERT((Verdict.Kind == ClaimKind::Granted) == IsFree);
     if (IsFree)
       return;
-    const OracleKey &Known = Found->second;
+    const ModelKey &Known = Found->second;
     if (Known.Body != this->Body)
       RC_ASSERT(Verdict.Kind == ClaimKind::DifferentRequest);
     else if (!Known.IsEnded)
@@ -92,30 +93,30 @@
   }
 };
 
-/// The end of a try. It may name a claim that no longer holds the key.
+/// The end of an attempt. It may name a claim that does not hold the key.
 struct EndCommand : Command {
   std::string Key = drawKey();
   uint64_t Claim = *rc::gen::inRange<uint64_t>(1, 30);
   ClaimEntryKind Kind = *rc::gen::element(
       ClaimEntryKind::Ran, ClaimEntryKind::NotRun, ClaimEntryKind::NotKnown);
 
-  void apply(Oracle &State) const override {
-    OracleKey &Known = State.Keys[this->Key];
+  void apply(ClaimModel &State) const override {
+    ModelKey &Known = State.Keys[this->Key];
     if (Known.Holder != this->Claim || Known.IsEnded)
       return;
     if (this->Kind == ClaimEntryKind::NotRun)
-      Known = OracleKey();
+      Known = ModelKey();
     else
       Known.IsEnded = true;
     Known.HasAnswer = this->Kind == ClaimEntryKind::Ran;
   }
 
-  void run(const Oracle &, Index &Real) const override {
+  void run(const ClaimModel &, IndexUnderTest &Real) const override {
     ClaimEntry Entry;
     Entry.Kind = this->Kind;
     Entry.Key = this->Key;
     Entry.Claim = this->Claim;
-    Real.Under.apply(Entry);
+    Real.Claims.apply(Entry);
   }
 
   void show(std::ostream &Out) const override {
@@ -125,16 +126,16 @@
 
 } // namespace
 
-TEST_CASE("the claim index agrees with the oracle") {
+TEST_CASE("the claim index agrees with the model") {
   CHECK(rc::check([] {
-    Index Real;
+    IndexUnderTest Real;
     rc::state::check(
-        Oracle(), Real,
+        ClaimModel(), Real,
         rc::state::gen::execOneOfWithArgs<BeginCommand, EndCommand>());
   }));
 }
 
-TEST_CASE("a chunk survives encoding") {
+TEST_CASE("decoding an encoded chunk restores it") {
   ClaimChunk Chunk;
   Chunk.IsSealed = true;
   ClaimEntry Begin;
@@ -158,7 +159,7 @@
   CHECK(!decodeChunk("[]"));
 }
 
-TEST_CASE("keys are forgotten by age alone") {
+TEST_CASE("keys are forgotten when their claim is too old") {
   ClaimIndex Index;
   ClaimEntry Old;
   Old.Key = "old";
--- a/unittests/Claims/ClaimLogTest.cpp
+++ b/unittests/Claims/ClaimLogTest.cpp
@@ -1,5 +1,4 @@
-//===- ClaimLogTest.cpp - Tests of the claim log against the platform's stand-in
-//-===//
+//===- ClaimLogTest.cpp - Tests of the claim log --------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Writers that race, are paused, lose answers and prune: a key is granted to
-/// one of them at most.
+/// Tests the claim log against the stand-in platform. Writers race, are paused,
+/// lose responses of the platform and prune the log; each key must be granted
+/// to at most one of them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,19 +30,19 @@
 
 namespace {
 
-/// A stand-in platform and a client of it.
-struct Bench {
-  Bench() {
-    REQUIRE(this->Stand.start({"127.0.0.1", 0}));
+/// A stand-in platform and a client that is connected to it.
+struct ClaimLogFixture {
+  ClaimLogFixture() {
+    REQUIRE(this->Platform.start({"127.0.0.1", 0}));
     this->Client = std::make_unique<PlatformClient>(
-        Endpoint{"127.0.0.1", this->Stand.getPort()}, nullptr);
+        Endpoint{"127.0.0.1", this->Platform.getPort()}, nullptr);
   }
 
   ClaimLog makeWriter(size_t Shard = 0) {
     return ClaimLog(*this->Client, Shard, Memory);
   }
 
-  PlatformStandIn Stand;
+  PlatformStandIn Platform;
   std::unique_ptr<PlatformClient> Client;
 };
 
@@ -73,25 +73,25 @@
   Log.append(Batch, Now);
 }
 
-TEST_CASE("a writer that was paused learns before it writes") {
-  Bench Under;
-  ClaimLog First = Under.makeWriter();
-  ClaimLog Second = Under.makeWriter();
+TEST_CASE("a paused writer reads new entries before it writes") {
+  ClaimLogFixture Fixture;
+  ClaimLog First = Fixture.makeWriter();
+  ClaimLog Second = Fixture.makeWriter();
   CHECK(begin(First, "a", 1).Kind == ClaimKind::Granted);
-  // Second has never read; First was the last to write.
+  // Second has read nothing yet, and First has written since.
   CHECK(begin(Second, "a", 2).Kind == ClaimKind::StillRunning);
   CHECK(begin(Second, "b", 3).Kind == ClaimKind::Granted);
-  // First still believes that its revision is the newest.
+  // The revision that First holds is stale.
   CHECK(begin(First, "b", 4).Kind == ClaimKind::StillRunning);
   end(Second, "b", 3, ClaimEntryKind::Ran);
-  const ClaimVerdict Repeat = begin(First, "b", 5);
-  CHECK(Repeat.Kind == ClaimKind::FirstAnswer);
-  CHECK(Repeat.Answer.Body == "done");
+  const ClaimVerdict Retried = begin(First, "b", 5);
+  CHECK(Retried.Kind == ClaimKind::FirstAnswer);
+  CHECK(Retried.Answer.Body == "done");
 }
 
-TEST_CASE("a batch is one write, and one key in it is granted once") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
+TEST_CASE("a batch is one write and grants each of its keys once") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
   std::vector<PendingEntry> Entries(50);
   std::vector<PendingEntry *> Batch;
   for (size_t I = 0; I < Entries.size(); ++I) {
@@ -108,64 +108,65 @@
   CHECK(Granted == 25);
 }
 
-TEST_CASE("a write whose answer is lost is found out") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
+TEST_CASE("the outcome of a write with a lost response is recovered") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
   PlatformFaults Lose;
   Lose.LoseAnswers = 1;
-  Under.Stand.setFaults(Lose);
+  Fixture.Platform.setFaults(Lose);
   CHECK(begin(Log, "a", 1).Kind == ClaimKind::Granted);
   Lose = PlatformFaults();
   Lose.LoseWrites = 1;
-  Under.Stand.setFaults(Lose);
+  Fixture.Platform.setFaults(Lose);
   CHECK(begin(Log, "b", 2).Kind == ClaimKind::Granted);
 }
 
-TEST_CASE("while the platform is away nothing is granted") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
+TEST_CASE("nothing is granted while the platform is unavailable") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
   CHECK(begin(Log, "a", 1).Kind == ClaimKind::Granted);
   PlatformFaults Down;
   Down.IsDown = true;
-  Under.Stand.setFaults(Down);
+  Fixture.Platform.setFaults(Down);
   CHECK(begin(Log, "b", 2).Kind == ClaimKind::Unavailable);
-  Under.Stand.setFaults(PlatformFaults());
+  Fixture.Platform.setFaults(PlatformFaults());
   CHECK(begin(Log, "b", 3).Kind == ClaimKind::Granted);
   CHECK(begin(Log, "a", 4).Kind == ClaimKind::StillRunning);
 }
 
-TEST_CASE("while the platform is away a known answer is still given") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
+TEST_CASE("a known response is returned while the platform is unavailable") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
   CHECK(begin(Log, "a", 1).Kind == ClaimKind::Granted);
   end(Log, "a", 1, ClaimEntryKind::Ran);
   PlatformFaults Down;
   Down.IsDown = true;
-  Under.Stand.setFaults(Down);
+  Fixture.Platform.setFaults(Down);
   CHECK(begin(Log, "b", 2).Kind == ClaimKind::Unavailable);
   CHECK(begin(Log, "a", 3).Kind == ClaimKind::FirstAnswer);
 }
 
-TEST_CASE("a claim that was given up is released wherever it landed") {
-  Bench Under;
-  ClaimLog Writer = Under.makeWriter();
-  ClaimLog Asker = Under.makeWriter();
-  // The writer granted it, but the asker never heard and gave it up.
+TEST_CASE("an abandoned claim that was stored is released") {
+  ClaimLogFixture Fixture;
+  ClaimLog Writer = Fixture.makeWriter();
+  ClaimLog Asker = Fixture.makeWriter();
+  // The writer was granted the claim, but the asker did not learn it and gave
+  // the claim up.
   CHECK(begin(Writer, "a", 1).Kind == ClaimKind::Granted);
   Asker.abandonClaim("a", 1);
   CHECK(begin(Asker, "a", 2).Kind == ClaimKind::Granted);
   CHECK(begin(Writer, "a", 3).Kind == ClaimKind::StillRunning);
 }
 
-TEST_CASE("a claim that was not run leaves its key free") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
+TEST_CASE("a request that was not run leaves its key free") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
   CHECK(begin(Log, "a", 1).Kind == ClaimKind::Granted);
   end(Log, "a", 1, ClaimEntryKind::NotRun);
   CHECK(begin(Log, "a", 2).Kind == ClaimKind::Granted);
 }
 
-/// Fills chunks until at least Count are sealed.
+/// Appends entries until at least Count chunks are sealed.
 static void fillChunks(ClaimLog &Log, int Count) {
   const std::string Long(2000, 'x');
   for (int I = 0; I < Count * 40; ++I) {
@@ -182,21 +183,22 @@
   }
 }
 
-TEST_CASE("the log goes on over sealed chunks, and a late reader follows") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
+TEST_CASE(
+    "the log continues after sealed chunks, and a new reader follows it") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
   CHECK(begin(Log, "a", 1).Kind == ClaimKind::Granted);
   fillChunks(Log, 2);
-  CHECK(!Under.Stand.peek("canvaswick/claims/0/chunk/1").empty());
-  ClaimLog Late = Under.makeWriter();
+  CHECK(!Fixture.Platform.peek("canvaswick/claims/0/chunk/1").empty());
+  ClaimLog Late = Fixture.makeWriter();
   CHECK(begin(Late, "a", 2).Kind == ClaimKind::StillRunning);
   CHECK(begin(Late, "new", 3).Kind == ClaimKind::Granted);
 }
 
-TEST_CASE("a writer paused since before the pruning cannot begin anew") {
-  Bench Under;
-  ClaimLog Log = Under.makeWriter();
-  ClaimLog Paused = Under.makeWriter();
+TEST_CASE("a writer that was paused before pruning cannot start a second log") {
+  ClaimLogFixture Fixture;
+  ClaimLog Log = Fixture.makeWriter();
+  ClaimLog Paused = Fixture.makeWriter();
   CHECK(begin(Log, "a", 1).Kind == ClaimKind::Granted);
   CHECK(begin(Paused, "p", 2).Kind == ClaimKind::Granted);
   fillChunks(Log, 3);
@@ -205,12 +207,12 @@
   Log.prune(Later);
   Log.prune(Later);
   CHECK(begin(Paused, "recent", 4, Later).Kind == ClaimKind::StillRunning);
-  ClaimLog Fresh = Under.makeWriter();
+  ClaimLog Fresh = Fixture.makeWriter();
   CHECK(begin(Fresh, "recent", 5, Later).Kind == ClaimKind::StillRunning);
 }
 
-TEST_CASE("racing writers grant each key once, whatever is lost") {
-  Bench Under;
+TEST_CASE("racing writers grant each key at most once despite lost messages") {
+  ClaimLogFixture Fixture;
   static constexpr int Writers = 4;
   static constexpr int Keys = 40;
   std::vector<std::map<std::string, int>> Granted(Writers);
@@ -219,13 +221,13 @@
   Threads.reserve(Writers);
   for (int W = 0; W < Writers; ++W)
     Threads.emplace_back([&, W] {
-      ClaimLog Log = Under.makeWriter();
+      ClaimLog Log = Fixture.makeWriter();
       for (int I = 0; I < Keys; ++I) {
         if (W == 0 && I % 5 == 0) {
           PlatformFaults Lose;
           Lose.LoseAnswers = 1;
           Lose.LoseWrites = I % 2;
-          Under.Stand.setFaults(Lose);
+          Fixture.Platform.setFaults(Lose);
         }
         const std::string Key = fmt::format("k{}", I);
         if (begin(Log, Key, NextClaim++).Kind == ClaimKind::Granted)
--- a/unittests/Config/ConfigFollowerTest.cpp
+++ b/unittests/Config/ConfigFollowerTest.cpp
@@ -1,4 +1,4 @@
-//===- ConfigFollowerTest.cpp - Tests of how settings come into force -----===//
+//===- ConfigFollowerTest.cpp - Tests of settings versions ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Never back, never half, never wrong; and the publisher's races.
+/// Checks that a daemon never returns to an older version and never accepts an
+/// incomplete or invalid one, and that concurrent publishers and lost responses
+/// of the platform lead to exactly one version per change.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -40,7 +42,7 @@
   return Manifest;
 }
 
-TEST_CASE("a tree survives being split and joined") {
+TEST_CASE("joining the parts of a split tree restores it") {
   ConfigTexts Texts;
   const std::vector<ConfigPart> Parts = splitTree(makeTree(3), Texts);
   CHECK(Parts.size() == 4);
@@ -51,7 +53,7 @@
   CHECK(compileFleetConfig(Tree.value(), 1)->Services[0].Servers[0].Slots == 3);
 }
 
-TEST_CASE("a change of one service changes one part") {
+TEST_CASE("a change of one service changes one part only") {
   ConfigTexts Texts;
   const std::string Both = makeTree(3) + "[service t]\nregion = r\n";
   const std::vector<ConfigPart> Before = splitTree(Both, Texts);
@@ -73,7 +75,7 @@
   CHECK(Follower.getVersion() == 0);
 }
 
-TEST_CASE("a version that fails its check leaves the one in force") {
+TEST_CASE("a version that fails validation leaves the version in force") {
   ConfigFollower Follower;
   ConfigTexts Good;
   const ConfigManifest First = makeManifest(1, makeTree(3), Good);
@@ -87,18 +89,18 @@
   CHECK(Follower.getVersion() == 1);
 }
 
-TEST_CASE("whatever arrives in whatever order, versions only grow") {
+TEST_CASE("the version in force only increases, in any order of arrival") {
   CHECK(rc::check([] {
     ConfigFollower Follower;
     uint64_t Highest = 0;
     const int Steps = *rc::gen::inRange(1, 30);
     for (int I = 0; I < Steps; ++I) {
       const uint64_t Version = *rc::gen::inRange<uint64_t>(1, 10);
-      const bool IsWhole = *rc::gen::inRange(0, 3) != 0;
+      const bool IsComplete = *rc::gen::inRange(0, 3) != 0;
       ConfigTexts Texts;
       const ConfigManifest Manifest =
           makeManifest(Version, makeTree(static_cast<int>(Version)), Texts);
-      if (!IsWhole && !Texts.empty())
+      if (!IsComplete && !Texts.empty())
         Texts.erase(Texts.begin());
       Result<FleetConfigRef> Accepted = Follower.accept(Manifest, Texts);
       if (Accepted) {
@@ -112,43 +114,45 @@
   }));
 }
 
-TEST_CASE("looks at the platform stay bounded however many daemons there are") {
+TEST_CASE("the rate of platform reads does not grow with the fleet") {
   for (const size_t Daemons : {10u, 100u, 1000u}) {
     CAPTURE(Daemons);
     std::mt19937_64 Random(1);
     std::uniform_real_distribution<double> Draw(0, 1);
-    ConfigWatchSchedule Duty;
-    int Looks = 0;
+    ConfigWatchSchedule Schedule;
+    int Reads = 0;
     static constexpr int Seconds = 200;
     for (int S = 0; S < Seconds; ++S)
       for (size_t D = 0; D < Daemons; ++D)
-        Looks += Duty.shouldReadPlatform(Daemons, Draw(Random), TimePoint{});
-    CHECK(Looks <
+        Reads +=
+            Schedule.shouldReadPlatform(Daemons, Draw(Random), TimePoint{});
+    CHECK(Reads <
           1.3 * Seconds * ConfigWatchSchedule::UnconfirmedReadsPerSecond);
   }
 }
 
-TEST_CASE("a young confirmation keeps others from looking") {
-  ConfigWatchSchedule Duty;
+TEST_CASE("a recent confirmation prevents other daemons from reading") {
+  ConfigWatchSchedule Schedule;
   const TimePoint Now = TimePoint{} + fromSeconds(100);
-  CHECK(Duty.shouldReadPlatform(1, 0, Now));
-  Duty.recordConfirmation(fromSeconds(1), Now);
-  CHECK(!Duty.shouldReadPlatform(1, 0, Now));
-  CHECK(Duty.shouldReadPlatform(1, 0, Now + fromSeconds(10)));
-  // An older word does not replace a younger one.
-  Duty.recordConfirmation(fromSeconds(50), Now);
-  CHECK(Duty.getConfirmationAge(Now) == fromSeconds(1));
+  CHECK(Schedule.shouldReadPlatform(1, 0, Now));
+  Schedule.recordConfirmation(fromSeconds(1), Now);
+  CHECK(!Schedule.shouldReadPlatform(1, 0, Now));
+  CHECK(Schedule.shouldReadPlatform(1, 0, Now + fromSeconds(10)));
+  // An older confirmation does not replace a newer one.
+  Schedule.recordConfirmation(fromSeconds(50), Now);
+  CHECK(Schedule.getConfirmationAge(Now) == fromSeconds(1));
 }
 
 namespace {
 
-struct Bench {
-  Bench() {
-    REQUIRE(this->Stand.start({"127.0.0.1", 0}));
+/// A stand-in platform and a client that is connected to it.
+struct PublisherFixture {
+  PublisherFixture() {
+    REQUIRE(this->Platform.start({"127.0.0.1", 0}));
     this->Client = std::make_unique<PlatformClient>(
-        Endpoint{"127.0.0.1", this->Stand.getPort()}, nullptr);
+        Endpoint{"127.0.0.1", this->Platform.getPort()}, nullptr);
   }
-  PlatformStandIn Stand;
+  PlatformStandIn Platform;
   std::unique_ptr<PlatformClient> Client;
 };
 
@@ -165,48 +169,48 @@
   return Request;
 }
 
-TEST_CASE("of operators at once exactly one lands on a version") {
-  Bench Under;
+TEST_CASE("of concurrent changes exactly one makes the next version") {
+  PublisherFixture Fixture;
   static constexpr int Operators = 6;
-  std::atomic<int> Landed{0};
+  std::atomic<int> Published{0};
   std::vector<std::thread> Threads;
   Threads.reserve(Operators);
   for (int I = 0; I < Operators; ++I)
     Threads.emplace_back([&, I] {
-      ConfigPublisher Publisher(*Under.Client);
+      ConfigPublisher Publisher(*Fixture.Client);
       if (Publisher.publish(makeRequest(0, fmt::format("c{}", I), I + 1), 1))
-        ++Landed;
+        ++Published;
     });
   for (std::thread &Thread : Threads)
     Thread.join();
-  CHECK(Landed == 1);
-  ConfigPublisher Publisher(*Under.Client);
+  CHECK(Published == 1);
+  ConfigPublisher Publisher(*Fixture.Client);
   CHECK(Publisher.readManifest().value().Version == 1);
 }
 
-TEST_CASE("whatever answer is lost, the publisher knows what landed") {
+TEST_CASE("the publisher recovers the outcome of any lost message") {
   for (int Lost = 1; Lost <= 8; ++Lost)
     for (const bool IsWriteLost : {false, true}) {
       CAPTURE(Lost);
       CAPTURE(IsWriteLost);
-      Bench Under;
-      ConfigPublisher Publisher(*Under.Client);
+      PublisherFixture Fixture;
+      ConfigPublisher Publisher(*Fixture.Client);
       PlatformFaults Faults;
       (IsWriteLost ? Faults.LoseWrites : Faults.LoseAnswers) = Lost;
-      Under.Stand.setFaults(Faults);
+      Fixture.Platform.setFaults(Faults);
       Result<uint64_t> Version = Publisher.publish(makeRequest(0, "c", 3), 1);
-      Under.Stand.setFaults(PlatformFaults());
+      Fixture.Platform.setFaults(PlatformFaults());
       Result<uint64_t> Found = Publisher.findChange("c");
       CHECK(Version.has_value() == Found.has_value());
-      // The same change again is the same version.
+      // Publishing the change again returns the same version.
       if (Found)
         CHECK(Publisher.publish(makeRequest(0, "c", 3), 1).value() == 1);
     }
 }
 
-TEST_CASE("an old base is refused and says who changed it") {
-  Bench Under;
-  ConfigPublisher Publisher(*Under.Client);
+TEST_CASE("a change with an old base is refused and the last author is named") {
+  PublisherFixture Fixture;
+  ConfigPublisher Publisher(*Fixture.Client);
   REQUIRE(Publisher.publish(makeRequest(0, "anna", 3), 1));
   Result<uint64_t> Second = Publisher.publish(makeRequest(0, "bo", 4), 1);
   REQUIRE(!Second);
--- a/unittests/Membership/MemberTableTest.cpp
+++ b/unittests/Membership/MemberTableTest.cpp
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Precedence, suspicion and refutation; and stateful fuzzing: after any
-/// history of lost messages, tables that talk again agree.
+/// Tests the precedence of records, suspicion and refutation. A property test
+/// checks that after any sequence of lost messages all tables agree again once
+/// they can exchange messages.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +33,7 @@
   return MemberTable(makeRecord(Name), MembershipTuning(), Now);
 }
 
-TEST_CASE("a later incarnation wins, then the graver state") {
+TEST_CASE("the newer incarnation takes precedence, then the later state") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   CHECK(Table.applyRecord(makeRecord("x", 5), Now));
@@ -43,7 +44,7 @@
   CHECK(Table.applyRecord(makeRecord("x", 6, MemberState::Alive), Now));
 }
 
-TEST_CASE("a member is suspected before it is dropped") {
+TEST_CASE("a member is suspected before it is declared dead") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   Table.applyRecord(makeRecord("x"), Now);
@@ -54,13 +55,14 @@
   Now += fromSeconds(2);
   CHECK(Table.advance(Now) == 1);
   CHECK(Table.getWorking() == std::vector<std::string>{"self"});
-  // Its old record does not bring it back; its own newer one does.
+  // The old record of the member does not revive it, but a newer incarnation
+  // does.
   CHECK(!Table.applyRecord(makeRecord("x"), Now));
   CHECK(Table.applyRecord(makeRecord("x", 2), Now));
   CHECK(Table.getWorking().size() == 2);
 }
 
-TEST_CASE("a member that is heard is not dropped while it is suspect") {
+TEST_CASE("a suspect member that sends messages is not declared dead") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   Table.applyRecord(makeRecord("x"), Now);
@@ -72,7 +74,7 @@
   }
 }
 
-TEST_CASE("what is wrongly said of this daemon is refuted") {
+TEST_CASE("a wrong record about this daemon is refuted") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   Table.applyRecord(makeRecord("self", 1, MemberState::Dead), Now);
@@ -81,7 +83,7 @@
   CHECK(Table.collectChanges("anyone").front().Incarnation == 2);
 }
 
-TEST_CASE("who is thought gone is told so") {
+TEST_CASE("a member that is considered dead receives its own record") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   Table.applyRecord(makeRecord("x"), Now);
@@ -95,7 +97,7 @@
       }));
 }
 
-TEST_CASE("a leaving member does no work and is dropped") {
+TEST_CASE("a leaving member shares no work and is removed") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   Table.applyRecord(makeRecord("x", 2, MemberState::Leaving), Now);
@@ -105,7 +107,7 @@
   CHECK(Table.getAll().size() == 1);
 }
 
-TEST_CASE("each member is pinged once a round") {
+TEST_CASE("each member is pinged once per round") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   for (int I = 0; I < 10; ++I)
@@ -119,7 +121,7 @@
   CHECK(std::unique(Round.begin(), Round.end()) == Round.end());
 }
 
-TEST_CASE("a change is passed on a bounded number of times") {
+TEST_CASE("a change is sent a bounded number of times") {
   TimePoint Now{};
   MemberTable Table = makeTable("self", Now);
   Table.applyRecord(makeRecord("x"), Now);
@@ -131,8 +133,8 @@
   CHECK(Sent < 20);
 }
 
-/// Lets every table talk with every other once.
-static void talkAll(std::vector<MemberTable> &Tables, TimePoint Now) {
+/// Lets every table send its changes and its records to every other table once.
+static void exchangeAll(std::vector<MemberTable> &Tables, TimePoint Now) {
   for (MemberTable &From : Tables)
     for (MemberTable &To : Tables) {
       if (&From == &To)
@@ -144,7 +146,7 @@
     }
 }
 
-TEST_CASE("after any history, members that talk again agree") {
+TEST_CASE("tables agree again after any sequence of lost messages") {
   CHECK(rc::check([] {
     static constexpr size_t Count = 4;
     TimePoint Now{};
@@ -167,9 +169,9 @@
           Tables[To].applyRecord(Record, Now);
       Tables[From].advance(Now);
     }
-    // The cuts are healed: a few rounds bring everyone back.
+    // All messages are delivered again: a few rounds restore every member.
     for (int Round = 0; Round < 4; ++Round)
-      talkAll(Tables, Now);
+      exchangeAll(Tables, Now);
     for (MemberTable &Each : Tables)
       RC_ASSERT(Each.getWorking().size() == Count);
   }));
--- a/unittests/Settings/DaemonConfigTest.cpp
+++ b/unittests/Settings/DaemonConfigTest.cpp
@@ -1,4 +1,4 @@
-//===- DaemonConfigTest.cpp - Tests of a daemon's file --------------------===//
+//===- DaemonConfigTest.cpp - Tests of the settings of a daemon -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Which sections a daemon's INI file may have.
+/// Tests which sections a daemon's INI file may have and the limits on its
+/// threads.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,6 +24,7 @@
 
 using namespace canvaswick;
 
+/// Loads a file with the required keys, to which Rest is appended.
 static Result<DaemonConfig> load(const std::string &Rest) {
   const std::string Path = fmt::format("/tmp/canvaswick-{}.ini", ::getpid());
   std::ofstream(Path) << "[daemon]\nsource = platform\nname = d\nregion = r\n"
@@ -35,13 +37,13 @@
   return Loaded;
 }
 
-TEST_CASE("a file without a section of switches has all mechanisms on") {
+TEST_CASE("all mechanisms are on in a file without section [policy]") {
   const Result<DaemonConfig> Loaded = load("");
   REQUIRE(Loaded);
   CHECK(Loaded.value().Policy.isOn(Mechanism::Floor));
 }
 
-TEST_CASE("a file may switch mechanisms off") {
+TEST_CASE("section [policy] switches mechanisms off") {
   const Result<DaemonConfig> Loaded = load("[policy]\nfloor = off\n");
   REQUIRE(Loaded);
   CHECK_FALSE(Loaded.value().Policy.isOn(Mechanism::Floor));
@@ -57,7 +59,7 @@
   CHECK_FALSE(load("[policy]\nfloor = off\n[other]\n"));
 }
 
-TEST_CASE("a file bounds the threads for callers") {
+TEST_CASE("a file limits the threads that serve callers") {
   const Result<DaemonConfig> Defaults = load("");
   REQUIRE(Defaults);
   CHECK(Defaults.value().Workers == 64);
@@ -70,8 +72,7 @@
   CHECK(Loaded.value().WorkerIdle == fromMillis(500));
 }
 
-TEST_CASE(
-    "more kept threads than threads, or no time to be idle, is an error") {
+TEST_CASE("more kept threads than threads, or an idle time of 0, is an error") {
   const Result<DaemonConfig> Kept = load("workers = 8\nkept-workers = 9\n");
   REQUIRE_FALSE(Kept);
   CHECK(Kept.error().Message.find(
--- a/unittests/Settings/OrganisationKeysTest.cpp
+++ b/unittests/Settings/OrganisationKeysTest.cpp
@@ -1,10 +1,15 @@
-//===- OrganisationKeysTest.cpp - Tests of organisations and their keys --===//
+//===- OrganisationKeysTest.cpp - Tests of organisations and keys ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
 // SPDX-License-Identifier: Apache-2.0
 //
 //===----------------------------------------------------------------------===//
+///
+/// \file
+/// Tests the validation of key digests and the look-up of organisations by key.
+///
+//===----------------------------------------------------------------------===//
 
 #include "canvaswick/Settings/OrganisationKeys.h"
 #include "canvaswick/Settings/FleetConfig.h"
@@ -20,7 +25,7 @@
   return KeyDigest::of(Key).format();
 }
 
-TEST_CASE("several keys of an organisation lead to it, and no other does") {
+TEST_CASE("an organisation is found by each of its keys and by no other key") {
   const std::string Text =
       fmt::format("[organisation a]\nkey-digests = {} {}\nburst = 7\n"
                   "[organisation b]\nkey-digests = {}\n",
@@ -40,17 +45,18 @@
   CHECK(Directory.findByName("a")->Burst == 7);
 }
 
-TEST_CASE("without a digest anywhere nobody needs a key") {
+TEST_CASE("callers need no key if no organisation has a key digest") {
   const Result<SettingsTree> Tree =
       SettingsTree::parse("[organisation a]\nburst = 7\n", "t.ini");
   REQUIRE(Tree);
   CHECK_FALSE(compileFleetConfig(Tree.value(), 1)->Organisations->needsKeys());
 }
 
-TEST_CASE("what is wrong with keys is said with file and line, never a key") {
+TEST_CASE(
+    "a problem with keys is reported with file and line but without the key") {
   struct Case {
     std::string Setting;
-    std::string Says;
+    std::string Expected;
   };
   const std::string A = digest("a1");
   const Case Cases[] = {
@@ -73,14 +79,15 @@
     REQUIRE_FALSE(Tree);
     const std::string &Message = Tree.error().Message;
     CAPTURE(Message);
-    CHECK(Message.find(Each.Says) != std::string::npos);
+    CHECK(Message.find(Each.Expected) != std::string::npos);
     CHECK(Message.find("my-secret") == std::string::npos);
     CHECK(Message.find("sss") == std::string::npos);
     CHECK(Message.find(A) == std::string::npos);
   }
 }
 
-TEST_CASE("a key that several claim is the first one's, and is counted") {
+TEST_CASE(
+    "a key of several organisations belongs to the first and is counted") {
   const OrganisationDirectoryRef Directory = makeOrganisationDirectory(
       {{"a", 0, 0, {}, {KeyDigest::of("k")}},
        {"b", 0, 0, {}, {KeyDigest::of("k"), KeyDigest::of("l")}}},
@@ -90,8 +97,10 @@
   CHECK(Directory->findByKey(KeyDigest::of("l"))->Name == "b");
 }
 
-/// At the size that the operators plan for. States figures, asserts no time.
-TEST_CASE("1,000 organisations with 70,000 keys: what a look-up takes") {
+/// Uses the size that the operators plan for. Prints durations but does not
+/// check them, because they depend on the machine.
+TEST_CASE(
+    "a directory of 1,000 organisations with 70,000 keys finds every key") {
   constexpr int Organisations = 1000;
   constexpr int KeysEach = 70;
   std::vector<OrganisationConfig> All;
--- a/unittests/Settings/PolicySwitchesTest.cpp
+++ b/unittests/Settings/PolicySwitchesTest.cpp
@@ -1,4 +1,4 @@
-//===- PolicySwitchesTest.cpp - Tests of the switches ---------------------===//
+//===- PolicySwitchesTest.cpp - Tests of the policy switches --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// All mechanisms are on unless switched off, and errors say where.
+/// Checks that all mechanisms are on unless they are switched off, and that
+/// errors name file and line.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -37,7 +38,8 @@
   }
 }
 
-TEST_CASE("an unknown mechanism or value is an error with its place") {
+TEST_CASE(
+    "an unknown mechanism or value is an error that names file and line") {
   const auto Unknown = read("[policy]\nfloor = on\nluck = on\n");
   REQUIRE_FALSE(Unknown);
   CHECK(Unknown.error().Message == "d.ini:3: [policy]: luck is no mechanism");
--- a/unittests/Settings/SettingsFuzzTest.cpp
+++ b/unittests/Settings/SettingsFuzzTest.cpp
@@ -1,4 +1,4 @@
-//===- SettingsFuzzTest.cpp - Fuzzing of the settings ---------------------===//
+//===- SettingsFuzzTest.cpp - Property test of settings parsing -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whatever lines stand in whatever order, a tree is either refused with the
-/// file's name and a line, or every value in force is within its bounds.
+/// Parses random sequences of valid and invalid lines. Guards against a tree
+/// that is accepted although a value is out of its bounds or a reference is
+/// broken, and against an error that does not name the file.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,6 +20,7 @@
 
 using namespace canvaswick;
 
+/// Returns a random line: mostly one of the table, sometimes arbitrary text.
 static std::string drawLine() {
   static const std::vector<std::string> Lines = {"[region r]",
                                                  "[service s]",
@@ -56,7 +58,7 @@
   return *rc::gen::arbitrary<std::string>();
 }
 
-TEST_CASE("whatever stands in a tree, it is refused or within its bounds") {
+TEST_CASE("any text is refused or gives a tree with all values in bounds") {
   CHECK(rc::check([] {
     std::string Text;
     const int Count = *rc::gen::inRange(0, 25);
