--- a/include/canvaswick/Bench/Scenario.h
+++ b/include/canvaswick/Bench/Scenario.h
@@ -82,7 +82,7 @@
   double BackgroundFailures = 0.001;
   bool IsRepeatable = true;
   int FloorPercent = 50;
-  Weighing Preference = Weighing::Balanced;
+  EjectionPreference Preference = EjectionPreference::Balanced;
   Duration ExchangeDelay = fromMillis(5);
   double ExchangeLoss = 0.01;
   Duration Length = fromSeconds(300);
--- a/include/canvaswick/Health/HealthPolicy.h
+++ b/include/canvaswick/Health/HealthPolicy.h
@@ -42,7 +42,7 @@
   std::string Service;
   std::string Source;
   std::string Hall;
-  Weighing Preference = Weighing::Balanced;
+  EjectionPreference Preference = EjectionPreference::Balanced;
   int FloorPercent = 0;
   /// A server that comes back from leaving may be slow for this long.
   Duration ColdStart{};
--- a/include/canvaswick/Health/Tuning.h
+++ b/include/canvaswick/Health/Tuning.h
@@ -44,7 +44,7 @@
 };
 
 /// Returns the values of a preset.
-HealthTuning getTuning(Weighing Preference);
+HealthTuning getTuning(EjectionPreference Preference);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -108,7 +108,7 @@
   uint64_t StartMillis = 0;
   /// Which policy judges servers, and whose repeats are counted: a daemon on
   /// the users' platform shares observations and one budget with the fleet.
-  SettingsSource Source = SettingsSource::Own;
+  SettingsSource Source = SettingsSource::OperatorTree;
   FleetRetryLimit Repeats;
   TimePoint Started{};
   PolicySwitches Switches;
--- a/include/canvaswick/Settings/DaemonConfig.h
+++ b/include/canvaswick/Settings/DaemonConfig.h
@@ -27,7 +27,7 @@
 
 /// The source of a daemon's fleet settings and list of backend servers: the
 /// settings tree of the fleet's operators, or the users' platform.
-enum class SettingsSource : uint8_t { Own, Platform };
+enum class SettingsSource : uint8_t { OperatorTree, Platform };
 
 /// The limit on the retries that the whole fleet may send to one service:
 /// within any period of length Window, the fraction Share of the service's
@@ -81,7 +81,7 @@
   std::vector<Endpoint> Seeds;
   /// Time for which an idempotency key is remembered.
   int64_t ClaimMemorySeconds = 0;
-  SettingsSource Source = SettingsSource::Own;
+  SettingsSource Source = SettingsSource::OperatorTree;
   /// The members from here to Drain apply only to SettingsSource::Platform.
   Endpoint Ready;
   /// The address that serves metrics. If its port is 0, Ready serves them.
--- a/include/canvaswick/Settings/FleetConfig.h
+++ b/include/canvaswick/Settings/FleetConfig.h
@@ -32,7 +32,7 @@
 /// The trade-off between the two errors of ejection, as a preset that operators
 /// choose: Detection avoids keeping an unhealthy server in use, FalseEjections
 /// avoids ejecting a healthy one.
-enum class Weighing : uint8_t { Detection, Balanced, FalseEjections };
+enum class EjectionPreference : uint8_t { Detection, Balanced, FalseEjections };
 
 /// Whether a request of a route may run more than once. A Download may, and has
 /// a large response.
@@ -81,7 +81,7 @@
   std::string Region;
   int FloorPercent = 0;
   /// The setting "weighing".
-  Weighing Preference = Weighing::Balanced;
+  EjectionPreference Preference = EjectionPreference::Balanced;
   int64_t DeadlineMs = 0;
   /// Time without a byte after which a body counts as stalled.
   int64_t StallMs = 0;
--- a/include/canvaswick/Settings/SettingTable.h
+++ b/include/canvaswick/Settings/SettingTable.h
@@ -56,7 +56,7 @@
 /// Identifies a setting. The order is the order of the table.
 enum class SettingKey : uint8_t {
   FloorPercent,
-  Weighing,
+  EjectionPreference,
   Slots,
   Connections,
   DeadlineMs,
--- a/lib/Bench/CapacityWire.cpp
+++ b/lib/Bench/CapacityWire.cpp
@@ -109,7 +109,8 @@
     for (int I = 0; I < 57; ++I)
       Servers.push_back({getServerId("s", fmt::format("v{}", I)), 4});
     const double Before = readResidentMegabytes();
-    EvidencePool Pool("s", "o", getTuning(Weighing::Balanced), Servers, 50, 0);
+    EvidencePool Pool("s", "o", getTuning(EjectionPreference::Balanced),
+                      Servers, 50, 0);
     TimePoint Now = readSteadyClock();
     const CpuTimer Timer;
     static constexpr uint64_t Rounds = 20;
--- a/lib/Bench/Scenario.cpp
+++ b/lib/Bench/Scenario.cpp
@@ -35,10 +35,10 @@
     {FaultKind::SickDaemon, "sick-daemon"},
 }};
 
-static constexpr EnumNames<Weighing, 3> WeighingNames = {{
-    {Weighing::Detection, "detection"},
-    {Weighing::Balanced, "balanced"},
-    {Weighing::FalseEjections, "false-ejections"},
+static constexpr EnumNames<EjectionPreference, 3> WeighingNames = {{
+    {EjectionPreference::Detection, "detection"},
+    {EjectionPreference::Balanced, "balanced"},
+    {EjectionPreference::FalseEjections, "false-ejections"},
 }};
 
 const char *getName(FaultKind Kind) {
@@ -119,7 +119,7 @@
   });
   Takers["weighing"] = [&Into](const std::string &Text) {
     const auto Found = findEnumValue(WeighingNames, Text);
-    Into.Preference = Found.value_or(Weighing::Balanced);
+    Into.Preference = Found.value_or(EjectionPreference::Balanced);
     return Found.has_value();
   };
   Takers["exchange-delay-ms"] = takeNumber(0, 60000, [&Into](double Value) {
--- a/lib/Directory/FleetRecords.cpp
+++ b/lib/Directory/FleetRecords.cpp
@@ -40,7 +40,7 @@
   ServiceConfig Config;
   Config.Name = Rule.Name;
   Config.FloorPercent = Defaults.FloorPercent;
-  Config.Preference = Weighing::Detection;
+  Config.Preference = EjectionPreference::Detection;
   Config.DeadlineMs = DefaultDeadlineMs;
   Config.StallMs = DefaultStallMs;
   Config.ColdStartMs = DefaultColdStartMs;
--- a/lib/Health/Tuning.cpp
+++ b/lib/Health/Tuning.cpp
@@ -26,10 +26,10 @@
   return Tuning;
 }
 
-HealthTuning getTuning(Weighing Preference) {
+HealthTuning getTuning(EjectionPreference Preference) {
   HealthTuning Tuning = makeCommonTuning();
   switch (Preference) {
-  case Weighing::Detection:
+  case EjectionPreference::Detection:
     Tuning.Threshold = 11;
     Tuning.ReturnThreshold = 5;
     Tuning.SourceBound = 0.4;
@@ -38,7 +38,7 @@
     Tuning.FirstHold = fromSeconds(4);
     Tuning.ReportInterval = fromMillis(500);
     return Tuning;
-  case Weighing::Balanced:
+  case EjectionPreference::Balanced:
     Tuning.Threshold = 14;
     Tuning.ReturnThreshold = 6;
     Tuning.SourceBound = 0.4;
@@ -46,7 +46,7 @@
     Tuning.FirstHold = fromSeconds(5);
     Tuning.ReportInterval = fromSeconds(1);
     return Tuning;
-  case Weighing::FalseEjections:
+  case EjectionPreference::FalseEjections:
     Tuning.Threshold = 18;
     Tuning.ReturnThreshold = 8;
     Tuning.SourceBound = 0.34;
--- a/lib/Settings/DaemonConfig.cpp
+++ b/lib/Settings/DaemonConfig.cpp
@@ -23,7 +23,7 @@
 
 namespace canvaswick {
 
-/// The keys that are required with SettingsSource::Own.
+/// The keys that are required with SettingsSource::OperatorTree.
 static const SettingKey RequiredKeys[] = {
     SettingKey::DaemonName,     SettingKey::DaemonRegion,
     SettingKey::DaemonHall,     SettingKey::CallerAddress,
--- a/lib/Settings/FleetConfig.cpp
+++ b/lib/Settings/FleetConfig.cpp
@@ -59,8 +59,8 @@
   Config.Region = Tree.lookupText(Node, SettingKey::RegionOfService);
   Config.FloorPercent =
       static_cast<int>(Tree.lookupInteger(Node, SettingKey::FloorPercent));
-  Config.Preference =
-      static_cast<Weighing>(Tree.lookupInteger(Node, SettingKey::Weighing));
+  Config.Preference = static_cast<EjectionPreference>(
+      Tree.lookupInteger(Node, SettingKey::EjectionPreference));
   Config.DeadlineMs = Tree.lookupInteger(Node, SettingKey::DeadlineMs);
   Config.StallMs = Tree.lookupInteger(Node, SettingKey::StallMs);
   Config.SlowAfterMs = Tree.lookupInteger(Node, SettingKey::SlowAfterMs);
--- a/lib/Settings/SettingTable.cpp
+++ b/lib/Settings/SettingTable.cpp
@@ -60,7 +60,7 @@
 static constexpr SettingSpec Table[] = {
     {SettingKey::FloorPercent, "floor-percent", Service, SettingType::Integer, 0, 100, "50", "%", nullptr,
      "Share of a service's slots that ejecting must leave in use."},
-    {SettingKey::Weighing, "weighing", Service, SettingType::Choice, 0, 2, "balanced", "", "detection|balanced|false-ejections",
+    {SettingKey::EjectionPreference, "weighing", Service, SettingType::Choice, 0, 2, "balanced", "", "detection|balanced|false-ejections",
      "Which error to avoid first: a sick backend server kept, or a healthy one removed."},
     {SettingKey::Slots, "slots", Inherited, SettingType::Integer, 1, 10000, "3", "requests", nullptr,
      "Requests that one backend server works on at once."},
--- a/unittests/Health/PooledPolicyTest.cpp
+++ b/unittests/Health/PooledPolicyTest.cpp
@@ -33,7 +33,7 @@
   Setup.Service = "s";
   Setup.Source = "d";
   Setup.Hall = "a";
-  Setup.Preference = Weighing::Detection;
+  Setup.Preference = EjectionPreference::Detection;
   Setup.FloorPercent = Floor;
   Setup.Servers = makeServers(Slots);
   return Setup;
@@ -152,8 +152,8 @@
   Servers.reserve(10);
   for (int I = 0; I < 10; ++I)
     Servers.push_back({getServerId("s", fmt::format("{}", I)), 3});
-  return EvidencePool("s", "o", getTuning(Weighing::Detection), Servers, Floor,
-                      0);
+  return EvidencePool("s", "o", getTuning(EjectionPreference::Detection),
+                      Servers, Floor, 0);
 }
 
 static double getShareOf(EvidencePool &Pool, int Server,
@@ -221,7 +221,8 @@
   Servers.reserve(4);
   for (int I = 0; I < 4; ++I)
     Servers.push_back({getServerId("s", fmt::format("{}", I)), 3});
-  EvidencePool Pool("s", "o", getTuning(Weighing::Detection), Servers, 50, 0);
+  EvidencePool Pool("s", "o", getTuning(EjectionPreference::Detection), Servers,
+                    50, 0);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   for (uint64_t Round = 1; Round <= 20; ++Round) {
     Now += fromMillis(500);
@@ -253,8 +254,8 @@
       Servers.reserve(4);
       for (int I = 0; I < 4; ++I)
         Servers.push_back({getServerId("s", fmt::format("{}", I)), 3});
-      EvidencePool Pool("s", "o", getTuning(Weighing::Detection), Servers, 50,
-                        0);
+      EvidencePool Pool("s", "o", getTuning(EjectionPreference::Detection),
+                        Servers, 50, 0);
       TimePoint Now = TimePoint{} + fromSeconds(10);
       for (uint64_t Round = 1; Round <= 20; ++Round) {
         Now += fromMillis(500);
@@ -295,7 +296,7 @@
   Pool.advance(Now + fromSeconds(1));
   // Three failures are not enough by themselves for this to be certain.
   const double Once = 3 * 4.0;
-  CHECK(Once > getTuning(Weighing::Detection).Threshold);
+  CHECK(Once > getTuning(EjectionPreference::Detection).Threshold);
   CHECK(Pool.buildSummary("a").Servers.size() <= 1);
 }
 
@@ -316,7 +317,7 @@
 }
 
 TEST_CASE("a removed server comes back by steps, and a flapping one slower") {
-  ScopeTracker Tracker(getTuning(Weighing::Detection), 10);
+  ScopeTracker Tracker(getTuning(EjectionPreference::Detection), 10);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   RemovalRules Rules;
   Rules.Slots.assign(10, 3);
@@ -350,7 +351,7 @@
 }
 
 TEST_CASE("everything slow at once removes nothing") {
-  ScopeTracker Tracker(getTuning(Weighing::Detection), 8);
+  ScopeTracker Tracker(getTuning(EjectionPreference::Detection), 8);
   TimePoint Now = TimePoint{} + fromSeconds(10);
   RemovalRules Rules;
   Rules.Slots.assign(8, 3);
--- a/unittests/ServerLeaving/ServerLeavingTest.cpp
+++ b/unittests/ServerLeaving/ServerLeavingTest.cpp
@@ -82,8 +82,8 @@
   ServiceFixture Under;
   Under.Config.Servers.resize(2);
   Under.Config.FloorPercent = 50;
-  Under.Config.Preference = Weighing::Detection;
-  Under.Identity.Source = SettingsSource::Own;
+  Under.Config.Preference = EjectionPreference::Detection;
+  Under.Identity.Source = SettingsSource::OperatorTree;
   Under.Service.reset();
   Under.rebuild(FixtureStart);
   Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
