--- a/include/canvaswick/Claims/ClaimWriter.h
+++ b/include/canvaswick/Claims/ClaimWriter.h
@@ -48,7 +48,8 @@
   /// The next write releases the key.
   void giveUp(const std::string &Key, uint64_t Claim);
 
-  /// Writes queued ends if no Begin has carried them, and prunes the log.
+  /// Writes the queued ends and releases that no Begin has carried, and prunes
+  /// the log. To be called periodically.
   void runRound();
 
   /// Returns the holder of a key whose request is running, or an empty string.
--- a/include/canvaswick/Settings/FleetConfig.h
+++ b/include/canvaswick/Settings/FleetConfig.h
@@ -85,8 +85,8 @@
   int64_t DeadlineMs = 0;
   /// Time without a byte after which a body counts as stalled.
   int64_t StallMs = 0;
-  /// A response later than this counts as slow. 0 selects three times
-  /// the typical time of the service.
+  /// A response later than this counts as slow. 0 selects three times the
+  /// typical time of the service.
   int64_t SlowAfterMs = 0;
   /// Time over which a new server is given its full share.
   int64_t ColdStartMs = 0;
--- a/include/canvaswick/Settings/PolicySwitches.h
+++ b/include/canvaswick/Settings/PolicySwitches.h
@@ -41,8 +41,7 @@
   /// The rates at which failure episodes begin and end are learned.
   LearnedRates,
   /// The time of a retry at another server follows from the success
-  /// probabilities
-  /// of both attempts.
+  /// probabilities of both attempts.
   WeighedRetries,
   /// Daemons lend each other retries from the budget of the fleet.
   RetryLoans,
--- a/lib/Config/ConfigPublisher.cpp
+++ b/lib/Config/ConfigPublisher.cpp
@@ -123,8 +123,8 @@
     return outcome::failure(Value.error());
   }
   // A change that was published before keeps its version.
-  if (const ConfigChange *Landed = findChangeIn(Current, Request.ChangeId))
-    return Landed->Version;
+  if (const ConfigChange *Existing = findChangeIn(Current, Request.ChangeId))
+    return Existing->Version;
   if (Current.Version != Request.BaseVersion)
     return outcome::failure(describeConflict(Current, Request.BaseVersion));
   ConfigTexts Texts;
--- a/unittests/Claims/ClaimLogTest.cpp
+++ b/unittests/Claims/ClaimLogTest.cpp
@@ -149,12 +149,12 @@
 TEST_CASE("an abandoned claim that was stored is released") {
   ClaimLogFixture Fixture;
   ClaimLog Writer = Fixture.makeWriter();
-  ClaimLog Asker = Fixture.makeWriter();
-  // The writer was granted the claim, but the asker did not learn it and gave
-  // the claim up.
+  ClaimLog Requester = Fixture.makeWriter();
+  // The writer was granted the claim, but the requester did not learn of the
+  // grant and gave the claim up.
   CHECK(begin(Writer, "a", 1).Kind == ClaimKind::Granted);
-  Asker.abandonClaim("a", 1);
-  CHECK(begin(Asker, "a", 2).Kind == ClaimKind::Granted);
+  Requester.abandonClaim("a", 1);
+  CHECK(begin(Requester, "a", 2).Kind == ClaimKind::Granted);
   CHECK(begin(Writer, "a", 3).Kind == ClaimKind::StillRunning);
 }
 
