--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -110,7 +110,7 @@
   uint64_t StartMillis = 0;
   /// Selects the health policy and the retry budget: a daemon on the users'
   /// platform shares observations and one retry budget with the fleet.
-  SettingsSource Source = SettingsSource::Own;
+  SettingsSource Source = SettingsSource::OperatorTree;
   FleetRetryLimit Repeats;
   TimePoint Started{};
   PolicySwitches Switches;
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -59,7 +59,7 @@
 /// Adds the limits of the daemon's settings to the adapter's options.
 static ProxyOptions addDaemonSettings(ProxyOptions Options,
                                       const DaemonConfig &Config) {
-  Options.Allowances = Config.Allowances;
+  Options.Allowances = Config.QuotaLimits;
   return Options;
 }
 
@@ -76,7 +76,7 @@
     : Config(std::move(Given)), Self(makeSelf(this->Config)),
       Proxy(this->Config.Name, this->Fleet, this->Upstreams, this->Counters,
             nullptr, addDaemonSettings(std::move(Options), this->Config)),
-      RetryLimit(this->Config.Repeats) {}
+      RetryLimit(this->Config.RetryLimit) {}
 
 Result<void> Gateway::Impl::start() {
   // Created before the metrics are served, because they report its threads.
--- a/unittests/EndingRequest/EndingRequestTest.cpp
+++ b/unittests/EndingRequest/EndingRequestTest.cpp
@@ -52,9 +52,9 @@
 
 /// Three daemons of two halls before six servers.
 struct Fleet : Hall {
-  explicit Fleet(const std::string &EndsUnder)
+  explicit Fleet(const std::string &ExitTargetPrefix)
       : Hall({"a", "a", "b"}),
-        Servers(this->Store, {"a", "a", "a", "b", "b", "b"}, EndsUnder) {
+        Servers(this->Store, {"a", "a", "a", "b", "b", "b"}, ExitTargetPrefix) {
     this->writeConfig(2);
     for (const std::unique_ptr<Member> &Each : this->Members)
       this->waitFor([&] { return this->serves(*Each, "/x/1"); });
--- a/unittests/EndingRequest/MortalServers.h
+++ b/unittests/EndingRequest/MortalServers.h
@@ -35,8 +35,8 @@
 public:
   using Clock = std::chrono::steady_clock;
 
-  MortalServer(std::string Id, std::string EndsUnder)
-      : Id(std::move(Id)), EndsUnder(std::move(EndsUnder)) {
+  MortalServer(std::string Id, std::string ExitTargetPrefix)
+      : Id(std::move(Id)), ExitTargetPrefix(std::move(ExitTargetPrefix)) {
     this->Server = std::make_unique<HttpServer>(
         HttpServerLimits{},
         [this](HttpExchange &Exchange) { this->handle(Exchange); });
@@ -60,7 +60,7 @@
   const std::string Id;
   std::atomic<bool> HasEnded{false};
   std::mutex Mutex;
-  /// When requests that begin with EndsUnder came.
+  /// When requests that begin with ExitTargetPrefix came.
   std::vector<TimePoint> Arrivals;
 
 private:
@@ -73,8 +73,9 @@
       Answer.set_header("Not-Executed", "1");
       return;
     }
-    const bool IsFatal = !this->EndsUnder.empty() &&
-                         Exchange.Request.target.starts_with(this->EndsUnder);
+    const bool IsFatal =
+        !this->ExitTargetPrefix.empty() &&
+        Exchange.Request.target.starts_with(this->ExitTargetPrefix);
     if (IsFatal) {
       std::lock_guard<std::mutex> Lock(this->Mutex);
       this->Arrivals.push_back(readSteadyClock());
@@ -94,7 +95,7 @@
     Answer.set_content("whole answer", "text/plain");
   }
 
-  const std::string EndsUnder;
+  const std::string ExitTargetPrefix;
   std::unique_ptr<HttpServer> Server;
 };
 
@@ -103,8 +104,9 @@
 public:
   /// Halls has one name for each server.
   MortalServers(StoreStandIn &Store, std::vector<std::string> Halls,
-                std::string EndsUnder)
-      : Store(Store), Halls(std::move(Halls)), EndsUnder(std::move(EndsUnder)) {
+                std::string ExitTargetPrefix)
+      : Store(Store), Halls(std::move(Halls)),
+        ExitTargetPrefix(std::move(ExitTargetPrefix)) {
     for (size_t I = 0; I < this->Halls.size(); ++I)
       this->startServer(I);
     this->Keeper = std::thread([this] { this->keep(); });
@@ -118,7 +120,7 @@
   /// Servers that start from now on survive what ended those before.
   void mend() {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->EndsUnder.clear();
+    this->ExitTargetPrefix.clear();
     for (const std::unique_ptr<MortalServer> &Each : this->Living)
       if (Each)
         Each->HasEnded = true;
@@ -152,7 +154,7 @@
 private:
   void startServer(size_t Place) {
     auto Next = std::make_unique<MortalServer>(
-        fmt::format("i-{}", ++this->Starts), this->EndsUnder);
+        fmt::format("i-{}", ++this->Starts), this->ExitTargetPrefix);
     this->Store.put("servers/" + Next->Id, Next->makeEntry(this->Halls[Place]));
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (this->Living.size() <= Place)
@@ -199,7 +201,7 @@
   StoreStandIn &Store;
   const std::vector<std::string> Halls;
   std::mutex Mutex;
-  std::string EndsUnder;
+  std::string ExitTargetPrefix;
   std::vector<std::unique_ptr<MortalServer>> Living;
   std::vector<std::unique_ptr<MortalServer>> Ever;
   size_t NextEnded = 0;
--- a/unittests/ServerLeaving/ServerLeavingTest.cpp
+++ b/unittests/ServerLeaving/ServerLeavingTest.cpp
@@ -83,7 +83,7 @@
   Under.Config.Servers.resize(2);
   Under.Config.FloorPercent = 50;
   Under.Config.Preference = EjectionPreference::Detection;
-  Under.Identity.Source = SettingsSource::Own;
+  Under.Identity.Source = SettingsSource::OperatorTree;
   Under.Service.reset();
   Under.rebuild(FixtureStart);
   Under.answerWithNotice("b0", sayLeaving(), RequestOutcome::Good,
@@ -105,7 +105,7 @@
 TEST_CASE("over real connections a server that says it leaves is left") {
   ProxyFixture Under;
   BackendFaults Leaving;
-  Leaving.SaysLeaving = true;
+  Leaving.SendsLeaving = true;
   Under.Backends[0]->setFaults(Leaving);
   for (int I = 0; I < 40; ++I)
     CHECK(Under.send("GET", "/read/1").Status == 200);
