--- a/include/canvaswick/Proxy/ProxyOptions.h
+++ b/include/canvaswick/Proxy/ProxyOptions.h
@@ -90,7 +90,7 @@
   /// is known.
   int DefaultRetryAfterMs = 1000;
   /// Bounds of the excess over organisations' quotas that is tolerated.
-  QuotaBounds Allowances;
+  QuotaBounds QuotaLimits;
 };
 
 } // namespace canvaswick
--- a/include/canvaswick/Proxy/ServiceRuntime.h
+++ b/include/canvaswick/Proxy/ServiceRuntime.h
@@ -111,7 +111,7 @@
   /// Selects the health policy and the retry budget: a daemon on the users'
   /// platform shares observations and one retry budget with the fleet.
   SettingsSource Source = SettingsSource::OperatorTree;
-  FleetRetryLimit Repeats;
+  FleetRetryLimit RetryLimit;
   TimePoint Started{};
   PolicySwitches Switches;
   /// The server notices. If null, the table of the previous version is used, or
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -59,7 +59,7 @@
 /// Adds the limits of the daemon's settings to the adapter's options.
 static ProxyOptions addDaemonSettings(ProxyOptions Options,
                                       const DaemonConfig &Config) {
-  Options.Allowances = Config.QuotaLimits;
+  Options.QuotaLimits = Config.QuotaLimits;
   return Options;
 }
 
--- a/lib/Daemon/GatewayFleet.cpp
+++ b/lib/Daemon/GatewayFleet.cpp
@@ -40,7 +40,7 @@
   Identity.Daemons = this->DaemonNames;
   Identity.ExpectedDaemons = this->Config.ExpectedDaemons;
   Identity.Source = SettingsSource::Platform;
-  Identity.Repeats = this->RetryLimit;
+  Identity.RetryLimit = this->RetryLimit;
   Identity.Started = this->Started;
   Identity.Switches = this->Config.Policy;
   const FleetRuntimeRef Previous = this->Fleet.get();
--- a/lib/Proxy/RequestProxy.cpp
+++ b/lib/Proxy/RequestProxy.cpp
@@ -54,7 +54,7 @@
     : DaemonName(std::move(DaemonName)), Fleet(Fleet), Upstreams(Upstreams),
       Counters(Counters), Claims(Claims), Options(std::move(Options)),
       Quarantine(Counters), Started(readSteadyClock()),
-      Organisations(this->Options.Allowances, this->Started,
+      Organisations(this->Options.QuotaLimits, this->Started,
                     drawFraction(this->DaemonName)) {}
 
 void RequestProxy::configure(const FleetConfig &Config) {
--- a/lib/Proxy/ServiceRetries.cpp
+++ b/lib/Proxy/ServiceRetries.cpp
@@ -34,7 +34,7 @@
   if (Previous)
     Budget = Previous->FleetRetries;
   if (!Budget)
-    Budget.reset(new FleetRetryBudget(Identity.Repeats, Identity.Started));
+    Budget.reset(new FleetRetryBudget(Identity.RetryLimit, Identity.Started));
   return Budget;
 }
 
--- a/unittests/Daemon/RetryBorrowerTest.cpp
+++ b/unittests/Daemon/RetryBorrowerTest.cpp
@@ -31,12 +31,12 @@
   Identity.Name = "d";
   Identity.Hall = "h";
   Identity.Source = SettingsSource::Platform;
-  Identity.Repeats = {0.2, fromSeconds(10), Reserve};
+  Identity.RetryLimit = {0.2, fromSeconds(10), Reserve};
   // Long enough ago for the reserve to be available.
   Identity.Started = readSteadyClock() - fromSeconds(60);
   ServiceRuntimeRef Service(
       new ServiceRuntime(Config, Identity, nullptr, readSteadyClock()));
-  Service->setRetryLimit(Identity.Repeats, Daemons, 0);
+  Service->setRetryLimit(Identity.RetryLimit, Daemons, 0);
   return Service;
 }
 
