--- a/include/canvaswick/Http/HttpClient.h
+++ b/include/canvaswick/Http/HttpClient.h
@@ -53,9 +53,9 @@
 /// What to do with an answer while it arrives.
 struct AnswerSink {
   /// Called once with the status and headers. False cancels.
-  std::function<bool(const httplib::Response &)> TakeHead;
+  std::function<bool(const httplib::Response &)> OnHead;
   /// Called for each piece of the body. False cancels.
-  std::function<bool(const char *, size_t)> TakeBody;
+  std::function<bool(const char *, size_t)> OnBody;
 };
 
 /// One request towards a server.
@@ -76,7 +76,7 @@
   std::function<TimePoint()> ExtendDeadline;
   /// Names the life of the server at the address. A connection to one life is
   /// never used for another: what is left of one that lost power looks open.
-  std::string Life;
+  std::string ServerInstance;
   /// How long a new connection may take to come about.
   Duration ConnectLimit = fromSeconds(1);
   /// Takes no connection that was used before, and leaves none behind.
@@ -128,7 +128,7 @@
   };
   struct Address {
     /// The life that the idle connections lead to.
-    std::string Life;
+    std::string ServerInstance;
     std::list<IdleConnection> Idle;
     size_t Open = 0;
     size_t Bound = 0;
@@ -138,8 +138,8 @@
                                         const OutgoingRequest &Outgoing,
                                         TimePoint Deadline, ExchangeEnd &End);
   std::unique_ptr<SocketStream> takeIdle(Address &Entry, TimePoint Now);
-  void beginLife(Address &Entry, const std::string &Life);
-  void giveBack(const Endpoint &Endpoint, const std::string &Life,
+  void setServerInstance(Address &Entry, const std::string &ServerInstance);
+  void giveBack(const Endpoint &Endpoint, const std::string &ServerInstance,
                 std::unique_ptr<SocketStream> Stream, Duration RestLimit);
   void drop(const Endpoint &Endpoint, std::unique_ptr<SocketStream> Stream);
 
--- a/include/canvaswick/Http/WorkerPool.h
+++ b/include/canvaswick/Http/WorkerPool.h
@@ -32,12 +32,12 @@
 /// The bounds of one pool.
 struct WorkerPoolLimits {
   /// Threads that run jobs at once.
-  size_t Most = 16;
+  size_t MaxThreads = 16;
   /// Jobs that wait for one of them.
   size_t Queue = 64;
   /// Threads that stay once started, however long they have nothing to do.
-  size_t Kept = 0;
-  /// A thread beyond Kept that has had nothing to do for this long ends.
+  size_t MinThreads = 0;
+  /// A thread beyond MinThreads that has had nothing to do for this long ends.
   Duration IdleLimit = fromSeconds(5);
 };
 
@@ -46,7 +46,7 @@
   size_t Running = 0;
   size_t Idle = 0;
   /// The most there have been at once.
-  size_t Most = 0;
+  size_t Peak = 0;
 };
 
 /// Threads over one queue. The thread that became idle last takes the next job,
@@ -97,7 +97,7 @@
   WorkerList Ended;
   std::condition_variable HasEnded;
   size_t Running = 0;
-  size_t MostThreads = 0;
+  size_t PeakThreads = 0;
   bool IsStopping = false;
 };
 
--- a/include/canvaswick/Support/StandstillWatch.h
+++ b/include/canvaswick/Support/PauseDetector.h
@@ -1,4 +1,4 @@
-//===- StandstillWatch.h - Notices that a process stood still ---*- C++ -*-===//
+//===- PauseDetector.h - Notices that a process stood still -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_SUPPORT_STANDSTILLWATCH_H
-#define CANVASWICK_SUPPORT_STANDSTILLWATCH_H
+#ifndef CANVASWICK_SUPPORT_PAUSEDETECTOR_H
+#define CANVASWICK_SUPPORT_PAUSEDETECTOR_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -24,20 +24,20 @@
 
 /// A round that is later than this did not just wait for the processor: on a
 /// tenth of a core rounds are late by some hundred milliseconds.
-inline constexpr Duration LeastStandstill = fromSeconds(1);
+inline constexpr Duration MinPause = fromSeconds(1);
 
 /// One for each thread that runs rounds. Not thread-safe.
-class StandstillWatch {
+class PauseDetector {
 public:
   /// Usual is the longest time between two rounds when all is well.
-  explicit StandstillWatch(Duration Usual) : Usual(Usual) {}
+  explicit PauseDetector(Duration Usual) : Usual(Usual) {}
 
   /// Notes a round. Returns for how long the process stood still before it,
   /// zero if it did not.
-  Duration noteRound(TimePoint Now) {
+  Duration recordRound(TimePoint Now) {
     const std::optional<TimePoint> Last = this->LastRound;
     this->LastRound = Now;
-    if (!Last || Now - *Last < this->Usual + LeastStandstill)
+    if (!Last || Now - *Last < this->Usual + MinPause)
       return Duration::zero();
     return Now - *Last;
   }
@@ -49,4 +49,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_SUPPORT_STANDSTILLWATCH_H
+#endif // CANVASWICK_SUPPORT_PAUSEDETECTOR_H
--- a/include/canvaswick/Support/RoundThread.h
+++ b/include/canvaswick/Support/PeriodicThread.h
@@ -1,4 +1,4 @@
-//===- RoundThread.h - A thread that works in rounds ------------*- C++ -*-===//
+//===- PeriodicThread.h - A thread that works in rounds ---------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_SUPPORT_ROUNDTHREAD_H
-#define CANVASWICK_SUPPORT_ROUNDTHREAD_H
+#ifndef CANVASWICK_SUPPORT_PERIODICTHREAD_H
+#define CANVASWICK_SUPPORT_PERIODICTHREAD_H
 
 #include "canvaswick/Support/Time.h"
 
@@ -25,12 +25,12 @@
 namespace canvaswick {
 
 /// Runs a round again and again until it is stopped.
-class RoundThread {
+class PeriodicThread {
 public:
-  RoundThread() = default;
-  ~RoundThread();
-  RoundThread(const RoundThread &) = delete;
-  RoundThread &operator=(const RoundThread &) = delete;
+  PeriodicThread() = default;
+  ~PeriodicThread();
+  PeriodicThread(const PeriodicThread &) = delete;
+  PeriodicThread &operator=(const PeriodicThread &) = delete;
 
   /// Starts the thread. Rounds begin Interval apart, or later if one takes
   /// longer. What a round throws is logged, and the next round goes on.
@@ -54,4 +54,4 @@
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_SUPPORT_ROUNDTHREAD_H
+#endif // CANVASWICK_SUPPORT_PERIODICTHREAD_H
--- a/include/canvaswick/Support/Packing.h
+++ b/include/canvaswick/Support/TextCompression.h
@@ -1,4 +1,4 @@
-//===- Packing.h - Texts made short for the wire -------------- -*- C++ -*-===//
+//===- TextCompression.h - Texts made short for the wire --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_SUPPORT_PACKING_H
-#define CANVASWICK_SUPPORT_PACKING_H
+#ifndef CANVASWICK_SUPPORT_TEXTCOMPRESSION_H
+#define CANVASWICK_SUPPORT_TEXTCOMPRESSION_H
 
 #include "canvaswick/Support/Error.h"
 
@@ -21,12 +21,12 @@
 namespace canvaswick {
 
 /// Returns a text compressed. Any bytes may be in it.
-std::string packText(const std::string &Text);
+std::string compressText(const std::string &Text);
 
-/// Undoes packText. Fails with InvalidArgument on what packText has not made,
-/// and on what would be longer than MostBytes.
-Result<std::string> unpackText(const std::string &Packed, size_t MostBytes);
+/// Undoes compressText. Fails with InvalidArgument on what compressText has not
+/// made, and on what would be longer than MostBytes.
+Result<std::string> decompressText(const std::string &Packed, size_t MostBytes);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_SUPPORT_PACKING_H
+#endif // CANVASWICK_SUPPORT_TEXTCOMPRESSION_H
--- a/include/canvaswick/Support/TextDelta.h
+++ b/include/canvaswick/Support/TextDelta.h
@@ -28,7 +28,7 @@
 struct TextPiece {
   size_t From = 0;
   size_t Count = 0;
-  std::string Own;
+  std::string InsertedText;
 
   bool operator==(const TextPiece &) const = default;
 };
@@ -36,7 +36,7 @@
 /// How a later text is made of an earlier one.
 struct TextDelta {
   /// XXH64 of the later text.
-  uint64_t Check = 0;
+  uint64_t Checksum = 0;
   std::vector<TextPiece> Pieces;
 
   bool operator==(const TextDelta &) const = default;
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -24,8 +24,8 @@
 #include "canvaswick/Daemon/QuotaAgent.h"
 #include "canvaswick/Proxy/RequestProxy.h"
 #include "canvaswick/Support/Log.h"
-#include "canvaswick/Support/RoundThread.h"
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
+#include "canvaswick/Support/PeriodicThread.h"
 
 namespace canvaswick {
 
@@ -88,8 +88,8 @@
   uint64_t BuiltForMembers = 0;
   std::atomic<bool> IsStopping{false};
   /// Used by housekeeping only.
-  StandstillWatch Standstills{HousekeepingInterval};
-  RoundThread Threads[8];
+  PauseDetector Standstills{HousekeepingInterval};
+  PeriodicThread Threads[8];
 };
 
 Daemon::Impl::Impl(DaemonConfig Given)
@@ -103,7 +103,7 @@
   this->Platform =
       std::make_unique<PlatformClient>(this->Config.Platform, &this->Counters);
   this->Calls = std::make_unique<WorkerPool>(
-      WorkerPoolLimits{.Most = CallThreads, .Queue = CallQueue});
+      WorkerPoolLimits{.MaxThreads = CallThreads, .Queue = CallQueue});
   this->Context.reset(new ControlContext{
       this->Config, this->Counters, *this->Caller, *this->Platform,
       *this->Calls, this->Fleet, *this->Notices,
@@ -111,7 +111,7 @@
 
   // The control address comes first: its port is part of what peers learn.
   HttpServerLimits ControlLimits;
-  ControlLimits.Workers.Most = ControlWorkers;
+  ControlLimits.Workers.MaxThreads = ControlWorkers;
   this->Control = std::make_unique<HttpServer>(
       ControlLimits,
       [this](HttpExchange &Exchange) { this->handleControl(Exchange); });
@@ -194,7 +194,7 @@
 }
 
 void Daemon::Impl::stopAgents() {
-  for (RoundThread &Thread : this->Threads)
+  for (PeriodicThread &Thread : this->Threads)
     Thread.stop();
 }
 
@@ -241,7 +241,7 @@
 void Daemon::Impl::housekeep() {
   const TimePoint Now = readSteadyClock();
   this->rebuildIfMembersChanged();
-  const Duration Stood = this->Standstills.noteRound(Now);
+  const Duration Stood = this->Standstills.recordRound(Now);
   if (Stood > Duration::zero()) {
     this->Counters.add(Counter::Standstills);
     logWarning("stood-still", "ms={}", toMillis(Stood));
--- a/lib/Daemon/DirectoryCalls.cpp
+++ b/lib/Daemon/DirectoryCalls.cpp
@@ -15,7 +15,7 @@
 #include "canvaswick/Daemon/DirectoryCalls.h"
 #include "canvaswick/Json/JsonText.h"
 #include "canvaswick/Support/Base64.h"
-#include "canvaswick/Support/Packing.h"
+#include "canvaswick/Support/TextCompression.h"
 
 #include <algorithm>
 
@@ -41,14 +41,14 @@
   Row.append(Delta.Key);
   Row.append(static_cast<Json::UInt64>(Delta.At.Revision));
   Row.append(static_cast<Json::UInt64>(Delta.Base.Revision));
-  Row.append(static_cast<Json::UInt64>(Delta.Change.Check));
+  Row.append(static_cast<Json::UInt64>(Delta.Change.Checksum));
   for (const TextPiece &Piece : Delta.Change.Pieces) {
     Json::Value Place(Json::arrayValue);
     Place.append(static_cast<Json::UInt64>(Piece.From));
     Place.append(static_cast<Json::UInt64>(Piece.Count));
     Row.append(Place);
-    if (!Piece.Own.empty())
-      Row.append(Piece.Own);
+    if (!Piece.InsertedText.empty())
+      Row.append(Piece.InsertedText);
   }
   return Row;
 }
@@ -84,7 +84,7 @@
   if (Value.isString()) {
     if (Change.Pieces.empty())
       return false;
-    Change.Pieces.back().Own += Value.asString();
+    Change.Pieces.back().InsertedText += Value.asString();
     return true;
   }
   if (!Value.isArray() || Value.size() != 2 || !Value[0].isUInt64() ||
@@ -103,7 +103,7 @@
   Delta.Key = Row[0].asString();
   Delta.At = {EpochOfAll, Row[1].asUInt64()};
   Delta.Base = {EpochOfAll, Row[2].asUInt64()};
-  Delta.Change.Check = Row[3].asUInt64();
+  Delta.Change.Checksum = Row[3].asUInt64();
   for (Json::ArrayIndex I = FirstPiece; I < Row.size(); ++I)
     if (!decodePiece(Row[I], Delta.Change))
       return false;
@@ -134,7 +134,7 @@
   if (Text.size() <= PackFromBytes)
     return Encoded;
   Encoded.removeMember("items");
-  Encoded["packed"] = encodeBase64(packText(Text));
+  Encoded["packed"] = encodeBase64(compressText(Text));
   return Encoded;
 }
 
@@ -146,7 +146,8 @@
     return makeError(ErrorKind::InvalidArgument, "no items");
   BOOST_OUTCOME_TRY(std::string Packed,
                     decodeBase64(Value["packed"].asString()));
-  BOOST_OUTCOME_TRY(std::string Text, unpackText(Packed, MostUnpackedBytes));
+  BOOST_OUTCOME_TRY(std::string Text,
+                    decompressText(Packed, MostUnpackedBytes));
   Json::Value Rows;
   if (!parseJson(Text, Rows) || !Rows.isArray())
     return makeError(ErrorKind::InvalidArgument, "packed items are no list");
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -101,7 +101,7 @@
 /// Serves the balancer's checks, and metrics beside them.
 Result<void> Gateway::Impl::startReady() {
   HttpServerLimits Limits;
-  Limits.Workers.Most = ReadyWorkers;
+  Limits.Workers.MaxThreads = ReadyWorkers;
   this->Ready =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
         answerHealthCheck(Exchange, this->IsStopping, this->getOwnFigures(),
@@ -116,7 +116,7 @@
   if (this->Config.Metrics.Port == 0)
     return;
   HttpServerLimits Limits;
-  Limits.Workers.Most = MetricsWorkers;
+  Limits.Workers.MaxThreads = MetricsWorkers;
   this->Metrics =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
         answerMetrics(Exchange, this->getOwnFigures(), this->Fleet.get().get());
@@ -156,7 +156,7 @@
   });
   addDirectoryMethod(this->Dispatcher, *this->Answerer);
   HttpServerLimits Limits;
-  Limits.Workers.Most = ControlWorkers;
+  Limits.Workers.MaxThreads = ControlWorkers;
   Limits.Workers.Queue = ControlQueue;
   this->Control =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
@@ -194,7 +194,7 @@
 /// What was kept open before a standstill may have ended on the other side, and
 /// what was known of the store is as old as it was long.
 void Gateway::Impl::noteStandstill(TimePoint Now) {
-  const Duration Stood = this->Standstills.noteRound(Now);
+  const Duration Stood = this->Standstills.recordRound(Now);
   if (Stood == Duration::zero())
     return;
   this->Counters.add(Counter::Standstills);
--- a/lib/Daemon/GatewayImpl.h
+++ b/lib/Daemon/GatewayImpl.h
@@ -21,8 +21,8 @@
 #include "canvaswick/Daemon/Gateway.h"
 #include "canvaswick/Http/HttpServer.h"
 #include "canvaswick/Proxy/RequestProxy.h"
-#include "canvaswick/Support/RoundThread.h"
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
+#include "canvaswick/Support/PeriodicThread.h"
 
 #include <atomic>
 #include <memory>
@@ -92,9 +92,9 @@
   std::atomic<bool> IsStopping{false};
   std::atomic<bool> IsStopped{false};
   /// Used by the health rounds only.
-  StandstillWatch Standstills{HealthInterval};
-  RoundThread HealthRounds;
-  RoundThread HousekeepingRounds;
+  PauseDetector Standstills{HealthInterval};
+  PeriodicThread HealthRounds;
+  PeriodicThread HousekeepingRounds;
 };
 
 } // namespace canvaswick
--- a/lib/Daemon/PeerLink.cpp
+++ b/lib/Daemon/PeerLink.cpp
@@ -13,7 +13,7 @@
 
 #include "canvaswick/Daemon/PeerLink.h"
 #include "canvaswick/Support/Log.h"
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
 
 #include <algorithm>
 #include <iterator>
@@ -320,11 +320,11 @@
 
 void PeerLink::runThread() {
   std::string Buffer;
-  StandstillWatch Watch(fromMillis(ReceiveMillis));
+  PauseDetector Watch(fromMillis(ReceiveMillis));
   while (!this->IsStopping) {
     pollfd Poll{this->Descriptor, POLLIN, 0};
     const int Ready = ::poll(&Poll, 1, ReceiveMillis);
-    const Duration Stood = Watch.noteRound(readSteadyClock());
+    const Duration Stood = Watch.recordRound(readSteadyClock());
     if (Stood > Duration::zero()) {
       logWarning("peer-messages-dropped", "count={} stood-ms={}",
                  this->dropReceived(), toMillis(Stood));
--- a/lib/Daemon/QuotaAgent.cpp
+++ b/lib/Daemon/QuotaAgent.cpp
@@ -23,7 +23,7 @@
 
 /// Threads for calls, and calls that wait for one: those of a round in the
 /// largest hall that CAPACITY.md has.
-static constexpr WorkerPoolLimits CallLimits = {.Most = 4, .Queue = 512};
+static constexpr WorkerPoolLimits CallLimits = {.MaxThreads = 4, .Queue = 512};
 
 /// A message tells of this many organisations at most; the others come next.
 static constexpr size_t MostLevels = 200;
--- a/lib/Http/HttpClient.cpp
+++ b/lib/Http/HttpClient.cpp
@@ -138,12 +138,13 @@
 
 /// Closes the idle connections to an earlier life of the server. The caller
 /// holds the mutex.
-void ConnectionPool::beginLife(Address &Entry, const std::string &Life) {
-  if (Entry.Life == Life)
+void ConnectionPool::setServerInstance(Address &Entry,
+                                       const std::string &ServerInstance) {
+  if (Entry.ServerInstance == ServerInstance)
     return;
   Entry.Open -= Entry.Idle.size();
   Entry.Idle.clear();
-  Entry.Life = Life;
+  Entry.ServerInstance = ServerInstance;
 }
 
 std::unique_ptr<SocketStream>
@@ -153,7 +154,7 @@
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     Address &Entry = this->Addresses[Endpoint.format()];
-    this->beginLife(Entry, Outgoing.Life);
+    this->setServerInstance(Entry, Outgoing.ServerInstance);
     std::unique_ptr<SocketStream> Stream;
     if (!Outgoing.WantsFreshConnection)
       Stream = this->takeIdle(Entry, readSteadyClock());
@@ -176,13 +177,14 @@
   return nullptr;
 }
 
-void ConnectionPool::giveBack(const Endpoint &Endpoint, const std::string &Life,
+void ConnectionPool::giveBack(const Endpoint &Endpoint,
+                              const std::string &ServerInstance,
                               std::unique_ptr<SocketStream> Stream,
                               Duration RestLimit) {
   const TimePoint Now = readSteadyClock();
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Address &Entry = this->Addresses[Endpoint.format()];
-  if (Entry.Life == Life)
+  if (Entry.ServerInstance == ServerInstance)
     Entry.Idle.push_back({std::move(Stream), Now, Now + RestLimit});
   else
     --Entry.Open;
@@ -231,7 +233,7 @@
     Stream.setStallLimit(Outgoing.StallLimit);
     if (Sink)
       Stream.setDeadline(Outgoing.BodyDeadline);
-    if (Sink && !Sink->TakeHead(Response)) {
+    if (Sink && !Sink->OnHead(Response)) {
       State.IsRefusedBySink = true;
       return false;
     }
@@ -242,7 +244,7 @@
                                                      size_t Size, uint64_t,
                                                      uint64_t) {
     if (Sink) {
-      State.IsRefusedBySink = !Sink->TakeBody(Data, Size);
+      State.IsRefusedBySink = !Sink->OnBody(Data, Size);
       return !State.IsRefusedBySink;
     }
     if (Result.Body.size() + Size > MaxCollectedBytes)
@@ -252,8 +254,8 @@
   };
 }
 
-static ExchangeEnd judgeFailure(const SocketStream &Stream,
-                                const AnswerState &State) {
+static ExchangeEnd classifyFailure(const SocketStream &Stream,
+                                   const AnswerState &State) {
   if (State.IsRefusedBySink ||
       Stream.getFailure() == StreamFailure::WatchedPeerGone)
     return ExchangeEnd::Canceled;
@@ -319,19 +321,20 @@
   // An answer without a body by its method or status never calls the hook.
   const bool IsHeadOnly = IsDone && !State.HeadTaken;
   if (IsHeadOnly && Sink)
-    State.IsRefusedBySink = !Sink->TakeHead(Response);
+    State.IsRefusedBySink = !Sink->OnHead(Response);
   const bool IsWhole = (IsDone || (State.IsBodyless && State.HeadTaken)) &&
                        !State.IsRefusedBySink;
   Result.Status = Response.status;
   Result.HeadTaken = State.HeadTaken || IsHeadOnly;
   if (!Sink)
     Result.Headers = Response.headers;
-  Result.End = IsWhole ? ExchangeEnd::Complete : judgeFailure(*Stream, State);
+  Result.End =
+      IsWhole ? ExchangeEnd::Complete : classifyFailure(*Stream, State);
   const bool IsReusable = IsWhole && allowsReuse(Response) &&
                           !Outgoing.WantsFreshConnection &&
                           hasOwnEnd(Response) && !Stream->hasUnexpectedInput();
   if (IsReusable)
-    this->giveBack(Endpoint, Outgoing.Life, std::move(Stream),
+    this->giveBack(Endpoint, Outgoing.ServerInstance, std::move(Stream),
                    readRestLimit(Response));
   else
     this->drop(Endpoint, std::move(Stream));
--- a/lib/Http/WorkerPool.cpp
+++ b/lib/Http/WorkerPool.cpp
@@ -28,13 +28,13 @@
 bool WorkerPool::trySubmit(std::function<void()> Job) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const size_t Jobs = this->Running + this->Queue.size();
-  if (this->IsStopping || Jobs >= this->Limits.Most + this->Limits.Queue)
+  if (this->IsStopping || Jobs >= this->Limits.MaxThreads + this->Limits.Queue)
     return false;
   if (!this->Idle.empty()) {
     call(*this->Idle.back());
     this->Idle.pop_back();
-  } else if (this->Workers.size() < this->Limits.Most && !this->startThread() &&
-             this->Workers.empty()) {
+  } else if (this->Workers.size() < this->Limits.MaxThreads &&
+             !this->startThread() && this->Workers.empty()) {
     return false;
   }
   this->Queue.push_back(std::move(Job));
@@ -53,7 +53,7 @@
                this->Workers.size(), Failure.what());
     return false;
   }
-  this->MostThreads = std::max(this->MostThreads, this->Workers.size());
+  this->PeakThreads = std::max(this->PeakThreads, this->Workers.size());
   return true;
 }
 
@@ -88,7 +88,7 @@
 WorkerPoolThreads WorkerPool::countThreads() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   return {this->Workers.size() - this->Idle.size(), this->Idle.size(),
-          this->MostThreads};
+          this->PeakThreads};
 }
 
 /// Runs a job. Ours return their errors; a library below one may still throw,
@@ -112,7 +112,7 @@
         Self.Called.wait_for(Lock, this->Limits.IdleLimit) ==
         std::cv_status::timeout;
     if (!HasTimedOut || Self.IsCalled ||
-        this->Workers.size() <= this->Limits.Kept)
+        this->Workers.size() <= this->Limits.MinThreads)
       continue;
     this->Idle.erase(std::find(this->Idle.begin(), this->Idle.end(), &Self));
     return false;
--- a/lib/Proxy/RequestAttempts.cpp
+++ b/lib/Proxy/RequestAttempts.cpp
@@ -200,7 +200,7 @@
         !isHopByHopHeader(Name, Caller.headers))
       Outgoing.Headers.emplace(Name, Value);
   this->addServerHeaders(Request, Server, RequestId, Outgoing);
-  Outgoing.Life = Server.Name;
+  Outgoing.ServerInstance = Server.Name;
   Outgoing.ConnectLimit = fromMillis(this->Options.ConnectMs);
   Outgoing.WantsFreshConnection =
       this->Options.UsesFreshConnections && !isRetryable(*Request.Route);
--- a/lib/Support/RoundThread.cpp
+++ b/lib/Support/PeriodicThread.cpp
@@ -1,4 +1,4 @@
-//===- RoundThread.cpp - A thread that does one thing again and again -----===//
+//===- PeriodicThread.cpp - A thread that does one thing again and again --===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,16 +11,16 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Support/RoundThread.h"
+#include "canvaswick/Support/PeriodicThread.h"
 #include "canvaswick/Support/Log.h"
 
 #include <exception>
 
 namespace canvaswick {
 
-RoundThread::~RoundThread() { this->stop(); }
+PeriodicThread::~PeriodicThread() { this->stop(); }
 
-void RoundThread::start(Duration Interval, std::function<void()> Round) {
+void PeriodicThread::start(Duration Interval, std::function<void()> Round) {
   this->Thread = std::thread([this, Interval, Round = std::move(Round)] {
     this->run(Interval, Round);
   });
@@ -35,7 +35,8 @@
   }
 }
 
-void RoundThread::run(Duration Interval, const std::function<void()> &Round) {
+void PeriodicThread::run(Duration Interval,
+                         const std::function<void()> &Round) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     this->IsAwake = false;
@@ -48,7 +49,7 @@
   }
 }
 
-void RoundThread::wake() {
+void PeriodicThread::wake() {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->IsAwake = true;
@@ -56,7 +57,7 @@
   this->Changed.notify_all();
 }
 
-void RoundThread::stop() {
+void PeriodicThread::stop() {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
--- a/lib/Support/Packing.cpp
+++ b/lib/Support/TextCompression.cpp
@@ -1,4 +1,4 @@
-//===- Packing.cpp - Texts made short for the wire ------------------------===//
+//===- TextCompression.cpp - Texts made short for the wire ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Support/Packing.h"
+#include "canvaswick/Support/TextCompression.h"
 
 #include <zlib.h>
 
@@ -30,7 +30,7 @@
 /// what it is.
 static constexpr size_t StepBytes = 64 * 1024;
 
-std::string packText(const std::string &Text) {
+std::string compressText(const std::string &Text) {
   uLongf Length = ::compressBound(static_cast<uLong>(Text.size()));
   std::string Packed(Length, '\0');
   [[maybe_unused]] const int Status =
@@ -57,7 +57,8 @@
   return Status;
 }
 
-Result<std::string> unpackText(const std::string &Packed, size_t MostBytes) {
+Result<std::string> decompressText(const std::string &Packed,
+                                   size_t MostBytes) {
   z_stream Stream{};
   // zlib reads through this pointer only.
   Stream.next_in = reinterpret_cast<Bytef *>(const_cast<char *>(Packed.data()));
--- a/lib/Support/TextDelta.cpp
+++ b/lib/Support/TextDelta.cpp
@@ -43,20 +43,20 @@
     At += Part.size();
   }
   TextDelta Delta;
-  Delta.Check = hashText(Later);
+  Delta.Checksum = hashText(Later);
   TextPiece Piece;
   for (size_t At = 0; At < Later.size();) {
     const std::string_view Part = readPart(Later, At);
     At += Part.size();
     const size_t Next = Piece.From + Piece.Count;
     const bool GoesOn =
-        Piece.Own.empty() &&
+        Piece.InsertedText.empty() &&
         readPart(Earlier, std::min(Next, Earlier.size())) == Part;
     const auto Found = Places.find(Part);
     if (GoesOn) {
       Piece.Count += Part.size();
     } else if (Found == Places.end()) {
-      Piece.Own += Part;
+      Piece.InsertedText += Part;
     } else {
       Delta.Pieces.push_back(std::move(Piece));
       Piece = {Found->second, Part.size(), ""};
@@ -74,13 +74,13 @@
         Piece.Count > Earlier.size() - Piece.From)
       return makeError(ErrorKind::InvalidArgument,
                        "a difference past the end of the earlier text");
-    if (Piece.Count + Piece.Own.size() > MostTextBytes - Later.size())
+    if (Piece.Count + Piece.InsertedText.size() > MostTextBytes - Later.size())
       return makeError(ErrorKind::InvalidArgument,
                        "a difference to a text that is too long");
     Later.append(Earlier, Piece.From, Piece.Count);
-    Later += Piece.Own;
+    Later += Piece.InsertedText;
   }
-  if (hashText(Later) != Delta.Check)
+  if (hashText(Later) != Delta.Checksum)
     return makeError(ErrorKind::InvalidArgument,
                      "a difference to another text");
   return Later;
@@ -89,7 +89,7 @@
 size_t measureDelta(const TextDelta &Delta) {
   size_t Bytes = 0;
   for (const TextPiece &Piece : Delta.Pieces)
-    Bytes += BytesPerPiece + Piece.Own.size();
+    Bytes += BytesPerPiece + Piece.InsertedText.size();
   return Bytes;
 }
 
--- a/unittests/Daemon/DirectoryCallsTest.cpp
+++ b/unittests/Daemon/DirectoryCallsTest.cpp
@@ -14,7 +14,7 @@
 #include "canvaswick/Daemon/DirectoryCalls.h"
 #include "canvaswick/Json/JsonText.h"
 #include "canvaswick/Support/Base64.h"
-#include "canvaswick/Support/Packing.h"
+#include "canvaswick/Support/TextCompression.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -150,10 +150,10 @@
   Cut["packed"] = Good["packed"].asString().substr(4);
   CHECK_FALSE(decodeChanges(Cut));
   Json::Value NoList = Good;
-  NoList["packed"] = encodeBase64(packText("{}"));
+  NoList["packed"] = encodeBase64(compressText("{}"));
   CHECK_FALSE(decodeChanges(NoList));
   Json::Value NoRows = Good;
-  NoRows["packed"] = encodeBase64(packText("[1]"));
+  NoRows["packed"] = encodeBase64(compressText("[1]"));
   CHECK_FALSE(decodeChanges(NoRows));
 }
 
@@ -228,7 +228,7 @@
     Value.removeMember("items");
     Value["packed"] = encodeBase64(Bytes);
     (void)decodeChanges(Value);
-    Value["packed"] = encodeBase64(packText(Bytes));
+    Value["packed"] = encodeBase64(compressText(Bytes));
     (void)decodeChanges(Value);
   }));
 }
--- a/unittests/Http/HttpServerTest.cpp
+++ b/unittests/Http/HttpServerTest.cpp
@@ -76,7 +76,7 @@
 TEST_CASE("many connections at once are all taken") {
   // Nothing accepts yet: what comes must wait in the queue of the system.
   HttpServerLimits Limits;
-  Limits.Workers.Most = 4;
+  Limits.Workers.MaxThreads = 4;
   Limits.Workers.Queue = 1000;
   Gate Open(Limits);
   Open.IsOpen = true;
@@ -98,7 +98,7 @@
 
 TEST_CASE("what does not fit is refused at once and told when to come back") {
   HttpServerLimits Limits;
-  Limits.Workers.Most = 1;
+  Limits.Workers.MaxThreads = 1;
   Limits.Workers.Queue = 0;
   Gate Shut(Limits);
   ConnectionPool Pool(0);
@@ -116,7 +116,7 @@
 
 TEST_CASE("idle connections hold no thread and a bound holds for them") {
   HttpServerLimits Limits;
-  Limits.Workers.Most = 1;
+  Limits.Workers.MaxThreads = 1;
   Limits.MaxConnections = 20;
   Gate Open(Limits);
   Open.IsOpen = true;
@@ -218,9 +218,9 @@
   REQUIRE(Server.start({"127.0.0.1", 0}));
   const Endpoint Address{"127.0.0.1", Server.getPort()};
   ConnectionPool Pool(0);
-  const auto Ask = [&](const std::string &Life) {
+  const auto Ask = [&](const std::string &ServerInstance) {
     OutgoingRequest Request;
-    Request.Life = Life;
+    Request.ServerInstance = ServerInstance;
     return Pool
         .exchange(Address, Request, readSteadyClock() + fromSeconds(5), -1,
                   nullptr)
--- a/unittests/Http/QuietTimeTest.cpp
+++ b/unittests/Http/QuietTimeTest.cpp
@@ -31,7 +31,7 @@
 /// how many threads there were before the last of them.
 static std::pair<int64_t, size_t> timeAfterQuiet(size_t Kept) {
   HttpServerLimits Limits;
-  Limits.Workers.Kept = Kept;
+  Limits.Workers.MinThreads = Kept;
   Limits.Workers.IdleLimit = fromMillis(5);
   HttpServer Server(Limits, [](HttpExchange &Exchange) {
     Exchange.Response.set_content("x", "text/plain");
--- a/unittests/Http/WorkerPoolTest.cpp
+++ b/unittests/Http/WorkerPoolTest.cpp
@@ -101,18 +101,20 @@
 TEST_CASE("threads come with a burst, go when it is quiet, and come again") {
   const size_t Before = countThreadsOfProcess();
   {
-    WorkerPool Pool(
-        {.Most = 48, .Queue = 8, .Kept = 2, .IdleLimit = fromMillis(50)});
-    CHECK(Pool.countThreads().Most == 0);
+    WorkerPool Pool({.MaxThreads = 48,
+                     .Queue = 8,
+                     .MinThreads = 2,
+                     .IdleLimit = fromMillis(50)});
+    CHECK(Pool.countThreads().Peak == 0);
     Held Jobs(Pool);
     // All of a burst run at once: none waits for another to end.
     Jobs.runBurst(48);
-    CHECK(Pool.countThreads().Most == 48);
+    CHECK(Pool.countThreads().Peak == 48);
     REQUIRE(waitForThreads(Pool, 2));
     // One that ended last may still wait to be joined.
     CHECK(waitFor([&] { return countThreadsOfProcess() <= Before + 3; }));
     Jobs.runBurst(48);
-    CHECK(Pool.countThreads().Most == 48);
+    CHECK(Pool.countThreads().Peak == 48);
     REQUIRE(waitForThreads(Pool, 2));
   }
   // All are joined, and none was left behind. The kernel lists a thread for a
@@ -122,7 +124,7 @@
 }
 
 TEST_CASE("light load keeps one thread busy and lets the others go") {
-  WorkerPool Pool({.Most = 16, .IdleLimit = fromMillis(300)});
+  WorkerPool Pool({.MaxThreads = 16, .IdleLimit = fromMillis(300)});
   Held Jobs(Pool);
   Jobs.runBurst(16);
   // One job at a time, often enough that every thread would stay if they took
@@ -136,7 +138,7 @@
 }
 
 TEST_CASE("as many jobs are taken as there may be threads and places to wait") {
-  WorkerPool Pool({.Most = 3, .Queue = 2});
+  WorkerPool Pool({.MaxThreads = 3, .Queue = 2});
   Held Jobs(Pool);
   for (int I = 0; I < 5; ++I)
     CHECK(Jobs.submit());
@@ -150,7 +152,8 @@
 }
 
 TEST_CASE("a stop runs what was queued and ends idle threads at once") {
-  WorkerPool Pool({.Most = 2, .Queue = 50, .IdleLimit = fromSeconds(3600)});
+  WorkerPool Pool(
+      {.MaxThreads = 2, .Queue = 50, .IdleLimit = fromSeconds(3600)});
   Held Jobs(Pool);
   Jobs.IsOpen = true;
   for (int I = 0; I < 50; ++I)
@@ -165,7 +168,7 @@
   // Idle times near the time between jobs, so that calls and ends cross. The
   // queue holds them all: threads that get no processor must not fill it.
   constexpr int Jobs = 2000;
-  WorkerPool Pool({.Most = 4, .Queue = Jobs, .IdleLimit = fromMillis(1)});
+  WorkerPool Pool({.MaxThreads = 4, .Queue = Jobs, .IdleLimit = fromMillis(1)});
   std::atomic<int> Done{0};
   for (int I = 0; I < Jobs; ++I) {
     REQUIRE(Pool.trySubmit([&Done] { ++Done; }));
--- a/unittests/PlatformAdapter/StoreWatcherTest.cpp
+++ b/unittests/PlatformAdapter/StoreWatcherTest.cpp
@@ -14,7 +14,7 @@
 
 #include "PlatformAdapter/StoreWatcherFixture.h"
 #include "canvaswick/StandIn/RelayStandIn.h"
-#include "canvaswick/Support/Packing.h"
+#include "canvaswick/Support/TextCompression.h"
 #include "platform/DaemonRegistration.h"
 #include "platform/RecordDecoder.h"
 #include "platform/SnapshotWriter.h"
@@ -198,7 +198,7 @@
 TEST_CASE("random bytes are refused as a snapshot") {
   CHECK(rc::check([](const std::string &Bytes) {
     (void)decodeSnapshot(Bytes);
-    RC_ASSERT(!decodeSnapshot(packText(Bytes)));
+    RC_ASSERT(!decodeSnapshot(compressText(Bytes)));
   }));
 }
 
--- a/unittests/Support/StandstillWatchTest.cpp
+++ b/unittests/Support/PauseDetectorTest.cpp
@@ -1,4 +1,4 @@
-//===- StandstillWatchTest.cpp - Tests of clocks and standstills ----------===//
+//===- PauseDetectorTest.cpp - Tests of clocks and standstills ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -11,7 +11,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Support/StandstillWatch.h"
+#include "canvaswick/Support/PauseDetector.h"
 
 #include <doctest/doctest.h>
 
@@ -27,9 +27,9 @@
 
 TEST_CASE("rounds that are missing are noticed, late ones are not") {
   const TimePoint Start(fromSeconds(100));
-  StandstillWatch Watch(fromMillis(50));
-  CHECK(Watch.noteRound(Start) == Duration::zero());
-  CHECK(Watch.noteRound(Start + fromMillis(900)) == Duration::zero());
-  CHECK(Watch.noteRound(Start + fromMillis(10900)) == fromSeconds(10));
-  CHECK(Watch.noteRound(Start + fromMillis(10950)) == Duration::zero());
+  PauseDetector Watch(fromMillis(50));
+  CHECK(Watch.recordRound(Start) == Duration::zero());
+  CHECK(Watch.recordRound(Start + fromMillis(900)) == Duration::zero());
+  CHECK(Watch.recordRound(Start + fromMillis(10900)) == fromSeconds(10));
+  CHECK(Watch.recordRound(Start + fromMillis(10950)) == Duration::zero());
 }
