--- a/include/canvaswick/Http/CallFailure.h
+++ b/include/canvaswick/Http/CallFailure.h
@@ -1,4 +1,4 @@
-//===- CallFailure.h - What a failed call means for who made it -*- C++ -*-===//
+//===- CallFailure.h - Converts failed calls to errors ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Clients of outside services differ in what statuses mean there, not in what
-/// it means that no answer came.
-///
+/// The statuses of outside services have different meanings, but a missing
+/// answer means the same for all of them.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_HTTP_CALLFAILURE_H
@@ -23,17 +22,19 @@
 
 namespace canvaswick {
 
-/// What a status of a service means.
+/// Maps one HTTP status of a service to an error kind.
 struct StatusMeaning {
   int Status;
   ErrorKind Kind;
 };
 
-/// Turns what a service answered, or that it did not, into an Error. What names
-/// the call, Whom the service, as messages do. A status that is not among the
-/// Meanings leaves open whether the call was done, as does no answer.
-Error describeCallFailure(const ExchangeResult &Answer, const std::string &What,
-                          const std::string &Whom,
+/// Converts a failed call to an Error. CallName and ServiceName appear in its
+/// message. The kind is Unavailable if the request was not sent. It is
+/// OutcomeUnknown if no complete answer arrived, or if Meanings does not
+/// contain the status: the service may have executed the call.
+Error describeCallFailure(const ExchangeResult &Answer,
+                          const std::string &CallName,
+                          const std::string &ServiceName,
                           std::span<const StatusMeaning> Meanings);
 
 } // namespace canvaswick
--- a/include/canvaswick/Http/HttpClient.h
+++ b/include/canvaswick/Http/HttpClient.h
@@ -1,5 +1,4 @@
-//===- HttpClient.h - One HTTP exchange with a backend server or a peer -*- C++
-//-*-===//
+//===- HttpClient.h - Pooled HTTP client ------------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// cpp-httplib writes the request and reads the answer; this class owns the
-/// connection, the deadline and the judgement of what a failure means for the
-/// caller: not run, or not known.
-///
+/// cpp-httplib writes the request and parses the response. ConnectionPool owns
+/// the connections, enforces deadlines, and classifies a failure by whether the
+/// server may have executed the request.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_HTTP_HTTPCLIENT_H
@@ -33,59 +31,63 @@
 
 /// How an exchange ended.
 enum class ExchangeEnd {
-  /// The whole answer arrived.
+  /// The complete response arrived.
   Complete,
-  /// No connection came about: nothing was sent, so nothing was run.
+  /// No connection was established: nothing was sent, so nothing was executed.
   NotSent,
   /// The deadline passed.
   Timeout,
-  /// The connection broke, or the answer could not be understood.
+  /// The connection broke, or the response could not be parsed.
   Broken,
-  /// The caller hung up, or refused the rest of the answer.
+  /// The caller disconnected, or the sink rejected the rest of the response.
   Canceled,
-  /// No connection was allowed within the bound for this server.
+  /// The connection limit of the address was reached: nothing was sent.
   NoConnection,
 };
 
-/// Returns the name of an end as logs and reports print it.
+/// Returns the name of End as it appears in logs and reports.
 const char *getName(ExchangeEnd End);
 
-/// What to do with an answer while it arrives.
+/// Callbacks that receive a response as it arrives.
 struct AnswerSink {
-  /// Called once with the status and headers. False cancels.
+  /// Called once with the status and headers. Returning false cancels the
+  /// exchange.
   std::function<bool(const httplib::Response &)> OnHead;
-  /// Called for each piece of the body. False cancels.
+  /// Called for each chunk of the body. Returning false cancels the exchange.
   std::function<bool(const char *, size_t)> OnBody;
 };
 
-/// One request towards a server.
+/// One request to a server.
 struct OutgoingRequest {
   std::string Method = "GET";
   std::string Target = "/";
   httplib::Headers Headers;
   std::string Body;
-  /// When set, sends the body piece by piece instead of Body.
+  /// If set, the body is read from this function instead of Body.
   httplib::ContentProvider BodyProvider;
   size_t BodyLength = 0;
   bool BodyIsChunked = false;
-  /// Once the head of the answer is there: the longest time without a byte,
-  /// and the instant by which the body must be whole.
+  /// Limits that apply once the head of the response has arrived: the longest
+  /// time without a byte, and the time by which the body must be complete.
   Duration StallLimit = Duration::zero();
   TimePoint BodyDeadline = TimePoint::max();
-  /// Asked for a later deadline when the one for the head has passed.
+  /// Called when the deadline for the head has passed. Returns the new
+  /// deadline; the request times out if that is not later.
   std::function<TimePoint()> ExtendDeadline;
-  /// Names the life of the server at the address. A connection to one life is
-  /// never used for another: what is left of one that lost power looks open.
+  /// Identifies the instance of the server at the address. A connection to one
+  /// instance is never reused for another: if a server loses power, its old
+  /// connections still look open.
   std::string ServerInstance;
-  /// How long a new connection may take to come about.
+  /// The time limit for establishing a new connection.
   Duration ConnectLimit = fromSeconds(1);
-  /// Takes no connection that was used before, and leaves none behind.
+  /// Uses a new connection and closes it after the exchange.
   bool WantsFreshConnection = false;
-  /// Whether an answer without a length may end with its connection.
+  /// Whether a response without a length may be delimited by the end of its
+  /// connection.
   bool MayEndWithConnection = false;
 };
 
-/// What came of one exchange.
+/// The outcome of one exchange.
 struct ExchangeResult {
   ExchangeEnd End = ExchangeEnd::Broken;
   int Status = 0;
@@ -96,38 +98,41 @@
   size_t BytesReceived = 0;
 };
 
-/// A bounded set of connections to each of many addresses. Thread-safe.
+/// Pools a bounded number of connections to each address. Thread-safe.
 class ConnectionPool {
 public:
-  /// Opens at most PerAddress connections to an address at once; 0: no bound.
+  /// Opens at most PerAddress connections to an address at once. 0 means no
+  /// limit.
   explicit ConnectionPool(size_t PerAddress);
 
-  /// Runs one exchange. With a Sink the body streams into it, otherwise it is
-  /// collected. Deadline holds until the head of the answer. HangUp is a
-  /// descriptor whose peer's leaving cancels, or -1.
+  /// Sends one request and receives its response. The body goes to Sink, or is
+  /// collected in the result if Sink is null. Deadline applies until the head
+  /// of the response has arrived. The exchange is canceled when the peer of
+  /// the descriptor HangUp disconnects; -1 disables this.
   ExchangeResult exchange(const Endpoint &Address,
                           const OutgoingRequest &Request, TimePoint Deadline,
                           int HangUp, const AnswerSink *Sink);
 
-  /// Sets the bound for one address.
+  /// Sets the connection limit of one address.
   void setBound(const Endpoint &Address, size_t Bound);
 
-  /// Closes connections that have been idle since before Limit, or for so long
-  /// that their servers may close them.
+  /// Closes connections that became idle before Limit, and those whose servers
+  /// may close them by now.
   void closeIdle(TimePoint Limit, TimePoint Now);
 
-  /// Returns how many connections to Address are open.
+  /// Returns the number of open connections to Address.
   size_t countOpen(const Endpoint &Address) const;
 
 private:
   struct IdleConnection {
     std::unique_ptr<SocketStream> Stream;
     TimePoint Since;
-    /// When the server may close it, by its own word.
+    /// The time at which the server may close the connection, according to its
+    /// Keep-Alive header.
     TimePoint Until;
   };
   struct Address {
-    /// The life that the idle connections lead to.
+    /// The server instance to which the idle connections lead.
     std::string ServerInstance;
     std::list<IdleConnection> Idle;
     size_t Open = 0;
@@ -140,7 +145,7 @@
   std::unique_ptr<SocketStream> takeIdle(Address &Entry, TimePoint Now);
   void setServerInstance(Address &Entry, const std::string &ServerInstance);
   void giveBack(const Endpoint &Endpoint, const std::string &ServerInstance,
-                std::unique_ptr<SocketStream> Stream, Duration RestLimit);
+                std::unique_ptr<SocketStream> Stream, Duration IdleLimit);
   void drop(const Endpoint &Endpoint, std::unique_ptr<SocketStream> Stream);
 
   const size_t PerAddress;
--- a/include/canvaswick/Http/HttpServer.h
+++ b/include/canvaswick/Http/HttpServer.h
@@ -1,5 +1,4 @@
-//===- HttpServer.h - An HTTP server over cpp-httplib with a bounded pool -*-
-// C++ -*-===//
+//===- HttpServer.h - HTTP server with bounded resources --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// cpp-httplib reads requests and writes answers; this class takes connections,
-/// decides which thread serves them, refuses what does not fit, checks the
-/// shape of a request before anything sees it, and stops without cutting one.
-///
+/// cpp-httplib parses requests and writes responses. HttpServer accepts
+/// connections, assigns them to threads, refuses what exceeds its limits,
+/// validates the framing of a request before the handler runs, and stops
+/// without interrupting requests.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_HTTP_HTTPSERVER_H
@@ -30,17 +29,17 @@
 
 namespace canvaswick {
 
-/// The bounds of one server.
+/// Resource limits of one server.
 struct HttpServerLimits {
   WorkerPoolLimits Workers;
   size_t MaxConnections = 4096;
   size_t MaxHeadBytes = 32768;
   Duration IdleLimit = fromSeconds(75);
-  /// How long one head may take to arrive once its first byte has.
+  /// Time limit for a complete request head, counted from its first byte.
   Duration HeadTime = fromSeconds(10);
 };
 
-/// Counts of what the server itself decided.
+/// Counters of the requests and connections that the server handled or refused.
 struct HttpServerCounters {
   std::atomic<uint64_t> Requests{0};
   std::atomic<uint64_t> RefusedBusy{0};
@@ -50,31 +49,33 @@
   std::atomic<uint64_t> BytesWritten{0};
 };
 
-/// One request as a handler sees it.
+/// One request and its response, as a handler receives them.
 struct HttpExchange {
   const httplib::Request &Request;
   httplib::Response &Response;
-  /// Reads the body, which may still be on the wire.
+  /// Reads the request body, which may not have arrived yet. Null if no body is
+  /// expected.
   const httplib::ContentReader *Body;
-  /// The caller's connection, for streaming and for its hang-up.
+  /// The connection to the caller, used for streaming and to detect a
+  /// disconnect.
   SocketStream &Stream;
-  /// Whether the server is stopping, which may begin at any moment.
+  /// Whether the server is stopping. May become true at any time.
   const std::atomic<bool> &IsServerStopping;
-  /// Set by the handler when the connection must not be kept.
+  /// Set by the handler if the connection must be closed after the response.
   bool MustClose = false;
 
-  /// Decides whether the connection ends with this answer. Called once, as the
-  /// head of the answer is written: what it announces is what is done. Looked
-  /// at twice, the flag may change in between, and a caller's next request on a
-  /// connection that nobody called closed ends without an answer (unit tests
-  /// HttpClosing).
+  /// Decides whether the connection closes after this response. Called once, as
+  /// the head of the response is written, so that the Connection header agrees
+  /// with what happens. If the flag were read a second time, it could have
+  /// changed in between, and the next request on a connection announced as kept
+  /// would get no response (unit tests HttpClosing).
   bool decideClose() {
     this->MustClose = this->MustClose || this->IsServerStopping;
     return this->MustClose;
   }
 };
 
-/// Serves one address.
+/// An HTTP server on one address.
 class HttpServer final : public httplib::Server {
 public:
   using ExchangeHandler = std::function<void(HttpExchange &)>;
@@ -82,42 +83,46 @@
   HttpServer(HttpServerLimits Limits, ExchangeHandler Handler);
   ~HttpServer() override;
 
-  /// Binds and starts to accept. Fails with Io if the address is taken.
+  /// Binds to Address and starts accepting connections. Fails with Io if the
+  /// address is in use.
   Result<void> start(const Endpoint &Address);
 
-  /// Binds. Connections that come wait in the system's queue until
-  /// beginAccepting. Fails with Io if the address is taken.
+  /// Binds to Address. Incoming connections wait in the listen queue of the
+  /// kernel until beginAccepting is called. Fails with Io if the address is in
+  /// use.
   Result<void> bind(const Endpoint &Address);
 
-  /// Starts to accept, after bind. Does nothing the second time.
+  /// Starts accepting connections. Called after bind; further calls have no
+  /// effect.
   void beginAccepting();
 
-  /// Changes what one head may be, from the next request on, and how long a
-  /// connection may be idle.
+  /// Sets the size and time limits of request heads, from the next request on,
+  /// and the idle time limit of connections.
   void setCallerBounds(size_t MaxHeadBytes, Duration HeadTime,
                        Duration IdleLimit);
 
-  /// Answers close their connections from now on. New connections are taken
-  /// until stopGracefully.
+  /// From now on every response closes its connection. New connections are
+  /// still accepted until stopGracefully.
   void beginClosing();
 
-  /// Stops: no new connection is taken, requests in flight are answered with
-  /// Connection: close, and a request that arrives on a kept connection in the
-  /// meantime is still answered. Returns whether all ended before Deadline.
+  /// Stops the server. Requests in flight are completed and answered with
+  /// Connection: close, as are requests that arrive on kept connections in the
+  /// meantime; then it stops accepting connections. Returns whether all
+  /// requests ended before Deadline.
   bool stopGracefully(TimePoint Deadline);
 
-  /// Returns the port in use, for a start on port 0.
+  /// Returns the bound port, which the system chose if port 0 was given.
   uint16_t getPort() const;
 
   const HttpServerCounters &getCounters() const;
 
-  /// Returns how many requests are being worked on.
+  /// Returns the number of requests being served.
   size_t countInFlight() const;
 
-  /// Returns how many connections are open, idle ones included.
+  /// Returns the number of open connections, including idle ones.
   size_t countConnections() const;
 
-  /// Returns how many threads serve requests.
+  /// Returns the number of worker threads.
   WorkerPoolThreads countThreads() const { return this->Pool.countThreads(); }
 
 private:
@@ -144,8 +149,9 @@
   std::unique_ptr<IdleParker> Parker;
 };
 
-/// Returns what is wrong with a request's framing or header names, or null. A
-/// request with a fault here could be read in two ways and is never forwarded.
+/// Returns the name of the first fault in the framing or the headers of a
+/// request, or null. A request with such a fault is ambiguous and must not be
+/// forwarded.
 const char *findRequestFault(const httplib::Request &Request);
 
 } // namespace canvaswick
--- a/include/canvaswick/Http/IdleParker.h
+++ b/include/canvaswick/Http/IdleParker.h
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A kept connection that waits for its caller's next request costs a socket
-/// and no thread: it is parked here, on one epoll thread, and handed back as
-/// soon as bytes arrive. The same thread accepts new connections.
-///
+/// A kept connection that waits for the next request occupies a socket but no
+/// thread. IdleParker watches such connections with one epoll thread and hands
+/// each back when input arrives. The same thread accepts new connections.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_HTTP_IDLEPARKER_H
@@ -27,35 +26,35 @@
 
 namespace canvaswick {
 
-/// Holds idle connections and reports those that can be read.
+/// Watches idle connections and reports the readable ones. Thread-safe.
 class IdleParker {
 public:
   using StreamHandler = std::function<void(std::unique_ptr<SocketStream>)>;
   using AcceptHandler = std::function<void(int Descriptor)>;
 
-  /// Calls Ready on the parker's thread for each connection with input. A
-  /// connection without input for IdleLimit, or left over at the stop, goes to
-  /// Expired instead.
+  /// Calls Ready on the epoll thread for each connection with input. A
+  /// connection without input for IdleLimit, or still parked when the parker
+  /// stops, is passed to Expired instead.
   IdleParker(Duration IdleLimit, StreamHandler Ready, StreamHandler Expired);
   ~IdleParker();
   IdleParker(const IdleParker &) = delete;
   IdleParker &operator=(const IdleParker &) = delete;
 
-  /// Changes how long a connection may be without input.
+  /// Sets how long a connection may stay without input.
   void setIdleLimit(Duration Limit) { this->IdleMicros = Limit.count(); }
 
-  /// Takes a connection.
+  /// Takes ownership of a connection and watches it.
   void park(std::unique_ptr<SocketStream> Stream);
 
-  /// Accepts what comes to a listening socket and hands it to Accepted, on the
-  /// parker's thread. Called once. The socket stays the caller's, who may close
-  /// it after stop.
+  /// Accepts connections on a listening socket and passes each descriptor to
+  /// Accepted on the epoll thread. Called at most once. The caller keeps
+  /// ownership of Socket and may close it after stop.
   void listen(int Socket, AcceptHandler Accepted);
 
-  /// Ends the thread and hands all parked connections to Expired.
+  /// Stops the thread and passes all parked connections to Expired.
   void stop();
 
-  /// Returns how many connections are parked.
+  /// Returns the number of parked connections.
   size_t countParked() const;
 
 private:
@@ -66,7 +65,7 @@
 
   void runThread();
   void closeExpired(TimePoint Now);
-  void acceptSome();
+  void acceptPending();
   std::unique_ptr<SocketStream> take(int Descriptor);
 
   std::atomic<int64_t> IdleMicros;
--- a/include/canvaswick/Http/SocketStream.h
+++ b/include/canvaswick/Http/SocketStream.h
@@ -1,5 +1,4 @@
-//===- SocketStream.h - A buffered socket with a deadline and a hang-up watch
-//-*- C++ -*-===//
+//===- SocketStream.h - Socket with a deadline ------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// cpp-httplib reads and writes messages through this stream, both towards
-/// callers and towards backend servers. A read or write ends at the deadline,
-/// or as soon as the watched peer hangs up.
-///
+/// cpp-httplib reads and writes messages through this stream, both to callers
+/// and to backend servers. A read or write fails at the deadline, or as soon as
+/// the watched peer disconnects.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_HTTP_SOCKETSTREAM_H
@@ -26,81 +24,86 @@
 
 namespace canvaswick {
 
-/// Why a stream stopped, for the one that used it.
+/// The reason why a read or write failed.
 enum class StreamFailure { None, Closed, Timeout, WatchedPeerGone, Io };
 
-/// One connected TCP socket. Closes it when destroyed.
+/// A connected TCP socket with a read buffer. Closes the socket when destroyed.
+/// Not thread-safe.
 class SocketStream final : public httplib::Stream {
 public:
-  /// Takes over a connected descriptor.
+  /// Takes ownership of a connected descriptor.
   explicit SocketStream(int Descriptor);
   ~SocketStream() override;
   SocketStream(const SocketStream &) = delete;
   SocketStream &operator=(const SocketStream &) = delete;
 
-  /// Sets the instant after which every read and write fails.
+  /// Sets the time after which every read and write fails.
   void setDeadline(TimePoint Deadline);
 
-  /// Asks Extend for a later deadline when the deadline has passed. An empty
-  /// function: it holds.
+  /// Sets a function that is called when the deadline has passed and returns a
+  /// later deadline. Without one the deadline is final.
   void setDeadlineExtension(std::function<TimePoint()> Extend);
 
-  /// Makes a single wait for the peer fail after Limit. Zero: no such bound.
+  /// Makes a single wait for the peer fail after Limit. Zero disables this.
   void setStallLimit(Duration Limit);
 
-  /// Makes reads fail as soon as the peer of Descriptor hangs up. -1: none.
+  /// Makes reads and writes fail as soon as the peer of Descriptor disconnects.
+  /// -1 disables this.
   void watchHangUp(int Descriptor);
 
-  /// Starts to count the bytes of a message head. A read beyond Limit fails.
+  /// Starts counting the bytes of a message head. A read beyond Limit fails.
   void beginHead(size_t Limit);
 
-  /// Stops to count head bytes: the body follows.
+  /// Stops counting head bytes: the body follows.
   void endHead();
 
-  /// Throws away everything written from now on, because the answer was
-  /// already written.
+  /// Sets whether writes are discarded. Used when the response has already been
+  /// written.
   void muteWrites(bool Muted);
 
-  /// Returns whether what is written is thrown away.
+  /// Returns whether writes are discarded.
   bool areWritesMuted() const { return this->Muted; }
 
-  /// Returns whether the head was longer than its limit.
+  /// Returns whether the head exceeded its limit.
   bool isHeadTooLong() const;
 
-  /// Returns whether the head had a line that did not end in CR LF, or a
-  /// folded line.
+  /// Returns whether the head contained a line that did not end in CR LF, a
+  /// folded line or a NUL byte.
   bool isHeadMalformed() const;
 
   /// Returns whether any byte of a message was read since beginHead.
   bool hasReadHeadBytes() const;
 
-  /// Returns how many bytes went out, for telling "not run" from "not known".
+  /// Returns the number of bytes written since beginHead. If it is zero, the
+  /// peer has not executed the request.
   size_t countBytesWritten() const;
 
-  /// Returns how many bytes came in since beginHead.
+  /// Returns the number of bytes received since beginHead, including those
+  /// buffered before.
   size_t countBytesRead() const;
 
   /// Returns why the last read or write failed.
   StreamFailure getFailure() const;
 
-  /// Returns whether bytes wait to be read, in the buffer or on the socket, or
-  /// the peer has closed. An idle connection must have neither.
+  /// Returns whether the connection has input, in the buffer or on the socket,
+  /// or the peer has closed it. An idle connection must have neither.
   bool hasUnexpectedInput() const;
 
-  /// Returns whether the peer has ended its side or reset the connection.
+  /// Returns whether the peer has shut down its side or reset the connection.
   bool isPeerGone() const;
 
-  /// Returns whether the buffer holds bytes already read.
+  /// Returns whether the buffer holds unread bytes.
   bool hasBufferedBytes() const;
 
-  /// Ends our side of the connection: the peer reads the end after what was
-  /// written. Input is thrown away from now on.
+  /// Shuts down the write side: the peer reads end of file after the data
+  /// already written. Input is discarded from now on.
   void beginLinger();
 
   /// Returns whether beginLinger was called.
   bool isLingering() const;
 
-  /// Throws away what has arrived. Returns whether the peer has closed too.
+  /// Discards the input that has arrived. Returns whether the peer has closed
+  /// its side too.
   bool discardInput();
 
   bool is_readable() const override;
@@ -121,7 +124,7 @@
   static constexpr size_t BufferBytes = 16384;
 
   int Descriptor;
-  int Watched = -1;
+  int WatchedDescriptor = -1;
   TimePoint Deadline = TimePoint::max();
   std::function<TimePoint()> Extend;
   Duration StallLimit = Duration::zero();
@@ -144,8 +147,8 @@
   StreamFailure Failure = StreamFailure::None;
 };
 
-/// Connects to an IP number and port before Deadline. Returns the descriptor,
-/// or -1 when no connection came about.
+/// Connects to an IPv4 address and port before Deadline. Returns the
+/// descriptor, or -1 if no connection was established.
 int connectTcp(const std::string &Host, uint16_t Port, TimePoint Deadline);
 
 } // namespace canvaswick
--- a/include/canvaswick/Http/WorkerPool.h
+++ b/include/canvaswick/Http/WorkerPool.h
@@ -1,4 +1,4 @@
-//===- WorkerPool.h - A bounded pool of POSIX threads -----------*- C++ -*-===//
+//===- WorkerPool.h - Bounded thread pool -----------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Runs jobs on threads that are started when jobs wait and end when they have
-/// had none for a while. A job that does not fit is refused at once, so that
-/// the submitter can answer at once too.
-///
+/// Runs jobs on threads that start when jobs are queued and end after an idle
+/// time. A job that exceeds the limits is refused immediately, so that the
+/// submitter can answer its caller immediately, too.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_HTTP_WORKERPOOL_H
@@ -29,28 +28,29 @@
 
 namespace canvaswick {
 
-/// The bounds of one pool.
+/// Limits of one pool.
 struct WorkerPoolLimits {
-  /// Threads that run jobs at once.
+  /// Maximum number of threads.
   size_t MaxThreads = 16;
-  /// Jobs that wait for one of them.
+  /// Maximum number of jobs that wait for a thread.
   size_t Queue = 64;
-  /// Threads that stay once started, however long they have nothing to do.
+  /// Number of started threads that are kept even if idle.
   size_t MinThreads = 0;
-  /// A thread beyond MinThreads that has had nothing to do for this long ends.
+  /// Idle time after which a thread beyond MinThreads ends.
   Duration IdleLimit = fromSeconds(5);
 };
 
-/// How many threads a pool has.
+/// The number of threads of a pool by state.
 struct WorkerPoolThreads {
   size_t Running = 0;
   size_t Idle = 0;
-  /// The most there have been at once.
+  /// The maximum number of threads that existed at once.
   size_t Peak = 0;
 };
 
-/// Threads over one queue. The thread that became idle last takes the next job,
-/// so that under light load the others stay idle and end.
+/// A pool of threads with one queue. The thread that became idle last takes the
+/// next job, so that under light load the other threads stay idle and end.
+/// Thread-safe.
 class WorkerPool {
 public:
   explicit WorkerPool(const WorkerPoolLimits &Limits);
@@ -58,42 +58,44 @@
   WorkerPool(const WorkerPool &) = delete;
   WorkerPool &operator=(const WorkerPool &) = delete;
 
-  /// Queues a job, and starts a thread if none is idle. Returns false, and does
-  /// not run it, if it does not fit, the pool is stopping, or there is no
-  /// thread at all and none can be started.
+  /// Queues a job, and starts a thread if none is idle. Returns false and drops
+  /// the job if the limits are reached, the pool is stopping, or it has no
+  /// thread and none can be started.
   bool trySubmit(std::function<void()> Job);
 
-  /// Runs the jobs already queued, then ends the threads. May be called twice.
+  /// Runs the jobs already queued, then ends the threads. May be called
+  /// repeatedly.
   void stop();
 
-  /// Returns how many jobs run or wait.
+  /// Returns the number of running and queued jobs.
   size_t countJobs() const;
 
-  /// Returns how many threads there are.
+  /// Returns the current and peak number of threads.
   WorkerPoolThreads countThreads() const;
 
 private:
   struct Worker {
     std::thread Thread;
-    std::condition_variable Called;
-    bool IsCalled = false;
+    std::condition_variable Wakeup;
+    bool IsWoken = false;
   };
   using WorkerList = std::list<Worker>;
 
   bool startThread();
-  bool awaitCall(Worker &Self, std::unique_lock<std::mutex> &Lock);
+  bool waitForWakeup(Worker &Self, std::unique_lock<std::mutex> &Lock);
   void runThread(WorkerList::iterator Self);
   void runJob(const std::function<void()> &Job);
-  static void call(Worker &Called);
+  static void wake(Worker &Sleeper);
   static void joinAll(WorkerList &Threads);
 
   const WorkerPoolLimits Limits;
   mutable std::mutex Mutex;
   std::deque<std::function<void()>> Queue;
   WorkerList Workers;
-  /// Those with nothing to do; the last one is called first.
+  /// Idle threads; the last one is woken first.
   std::vector<Worker *> Idle;
-  /// Threads that have run out: the next one that ends joins them, or the stop.
+  /// Threads that have finished and are joined by the next one that ends or by
+  /// stop.
   WorkerList Ended;
   std::condition_variable HasEnded;
   size_t Running = 0;
--- a/lib/Http/CallFailure.cpp
+++ b/lib/Http/CallFailure.cpp
@@ -1,4 +1,4 @@
-//===- CallFailure.cpp - What a failed call means for who made it ---------===//
+//===- CallFailure.cpp - Converts failed calls to errors ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One table a service.
-///
+/// Each client passes a table of the statuses of its service.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/CallFailure.h"
@@ -23,21 +22,23 @@
   return End == ExchangeEnd::NotSent || End == ExchangeEnd::NoConnection;
 }
 
-Error describeCallFailure(const ExchangeResult &Answer, const std::string &What,
-                          const std::string &Whom,
+Error describeCallFailure(const ExchangeResult &Answer,
+                          const std::string &CallName,
+                          const std::string &ServiceName,
                           std::span<const StatusMeaning> Meanings) {
   if (wasNeverSent(Answer.End))
     return {ErrorKind::Unavailable,
-            fmt::format("{}: {} is not reached", What, Whom)};
+            fmt::format("{}: cannot reach {}", CallName, ServiceName)};
   if (Answer.End != ExchangeEnd::Complete)
     return {ErrorKind::OutcomeUnknown,
-            fmt::format("{}: no answer of {}", What, Whom)};
+            fmt::format("{}: no answer from {}", CallName, ServiceName)};
   const auto Found = std::find_if(
       Meanings.begin(), Meanings.end(),
       [&](const StatusMeaning &Each) { return Each.Status == Answer.Status; });
   const ErrorKind Kind =
       Found == Meanings.end() ? ErrorKind::OutcomeUnknown : Found->Kind;
-  return {Kind, fmt::format("{}: {} answered {}", What, Whom, Answer.Status)};
+  return {Kind, fmt::format("{}: {} answered {}", CallName, ServiceName,
+                            Answer.Status)};
 }
 
 } // namespace canvaswick
--- a/lib/Http/HttpClient.cpp
+++ b/lib/Http/HttpClient.cpp
@@ -1,4 +1,4 @@
-//===- HttpClient.cpp - One HTTP exchange with a backend server or a peer -===//
+//===- HttpClient.cpp - Pooled HTTP client --------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A connection goes back to the pool only after a complete, well-framed answer
-/// that left nothing unread; every other one is closed, so that a late answer
-/// can never meet another request.
-///
+/// A connection returns to the pool only after a complete, well-framed response
+/// that left no unread bytes. Every other connection is closed, so that a late
+/// response is never taken for the response to another request.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/HttpClient.h"
@@ -36,21 +35,23 @@
   return getEnumName(ExchangeEndNames, End);
 }
 
-static constexpr size_t MaxAnswerHeadBytes = 65536;
+static constexpr size_t MaxResponseHeadBytes = 65536;
 
-/// Part of the time that a server keeps a connection at rest in which it is
-/// used again.
-static constexpr double UsedRestPart = 0.8;
+/// Fraction of the idle timeout announced by a server during which a connection
+/// is reused.
+static constexpr double IdleTimeoutFraction = 0.8;
 
-/// No connection is kept at rest for longer, whatever a server says.
-static constexpr Duration MostRest = fromSeconds(3600);
+/// Upper limit for the idle time of a connection, whatever the server
+/// announces.
+static constexpr Duration MaxIdleTime = fromSeconds(3600);
 
-/// Longest answer that is collected when nobody streams it.
+/// Maximum size of a response body that is collected without a sink.
 static constexpr size_t MaxCollectedBytes = 4 << 20;
 
 namespace {
 
-/// Opens cpp-httplib's reading and writing of one message over our stream.
+/// Exposes the protected cpp-httplib function that exchanges one message over a
+/// given stream.
 class MessageExchanger final : public httplib::ClientImpl {
 public:
   explicit MessageExchanger(const Endpoint &Address)
@@ -66,8 +67,8 @@
   }
 };
 
-/// What the hooks of one exchange found out.
-struct AnswerState {
+/// State that the callbacks of one exchange record.
+struct ResponseState {
   bool HeadTaken = false;
   bool IsBodyless = false;
   bool IsRefusedBySink = false;
@@ -78,7 +79,8 @@
 
 static bool isBodyless(int Status) { return Status == 204 || Status == 304; }
 
-/// Returns whether the end of the answer can be told from its headers.
+/// Returns whether the headers delimit the response unambiguously, or it may
+/// end with the connection.
 static bool isFramed(const httplib::Response &Response,
                      bool MayEndWithConnection) {
   const size_t Lengths = Response.get_header_value_count("Content-Length");
@@ -121,8 +123,8 @@
   }
 }
 
-/// Returns an idle connection that its server still keeps and nothing odd has
-/// arrived on, or null. The caller holds the mutex.
+/// Returns an idle connection that the server still keeps open and that has no
+/// unexpected input, or null. The caller holds the mutex.
 std::unique_ptr<SocketStream> ConnectionPool::takeIdle(Address &Entry,
                                                        TimePoint Now) {
   while (!Entry.Idle.empty()) {
@@ -136,7 +138,7 @@
   return nullptr;
 }
 
-/// Closes the idle connections to an earlier life of the server. The caller
+/// Closes the idle connections to any other instance of the server. The caller
 /// holds the mutex.
 void ConnectionPool::setServerInstance(Address &Entry,
                                        const std::string &ServerInstance) {
@@ -180,12 +182,12 @@
 void ConnectionPool::giveBack(const Endpoint &Endpoint,
                               const std::string &ServerInstance,
                               std::unique_ptr<SocketStream> Stream,
-                              Duration RestLimit) {
+                              Duration IdleLimit) {
   const TimePoint Now = readSteadyClock();
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Address &Entry = this->Addresses[Endpoint.format()];
   if (Entry.ServerInstance == ServerInstance)
-    Entry.Idle.push_back({std::move(Stream), Now, Now + RestLimit});
+    Entry.Idle.push_back({std::move(Stream), Now, Now + IdleLimit});
   else
     --Entry.Open;
 }
@@ -216,11 +218,12 @@
   return Request;
 }
 
-/// Hooks the head and body of the answer of Request up to Sink, or to Result.
-static void hookAnswer(httplib::Request &Request,
-                       const OutgoingRequest &Outgoing, const AnswerSink *Sink,
-                       SocketStream &Stream, AnswerState &State,
-                       ExchangeResult &Result) {
+/// Makes Request deliver the head and body of its response to Sink, or to
+/// Result if Sink is null.
+static void setResponseCallbacks(httplib::Request &Request,
+                                 const OutgoingRequest &Outgoing,
+                                 const AnswerSink *Sink, SocketStream &Stream,
+                                 ResponseState &State, ExchangeResult &Result) {
   Request.response_handler = [&State, &Stream, &Outgoing,
                               Sink](const httplib::Response &Response) {
     Stream.endHead();
@@ -237,7 +240,7 @@
       State.IsRefusedBySink = true;
       return false;
     }
-    // An answer such as 304 has no body whatever its length header says.
+    // A response such as 304 has no body, whatever its Content-Length.
     return !State.IsBodyless;
   };
   Request.content_receiver = [&State, Sink, &Result](const char *Data,
@@ -255,7 +258,7 @@
 }
 
 static ExchangeEnd classifyFailure(const SocketStream &Stream,
-                                   const AnswerState &State) {
+                                   const ResponseState &State) {
   if (State.IsRefusedBySink ||
       Stream.getFailure() == StreamFailure::WatchedPeerGone)
     return ExchangeEnd::Canceled;
@@ -264,8 +267,9 @@
   return ExchangeEnd::Broken;
 }
 
-/// Returns whether an answer ends before its connection does.
-static bool hasOwnEnd(const httplib::Response &Response) {
+/// Returns whether the response is delimited by its status or headers rather
+/// than by the end of the connection.
+static bool isSelfDelimited(const httplib::Response &Response) {
   return isBodyless(Response.status) || Response.has_header("Content-Length") ||
          Response.has_header("Transfer-Encoding");
 }
@@ -276,21 +280,22 @@
          Response.version == "HTTP/1.1";
 }
 
-/// Returns for how long a connection may be kept at rest after an answer: less
-/// than its server keeps it, so that no request meets the close on its way.
-static Duration readRestLimit(const httplib::Response &Response) {
+/// Returns how long a connection may stay idle after Response. This is shorter
+/// than the timeout that the server announces, so that no request is sent while
+/// the server closes the connection.
+static Duration parseIdleLimit(const httplib::Response &Response) {
   static const std::string Parameter = "timeout=";
   const std::string Text = Response.get_header_value("Keep-Alive");
   const size_t At = Text.find(Parameter);
   if (At == std::string::npos)
-    return MostRest;
+    return MaxIdleTime;
   int Seconds = 0;
   const char *First = Text.data() + At + Parameter.size();
   const auto [Last, Failure] =
       std::from_chars(First, Text.data() + Text.size(), Seconds);
   if (Failure != std::errc() || Seconds < 0)
-    return MostRest;
-  return std::min(MostRest, fromSeconds(Seconds * UsedRestPart));
+    return MaxIdleTime;
+  return std::min(MaxIdleTime, fromSeconds(Seconds * IdleTimeoutFraction));
 }
 
 ExchangeResult ConnectionPool::exchange(const Endpoint &Endpoint,
@@ -302,14 +307,14 @@
       this->acquire(Endpoint, Outgoing, Deadline, Result.End);
   if (!Stream)
     return Result;
-  Stream->beginHead(MaxAnswerHeadBytes);
+  Stream->beginHead(MaxResponseHeadBytes);
   Stream->setDeadline(Deadline);
   Stream->setDeadlineExtension(Outgoing.ExtendDeadline);
   Stream->watchHangUp(HangUp);
   httplib::Request Request = buildRequest(Endpoint, Outgoing);
   httplib::Response Response;
-  AnswerState State;
-  hookAnswer(Request, Outgoing, Sink, *Stream, State, Result);
+  ResponseState State;
+  setResponseCallbacks(Request, Outgoing, Sink, *Stream, State, Result);
   httplib::Error Error = httplib::Error::Success;
   MessageExchanger Exchanger(Endpoint);
   const bool IsDone = Exchanger.run(*Stream, Request, Response, Error);
@@ -318,7 +323,8 @@
   Stream->setDeadlineExtension(nullptr);
   Result.BytesSent = Stream->countBytesWritten();
   Result.BytesReceived = Stream->countBytesRead();
-  // An answer without a body by its method or status never calls the hook.
+  // cpp-httplib does not call the response handler if the method or status
+  // implies that there is no body.
   const bool IsHeadOnly = IsDone && !State.HeadTaken;
   if (IsHeadOnly && Sink)
     State.IsRefusedBySink = !Sink->OnHead(Response);
@@ -330,12 +336,12 @@
     Result.Headers = Response.headers;
   Result.End =
       IsWhole ? ExchangeEnd::Complete : classifyFailure(*Stream, State);
-  const bool IsReusable = IsWhole && allowsReuse(Response) &&
-                          !Outgoing.WantsFreshConnection &&
-                          hasOwnEnd(Response) && !Stream->hasUnexpectedInput();
+  const bool IsReusable =
+      IsWhole && allowsReuse(Response) && !Outgoing.WantsFreshConnection &&
+      isSelfDelimited(Response) && !Stream->hasUnexpectedInput();
   if (IsReusable)
     this->giveBack(Endpoint, Outgoing.ServerInstance, std::move(Stream),
-                   readRestLimit(Response));
+                   parseIdleLimit(Response));
   else
     this->drop(Endpoint, std::move(Stream));
   return Result;
--- a/lib/Http/HttpServer.cpp
+++ b/lib/Http/HttpServer.cpp
@@ -1,5 +1,4 @@
-//===- HttpServer.cpp - An HTTP server over cpp-httplib with a bounded pool
-//-===//
+//===- HttpServer.cpp - HTTP server with bounded resources ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,11 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The parker's thread accepts connections and waits for their input; it hands
-/// readable ones to the pool; a pool thread serves requests until the
-/// connection is idle again and parks it. cpp-httplib's own accepting, which
-/// takes a thread for each server, is not used.
-///
+/// The thread of IdleParker accepts connections and waits for input on idle
+/// ones. It passes readable connections to the worker pool. A worker serves
+/// requests until the connection is idle again, then parks it. The accept loop
+/// of cpp-httplib is not used because it takes one thread for each server.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/HttpServer.h"
@@ -33,8 +31,8 @@
 
 namespace {
 
-/// What the hooks of one request share. cpp-httplib passes no context to its
-/// handlers, so the serving thread keeps it.
+/// State shared by the callbacks of one request. It is thread-local because
+/// cpp-httplib passes no context to its handlers.
 struct ServingContext {
   SocketStream *Stream = nullptr;
   httplib::Request *Request = nullptr;
@@ -46,12 +44,12 @@
 
 static thread_local ServingContext *CurrentContext = nullptr;
 
-static constexpr const char *EveryPath = "/";
+static constexpr const char *AnyPath = "/";
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections in the listen queue.
 static constexpr int ListenBacklog = 1024;
 
-/// A request that was refused because everything is busy may come back soon.
+/// Retry-After of requests that were refused because the server is busy.
 static constexpr int BusyRetrySeconds = 1;
 
 static void setServerSocketOptions(socket_t Socket) {
@@ -74,13 +72,13 @@
                                const httplib::ContentReader &Body) {
     this->handle(Request, Response, &Body);
   };
-  this->Get(EveryPath, Plain);
-  this->Options(EveryPath, Plain);
-  this->Delete(EveryPath, Plain);
-  this->Post(EveryPath, WithBody);
-  this->Put(EveryPath, WithBody);
-  this->Patch(EveryPath, WithBody);
-  this->Delete(EveryPath, WithBody);
+  this->Get(AnyPath, Plain);
+  this->Options(AnyPath, Plain);
+  this->Delete(AnyPath, Plain);
+  this->Post(AnyPath, WithBody);
+  this->Put(AnyPath, WithBody);
+  this->Patch(AnyPath, WithBody);
+  this->Delete(AnyPath, WithBody);
   const auto Ready = [this](std::unique_ptr<SocketStream> Stream) {
     this->serveReady(std::move(Stream));
   };
@@ -109,8 +107,8 @@
       return makeError(ErrorKind::Io, "cannot bind to " + Address.format());
     this->Port = Address.Port;
   }
-  // cpp-httplib listens with room for five connections; more that come at once
-  // would be dropped and retried by their callers a second later.
+  // cpp-httplib listens with a backlog of five. Connections beyond that in a
+  // burst would be dropped, and callers would retry them a second later.
   ::listen(this->svr_sock_, ListenBacklog);
   return outcome::success();
 }
@@ -133,9 +131,9 @@
 
 size_t HttpServer::countConnections() const { return this->Connections; }
 
-void HttpServer::setCallerBounds(size_t MostHeadBytes, Duration HeadTime,
+void HttpServer::setCallerBounds(size_t HeadLimit, Duration HeadTime,
                                  Duration IdleLimit) {
-  this->MaxHeadBytes = MostHeadBytes;
+  this->MaxHeadBytes = HeadLimit;
   this->HeadMicros = HeadTime.count();
   this->Parker->setIdleLimit(IdleLimit);
 }
@@ -158,7 +156,7 @@
   return AllEnded;
 }
 
-/// Takes a connection that has just come, on the parker's thread.
+/// Handles a newly accepted connection. Runs on the thread of IdleParker.
 void HttpServer::takeConnection(int Descriptor) {
   auto Stream = std::make_unique<SocketStream>(Descriptor);
   if (++this->Connections > this->Limits.MaxConnections) {
@@ -175,7 +173,7 @@
   --this->Connections;
 }
 
-/// Writes a complete refusal without reading the request.
+/// Writes a complete 503 response without reading the request.
 void HttpServer::refuse(SocketStream &Stream, const char *Reason) {
   const std::string Answer = fmt::format("HTTP/1.1 503 Service Unavailable\r\n"
                                          "Content-Length: 0\r\n"
@@ -197,7 +195,7 @@
       this->Parker->park(std::move(Stream));
     return;
   }
-  // The job must be copyable; the pool runs it once.
+  // std::function requires a copyable job; the pool runs it once.
   SocketStream *Raw = Stream.release();
   ++this->InFlight;
   const auto Job = [this, Raw] {
@@ -232,7 +230,7 @@
     this->Parker->park(std::move(Stream));
 }
 
-/// Serves one request. Returns whether the connection may be kept.
+/// Serves one request. Returns whether the connection may be kept open.
 bool HttpServer::serveOne(SocketStream &Stream) {
   ServingContext Context;
   Context.Stream = &Stream;
@@ -244,12 +242,12 @@
   const auto Setup = [&Context](httplib::Request &Request) {
     Context.Request = &Request;
     Context.Stream->endHead();
-    // Every path goes to the one handler; the target keeps what was asked.
-    Request.path = EveryPath;
+    // All paths are routed to one handler; Request.target keeps the original.
+    Request.path = AnyPath;
     Request.ranges.clear();
   };
   bool Closed = false;
-  // Whether the answer announces a close is decided by handle, not before it.
+  // The handler decides whether the response announces a close.
   const bool IsDone = this->process_request(Stream, false, Closed, Setup);
   CurrentContext = nullptr;
   Stream.watchHangUp(-1);
@@ -290,11 +288,13 @@
   } else {
     this->Handler(Exchange);
   }
-  // A handler that wrote the answer itself has decided; what it left unsaid
-  // may only be closed where the answer is cut anyway.
+  // A handler that wrote the response itself has already decided. A close that
+  // its response did not announce is allowed only if that response is cut short
+  // anyway.
   if (!Context.Stream->areWritesMuted())
     Exchange.decideClose();
-  // The connection header of the request decides what cpp-httplib writes.
+  // cpp-httplib derives the Connection header of the response from that of the
+  // request.
   if (Exchange.MustClose) {
     Context.MustClose = true;
     Context.Request->headers.erase("Connection");
--- a/lib/Http/IdleParker.cpp
+++ b/lib/Http/IdleParker.cpp
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One epoll thread; each descriptor is armed once and disarmed when taken, but
-/// for the listening socket, which stays armed.
-///
+/// Connections are registered with EPOLLONESHOT and removed from epoll when
+/// taken. The listening socket stays registered.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/IdleParker.h"
@@ -29,14 +28,15 @@
 static constexpr int WaitMillis = 500;
 static constexpr int MaxEvents = 64;
 
-/// Connections accepted before the others are looked at again.
-static constexpr int AcceptedAtOnce = 64;
+/// Maximum number of connections accepted before other events are handled.
+static constexpr int MaxAcceptsPerEvent = 64;
 
-/// Wait after the system had no descriptor for a new connection: it waits in
-/// the system's queue meanwhile, as cpp-httplib has it.
+/// Pause after accept failed for lack of descriptors or memory. New connections
+/// stay in the listen queue of the kernel meanwhile, as with cpp-httplib.
 static constexpr std::chrono::milliseconds AcceptPause(1);
 
-/// How long a connection that we have ended may take to end on its side.
+/// Time limit for the peer to close a connection after our side has been shut
+/// down.
 static constexpr Duration LingerLimit = fromSeconds(2);
 
 IdleParker::IdleParker(Duration IdleLimit, StreamHandler Ready,
@@ -69,10 +69,10 @@
   ::epoll_ctl(this->Epoll, EPOLL_CTL_ADD, Descriptor, &Event);
 }
 
-void IdleParker::listen(int Socket, AcceptHandler Given) {
+void IdleParker::listen(int Socket, AcceptHandler Handler) {
   const int Flags = ::fcntl(Socket, F_GETFL);
   ::fcntl(Socket, F_SETFL, Flags | O_NONBLOCK);
-  this->Accepted = std::move(Given);
+  this->Accepted = std::move(Handler);
   this->Listening = Socket;
   epoll_event Event{};
   Event.events = EPOLLIN;
@@ -80,9 +80,9 @@
   ::epoll_ctl(this->Epoll, EPOLL_CTL_ADD, Socket, &Event);
 }
 
-/// Accepts connections that wait, some at a time.
-void IdleParker::acceptSome() {
-  for (int I = 0; I < AcceptedAtOnce; ++I) {
+/// Accepts a bounded number of pending connections.
+void IdleParker::acceptPending() {
+  for (int I = 0; I < MaxAcceptsPerEvent; ++I) {
     const int Descriptor =
         ::accept4(this->Listening, nullptr, nullptr, SOCK_CLOEXEC);
     if (Descriptor >= 0) {
@@ -133,7 +133,7 @@
     const int Count = ::epoll_wait(this->Epoll, Events, MaxEvents, WaitMillis);
     for (int I = 0; I < Count; ++I)
       if (Events[I].data.fd == this->Listening)
-        this->acceptSome();
+        this->acceptPending();
       else if (std::unique_ptr<SocketStream> Stream =
                    this->take(Events[I].data.fd))
         this->Ready(std::move(Stream));
@@ -152,14 +152,14 @@
   [[maybe_unused]] const ssize_t Ignored =
       ::write(this->Wake, &One, sizeof(One));
   this->Thread.join();
-  std::vector<std::unique_ptr<SocketStream>> Left;
+  std::vector<std::unique_ptr<SocketStream>> Remaining;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     for (auto &[Descriptor, Connection] : this->Connections)
-      Left.push_back(std::move(Connection.Stream));
+      Remaining.push_back(std::move(Connection.Stream));
     this->Connections.clear();
   }
-  for (std::unique_ptr<SocketStream> &Stream : Left)
+  for (std::unique_ptr<SocketStream> &Stream : Remaining)
     this->Expired(std::move(Stream));
 }
 
--- a/lib/Http/SocketStream.cpp
+++ b/lib/Http/SocketStream.cpp
@@ -1,5 +1,4 @@
-//===- SocketStream.cpp - A buffered socket with a deadline and a hang-up watch
-//-===//
+//===- SocketStream.cpp - Socket with a deadline --------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Non-blocking sockets and poll; the only place that reads and writes bytes.
-///
+/// Uses non-blocking sockets and poll. All reads and writes of HTTP connections
+/// go through this file.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/SocketStream.h"
@@ -45,7 +44,7 @@
   this->Extend = std::move(Extend);
 }
 
-/// Returns whether the deadline has been moved.
+/// Returns whether the deadline was extended.
 bool SocketStream::extendDeadline() {
   if (!this->Extend)
     return false;
@@ -58,7 +57,9 @@
 
 void SocketStream::setStallLimit(Duration Limit) { this->StallLimit = Limit; }
 
-void SocketStream::watchHangUp(int Descriptor) { this->Watched = Descriptor; }
+void SocketStream::watchHangUp(int Descriptor) {
+  this->WatchedDescriptor = Descriptor;
+}
 
 void SocketStream::beginHead(size_t Limit) {
   this->InHead = true;
@@ -113,12 +114,14 @@
   return ::poll(&Poll, 1, 0) != 0;
 }
 
-/// The system's own waits stand still while the machine is suspended. After so
-/// long it is looked at the clock again, which does not: a request whose time
-/// was up meanwhile ends within this time.
-static constexpr int64_t LongestPollMillis = 500;
+/// Maximum timeout of one poll. The timeout of poll does not count the time
+/// during which the machine is suspended, but the deadline does. The clock is
+/// therefore read again after this time, and a request whose deadline passed
+/// during a suspension ends within it.
+static constexpr int64_t MaxPollMillis = 500;
 
-/// Waits until the socket is ready. Notes the failure if it never is.
+/// Waits until the socket is ready for Events. Returns false and records the
+/// failure otherwise.
 bool SocketStream::waitFor(short Events) {
   TimePoint Until = this->Deadline;
   if (this->StallLimit > Duration::zero())
@@ -135,17 +138,17 @@
       return false;
     }
     pollfd Polls[2] = {{this->Descriptor, Events, 0},
-                       {this->Watched, POLLRDHUP, 0}};
-    const int64_t Millis = std::min(toMillis(Left) + 1, LongestPollMillis);
-    const int Count =
-        ::poll(Polls, this->Watched >= 0 ? 2 : 1, static_cast<int>(Millis));
+                       {this->WatchedDescriptor, POLLRDHUP, 0}};
+    const int64_t Millis = std::min(toMillis(Left) + 1, MaxPollMillis);
+    const int Count = ::poll(Polls, this->WatchedDescriptor >= 0 ? 2 : 1,
+                             static_cast<int>(Millis));
     if (Count < 0 && errno != EINTR) {
       this->Failure = StreamFailure::Io;
       return false;
     }
     if (Count <= 0)
       continue;
-    if (this->Watched >= 0 && Polls[1].revents != 0) {
+    if (this->WatchedDescriptor >= 0 && Polls[1].revents != 0) {
       this->Failure = StreamFailure::WatchedPeerGone;
       return false;
     }
@@ -181,9 +184,9 @@
   }
 }
 
-/// cpp-httplib percent-decodes the values of headers, which would pass on other
-/// values than were sent. Escaping the percent signs in what it reads undoes
-/// that. The first line it leaves alone.
+/// Escapes percent signs in the header lines of the buffer, but not in the
+/// first line. cpp-httplib percent-decodes header values, so they would be
+/// forwarded changed; the escaping cancels that.
 void SocketStream::escapeHead() {
   std::string Escaped;
   Escaped.reserve(this->Buffer.size());
@@ -194,7 +197,7 @@
     if (Byte == '%' && this->HeadLines > 0)
       Escaped += "25";
     if (Byte == '\n') {
-      // An empty line ends the head; the body is not touched.
+      // An empty line ends the head; the body is not escaped.
       this->IsHeadEscaped = this->HeadLines > 0 && this->IsHeadLineEmpty;
       ++this->HeadLines;
       this->IsHeadLineEmpty = true;
@@ -205,12 +208,12 @@
   this->Buffer = std::move(Escaped);
 }
 
-/// Counts one byte of a head and notes a bare LF or a folded line. Returns
-/// false when the head is too long.
+/// Counts one byte of a head and records a bare LF, a folded line or a NUL
+/// byte. Returns false if the head is too long.
 bool SocketStream::checkHeadByte(char Byte) {
   if (++this->HeadBytes > this->HeadLimit) {
     this->HeadTooLong = true;
-    // The answer to this is not cpp-httplib's to choose.
+    // The server writes the response to this itself, not cpp-httplib.
     this->Muted = true;
     return false;
   }
@@ -278,9 +281,10 @@
 bool SocketStream::discardInput() {
   this->Buffer.clear();
   this->BufferAt = 0;
-  char Thrown[BufferBytes];
+  char Discarded[BufferBytes];
   for (int I = 0; I < 16; ++I) {
-    const ssize_t Count = ::recv(this->Descriptor, Thrown, sizeof(Thrown), 0);
+    const ssize_t Count =
+        ::recv(this->Descriptor, Discarded, sizeof(Discarded), 0);
     if (Count > 0)
       continue;
     return Count == 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
@@ -318,7 +322,7 @@
 
 socket_t SocketStream::socket() const { return this->Descriptor; }
 
-/// Waits for a connection in progress. Returns whether it came about.
+/// Waits for a connection in progress. Returns whether it was established.
 static bool finishConnect(int Descriptor, TimePoint Deadline) {
   while (true) {
     const Duration Left = Deadline - readSteadyClock();
@@ -337,14 +341,15 @@
   }
 }
 
-/// A peer that vanished without a word is noticed after about three seconds,
-/// both when it owes an acknowledgement and when the connection is silent.
+/// TCP options that detect a peer that disappeared without closing the
+/// connection. It is detected after about three seconds, both while data is
+/// unacknowledged and while the connection is idle.
 static constexpr int KeepAliveIdleSeconds = 1;
 static constexpr int KeepAliveIntervalSeconds = 1;
 static constexpr int KeepAliveProbes = 2;
 static constexpr unsigned UnacknowledgedMillis = 3000;
 
-static void setLiveness(int Descriptor) {
+static void setDeadPeerDetection(int Descriptor) {
   const auto Set = [Descriptor](int Level, int Option, auto Value) {
     ::setsockopt(Descriptor, Level, Option, &Value, sizeof(Value));
   };
@@ -365,7 +370,7 @@
       ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Descriptor < 0)
     return -1;
-  setLiveness(Descriptor);
+  setDeadPeerDetection(Descriptor);
   const int Code =
       ::connect(Descriptor, reinterpret_cast<const sockaddr *>(&Address),
                 sizeof(Address));
--- a/lib/Http/WorkerPool.cpp
+++ b/lib/Http/WorkerPool.cpp
@@ -1,4 +1,4 @@
-//===- WorkerPool.cpp - A bounded pool of POSIX threads -------------------===//
+//===- WorkerPool.cpp - Bounded thread pool -------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One mutex guards everything; no other lock is taken while it is held, and no
-/// thread is joined.
-///
+/// One mutex guards all state. No other lock is taken and no thread is joined
+/// while it is held.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/WorkerPool.h"
@@ -31,7 +30,7 @@
   if (this->IsStopping || Jobs >= this->Limits.MaxThreads + this->Limits.Queue)
     return false;
   if (!this->Idle.empty()) {
-    call(*this->Idle.back());
+    wake(*this->Idle.back());
     this->Idle.pop_back();
   } else if (this->Workers.size() < this->Limits.MaxThreads &&
              !this->startThread() && this->Workers.empty()) {
@@ -41,7 +40,7 @@
   return true;
 }
 
-/// Starts one thread. Returns whether the system gave one. The caller holds the
+/// Starts one thread. Returns whether that succeeded. The caller holds the
 /// mutex.
 bool WorkerPool::startThread() {
   const WorkerList::iterator Added = this->Workers.emplace(this->Workers.end());
@@ -61,7 +60,7 @@
   std::unique_lock<std::mutex> Lock(this->Mutex);
   this->IsStopping = true;
   for (Worker *Each : this->Idle)
-    call(*Each);
+    wake(*Each);
   this->Idle.clear();
   this->HasEnded.wait(Lock, [this] { return this->Workers.empty(); });
   WorkerList Joined = std::move(this->Ended);
@@ -70,9 +69,9 @@
   joinAll(Joined);
 }
 
-void WorkerPool::call(Worker &Called) {
-  Called.IsCalled = true;
-  Called.Called.notify_one();
+void WorkerPool::wake(Worker &Sleeper) {
+  Sleeper.IsWoken = true;
+  Sleeper.Wakeup.notify_one();
 }
 
 void WorkerPool::joinAll(WorkerList &Threads) {
@@ -91,8 +90,9 @@
           this->PeakThreads};
 }
 
-/// Runs a job. Ours return their errors; a library below one may still throw,
-/// such as over a message of a wrong shape, and that must not end the process.
+/// Runs a job. The jobs of this project return their errors, but a library may
+/// throw, for example on a malformed message. Such an exception must not end
+/// the process.
 void WorkerPool::runJob(const std::function<void()> &Job) {
   try {
     Job();
@@ -101,32 +101,34 @@
   }
 }
 
-/// Waits for a job. Returns whether the thread goes on: a spare one ends after
-/// IdleLimit, and all do at the stop.
-bool WorkerPool::awaitCall(Worker &Self, std::unique_lock<std::mutex> &Lock) {
+/// Waits until the thread is woken. Returns false if the thread must end: after
+/// IdleLimit if there are more than MinThreads, and when the pool stops.
+bool WorkerPool::waitForWakeup(Worker &Self,
+                               std::unique_lock<std::mutex> &Lock) {
   if (this->IsStopping)
     return false;
   this->Idle.push_back(&Self);
-  while (!Self.IsCalled) {
+  while (!Self.IsWoken) {
     const bool HasTimedOut =
-        Self.Called.wait_for(Lock, this->Limits.IdleLimit) ==
+        Self.Wakeup.wait_for(Lock, this->Limits.IdleLimit) ==
         std::cv_status::timeout;
-    if (!HasTimedOut || Self.IsCalled ||
+    if (!HasTimedOut || Self.IsWoken ||
         this->Workers.size() <= this->Limits.MinThreads)
       continue;
     this->Idle.erase(std::find(this->Idle.begin(), this->Idle.end(), &Self));
     return false;
   }
-  Self.IsCalled = false;
+  Self.IsWoken = false;
   return true;
 }
 
 void WorkerPool::runThread(WorkerList::iterator Self) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (true) {
-    // One that finished a job may have taken what this thread was called for.
+    // A thread that finished another job may have taken the job that this
+    // thread was woken for.
     if (this->Queue.empty()) {
-      if (!this->awaitCall(*Self, Lock))
+      if (!this->waitForWakeup(*Self, Lock))
         break;
       continue;
     }
@@ -139,12 +141,12 @@
     Lock.lock();
     --this->Running;
   }
-  WorkerList Before = std::move(this->Ended);
+  WorkerList PreviouslyEnded = std::move(this->Ended);
   this->Ended.clear();
   this->Ended.splice(this->Ended.end(), this->Workers, Self);
   this->HasEnded.notify_all();
   Lock.unlock();
-  joinAll(Before);
+  joinAll(PreviouslyEnded);
 }
 
 } // namespace canvaswick
--- a/unittests/Http/CallFailureTest.cpp
+++ b/unittests/Http/CallFailureTest.cpp
@@ -1,4 +1,4 @@
-//===- CallFailureTest.cpp - Tests of what a failed call means ------------===//
+//===- CallFailureTest.cpp - Tests for errors of failed calls -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whether a call may have been done decides whether it may be made again.
-///
+/// The error kind tells a caller whether it may safely repeat the call.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/CallFailure.h"
@@ -27,17 +26,17 @@
   return describeCallFailure(Answer, "read k", "the store", Meanings);
 }
 
-TEST_CASE("a failed call is named with what may have become of it") {
+TEST_CASE("the error kind tells whether a failed call may have been executed") {
   const Error Unsent = describe(ExchangeEnd::NotSent, 0);
   CHECK(Unsent.Kind == ErrorKind::Unavailable);
-  CHECK(Unsent.Message == "read k: the store is not reached");
+  CHECK(Unsent.Message == "read k: cannot reach the store");
   CHECK(describe(ExchangeEnd::NoConnection, 0).Kind == ErrorKind::Unavailable);
   for (const ExchangeEnd End :
        {ExchangeEnd::Timeout, ExchangeEnd::Broken, ExchangeEnd::Canceled}) {
-    // Whatever was read of an answer that did not end.
-    const Error Open = describe(End, 404);
-    CHECK(Open.Kind == ErrorKind::OutcomeUnknown);
-    CHECK(Open.Message == "read k: no answer of the store");
+    // The status of an incomplete answer does not count.
+    const Error Incomplete = describe(End, 404);
+    CHECK(Incomplete.Kind == ErrorKind::OutcomeUnknown);
+    CHECK(Incomplete.Message == "read k: no answer from the store");
   }
   const Error Missing = describe(ExchangeEnd::Complete, 404);
   CHECK(Missing.Kind == ErrorKind::NotFound);
--- a/unittests/Http/HttpServerTest.cpp
+++ b/unittests/Http/HttpServerTest.cpp
@@ -1,4 +1,4 @@
-//===- HttpServerTest.cpp - Tests of the server and the connection pool ---===//
+//===- HttpServerTest.cpp - Tests for HttpServer and ConnectionPool -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Bounds, refusals at once, planned stops, and the settings of the library
-/// that must stay as they are.
-///
+/// Tests resource limits, immediate refusals, graceful stops, and the required
+/// settings of cpp-httplib.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/HttpServer.h"
@@ -27,7 +26,7 @@
 
 namespace {
 
-/// A server whose handler waits until it is let go.
+/// A server whose handler blocks until IsOpen is set.
 class Gate {
 public:
   explicit Gate(HttpServerLimits Limits)
@@ -56,8 +55,7 @@
                        readSteadyClock() + fromSeconds(20), -1, nullptr);
 }
 
-TEST_CASE(
-    "a kept connection serves many requests without delay on small ones") {
+TEST_CASE("a kept connection serves many requests and sets TCP_NODELAY") {
   Gate Open{HttpServerLimits()};
   Open.IsOpen = true;
   ConnectionPool Pool(1);
@@ -73,8 +71,8 @@
   CHECK(NoDelay != 0);
 }
 
-TEST_CASE("many connections at once are all taken") {
-  // Nothing accepts yet: what comes must wait in the queue of the system.
+TEST_CASE("a burst of connections is accepted completely") {
+  // The connections of a burst must wait in the listen queue of the kernel.
   HttpServerLimits Limits;
   Limits.Workers.MaxThreads = 4;
   Limits.Workers.Queue = 1000;
@@ -96,25 +94,26 @@
   }
 }
 
-TEST_CASE("what does not fit is refused at once and told when to come back") {
+TEST_CASE("a request beyond the worker limits is refused with Retry-After") {
   HttpServerLimits Limits;
   Limits.Workers.MaxThreads = 1;
   Limits.Workers.Queue = 0;
-  Gate Shut(Limits);
+  Gate Blocked(Limits);
   ConnectionPool Pool(0);
-  std::thread First([&] { CHECK(get(Pool, Shut.getAddress()).Status == 200); });
-  while (Shut.Entered == 0)
+  std::thread First(
+      [&] { CHECK(get(Pool, Blocked.getAddress()).Status == 200); });
+  while (Blocked.Entered == 0)
     std::this_thread::yield();
-  const ExchangeResult Refused = get(Pool, Shut.getAddress());
+  const ExchangeResult Refused = get(Pool, Blocked.getAddress());
   CHECK(Refused.Status == 503);
   CHECK(Refused.Headers.find("Retry-After") != Refused.Headers.end());
   CHECK(Refused.Headers.find("Canvaswick-Outcome")->second == "not-run");
-  Shut.IsOpen = true;
+  Blocked.IsOpen = true;
   First.join();
-  CHECK(Shut.Server.getCounters().RefusedBusy == 1);
+  CHECK(Blocked.Server.getCounters().RefusedBusy == 1);
 }
 
-TEST_CASE("idle connections hold no thread and a bound holds for them") {
+TEST_CASE("idle connections occupy no thread but count towards the limit") {
   HttpServerLimits Limits;
   Limits.Workers.MaxThreads = 1;
   Limits.MaxConnections = 20;
@@ -128,52 +127,52 @@
                    readSteadyClock() + fromSeconds(5))));
   ConnectionPool Pool(0);
   CHECK(get(Pool, Open.getAddress()).Status == 200);
-  // One more than the bound: refused at once, not left waiting.
+  // One connection beyond the limit is refused immediately instead of waiting.
   ConnectionPool Other(0);
   CHECK(get(Other, Open.getAddress()).Status == 503);
 }
 
-TEST_CASE("a planned stop answers what is in flight") {
-  Gate Shut{HttpServerLimits()};
+TEST_CASE("a graceful stop completes requests in flight") {
+  Gate Blocked{HttpServerLimits()};
   ConnectionPool Pool(0);
   ExchangeResult Result;
-  std::thread Caller([&] { Result = get(Pool, Shut.getAddress()); });
-  while (Shut.Entered == 0)
+  std::thread Caller([&] { Result = get(Pool, Blocked.getAddress()); });
+  while (Blocked.Entered == 0)
     std::this_thread::yield();
   std::thread Opener([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    Shut.IsOpen = true;
+    Blocked.IsOpen = true;
   });
-  CHECK(Shut.Server.stopGracefully(readSteadyClock() + fromSeconds(20)));
+  CHECK(Blocked.Server.stopGracefully(readSteadyClock() + fromSeconds(20)));
   Caller.join();
   Opener.join();
   CHECK(Result.Status == 200);
   CHECK(Result.Body == "through");
 }
 
-TEST_CASE("a stop is bounded when a request never ends") {
-  Gate Shut{HttpServerLimits()};
+TEST_CASE("a stop ends at its deadline when a request never ends") {
+  Gate Blocked{HttpServerLimits()};
   ConnectionPool Pool(0);
-  std::thread Caller([&] { get(Pool, Shut.getAddress()); });
-  while (Shut.Entered == 0)
+  std::thread Caller([&] { get(Pool, Blocked.getAddress()); });
+  while (Blocked.Entered == 0)
     std::this_thread::yield();
-  CHECK(!Shut.Server.stopGracefully(readSteadyClock() + fromMillis(50)));
-  Shut.IsOpen = true;
+  CHECK(!Blocked.Server.stopGracefully(readSteadyClock() + fromMillis(50)));
+  Blocked.IsOpen = true;
   Caller.join();
 }
 
-TEST_CASE("connections to one address are bounded") {
-  Gate Shut{HttpServerLimits()};
+TEST_CASE("the number of connections to one address is limited") {
+  Gate Blocked{HttpServerLimits()};
   ConnectionPool Pool(1);
-  std::thread First([&] { get(Pool, Shut.getAddress()); });
-  while (Shut.Entered == 0)
+  std::thread First([&] { get(Pool, Blocked.getAddress()); });
+  while (Blocked.Entered == 0)
     std::this_thread::yield();
-  CHECK(get(Pool, Shut.getAddress()).End == ExchangeEnd::NoConnection);
-  Shut.IsOpen = true;
+  CHECK(get(Pool, Blocked.getAddress()).End == ExchangeEnd::NoConnection);
+  Blocked.IsOpen = true;
   First.join();
 }
 
-TEST_CASE("a refused connection is not sent, a one-way cut is a timeout") {
+TEST_CASE("a refused connection is not-sent, lost responses are a timeout") {
   ConnectionPool Pool(0);
   CHECK(get(Pool, {"127.0.0.1", 1}).End == ExchangeEnd::NotSent);
   Gate Open{HttpServerLimits()};
@@ -182,18 +181,20 @@
   REQUIRE(Relay.start({"127.0.0.1", 0}));
   const Endpoint Through{"127.0.0.1", Relay.getPort()};
   CHECK(get(Pool, Through).Status == 200);
-  // Requests arrive, answers do not: it may have been run.
+  // Requests arrive but responses do not, so the request may have been
+  // executed.
   Relay.getFaults().CutBackward = true;
   const ExchangeResult Cut =
       Pool.exchange(Through, OutgoingRequest(),
                     readSteadyClock() + fromMillis(300), -1, nullptr);
   CHECK(Cut.End == ExchangeEnd::Timeout);
   Relay.getFaults().CutBackward = false;
-  // The late answer on the old connection is never taken for a new one.
+  // A late response on the old connection is not taken for the response to a
+  // new request.
   CHECK(get(Pool, Through).Body == "through");
 }
 
-TEST_CASE("connections that come before the server accepts wait for it") {
+TEST_CASE("connections wait until the server begins to accept") {
   HttpServer Server(HttpServerLimits(), [](HttpExchange &Exchange) {
     Exchange.Response.set_content("late", "text/plain");
   });
@@ -211,14 +212,14 @@
   CHECK(Result.Body == "late");
 }
 
-TEST_CASE("a connection to one life of a server is not used for the next") {
+TEST_CASE("a connection to one server instance is not reused for another") {
   HttpServer Server(HttpServerLimits{}, [](HttpExchange &Exchange) {
     Exchange.Response.set_content("ok", "text/plain");
   });
   REQUIRE(Server.start({"127.0.0.1", 0}));
   const Endpoint Address{"127.0.0.1", Server.getPort()};
   ConnectionPool Pool(0);
-  const auto Ask = [&](const std::string &ServerInstance) {
+  const auto ExchangeWith = [&](const std::string &ServerInstance) {
     OutgoingRequest Request;
     Request.ServerInstance = ServerInstance;
     return Pool
@@ -226,14 +227,16 @@
                   nullptr)
         .End;
   };
-  CHECK(Ask("one") == ExchangeEnd::Complete);
-  CHECK(Ask("one") == ExchangeEnd::Complete);
+  CHECK(ExchangeWith("one") == ExchangeEnd::Complete);
+  CHECK(ExchangeWith("one") == ExchangeEnd::Complete);
   CHECK(Pool.countOpen(Address) == 1);
-  CHECK(Ask("two") == ExchangeEnd::Complete);
-  // The first one's is closed, not kept beside it.
+  CHECK(ExchangeWith("two") == ExchangeEnd::Complete);
+  // The connection to the first instance is closed, not kept beside it.
   CHECK(Pool.countOpen(Address) == 1);
-  const auto IsOneLeft = [&Server] { return Server.countConnections() == 1; };
-  for (int I = 0; I < 500 && !IsOneLeft(); ++I)
+  const auto HasOneConnection = [&Server] {
+    return Server.countConnections() == 1;
+  };
+  for (int I = 0; I < 500 && !HasOneConnection(); ++I)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  CHECK(IsOneLeft());
+  CHECK(HasOneConnection());
 }
--- a/unittests/Http/KeptConnectionTest.cpp
+++ b/unittests/Http/KeptConnectionTest.cpp
@@ -1,4 +1,4 @@
-//===- KeptConnectionTest.cpp - How long a connection is kept -------------===//
+//===- KeptConnectionTest.cpp - Tests for the idle time of connections ----===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A server says with its answers after how long it closes a connection at
-/// rest.
-///
+/// A server announces its idle timeout in the Keep-Alive header of a response.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/HttpClient.h"
@@ -21,9 +19,9 @@
 
 using namespace canvaswick;
 
-/// Returns the connections that are open after an answer with a Keep-Alive and
-/// a rest.
-static size_t countOpenAfter(const std::string &KeepAlive, Duration Rest) {
+/// Returns the number of connections still open after a response with KeepAlive
+/// as its Keep-Alive header and an idle time of IdleTime.
+static size_t countOpenAfter(const std::string &KeepAlive, Duration IdleTime) {
   HttpServer Server(HttpServerLimits(), [&](HttpExchange &Exchange) {
     Exchange.Response.set_header("Keep-Alive", KeepAlive);
     Exchange.Response.set_content("x", "text/plain");
@@ -35,19 +33,19 @@
   REQUIRE(Pool.exchange(Address, OutgoingRequest(), Now + fromSeconds(5), -1,
                         nullptr)
               .Status == 200);
-  // Nothing is so old that it is closed for its age alone.
-  Pool.closeIdle(Now - fromSeconds(100), readSteadyClock() + Rest);
+  // The first argument makes no connection too old.
+  Pool.closeIdle(Now - fromSeconds(100), readSteadyClock() + IdleTime);
   return Pool.countOpen(Address);
 }
 
-TEST_CASE("a connection is not kept for as long as the server would close it") {
+TEST_CASE("a connection is closed before the idle timeout of its server") {
   CHECK(countOpenAfter("timeout=10", fromSeconds(7)) == 1);
   CHECK(countOpenAfter("timeout=10", fromSeconds(9)) == 0);
   CHECK(countOpenAfter("max=5, timeout=10", fromSeconds(9)) == 0);
   CHECK(countOpenAfter("timeout=0", fromSeconds(0)) == 0);
 }
 
-TEST_CASE("words that are no time leave a connection as it is") {
+TEST_CASE("an invalid Keep-Alive timeout is ignored") {
   for (const char *Text : {"close", "timeout=", "timeout=x", "timeout=-1",
                            "max=5", "timeout=99999999999999999999"})
     CHECK_MESSAGE(countOpenAfter(Text, fromSeconds(9)) == 1, std::string(Text));
--- a/unittests/Http/QuietTimeTest.cpp
+++ b/unittests/Http/QuietTimeTest.cpp
@@ -1,4 +1,4 @@
-//===- QuietTimeTest.cpp - What threads that come and go cost -------------===//
+//===- QuietTimeTest.cpp - Cost of starting a worker thread ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,12 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Prints the time of a request that finds no thread, beside one that finds an
-/// idle thread as all did when none ever ended. Nothing is asserted of times,
-/// since they are the machine's. On loopback of an 8-core machine that ran
-/// other programs too, median of 21, three runs: 372 to 410 us with an idle
-/// thread, 419 to 501 us without.
-///
+/// Prints the time of a request that must start a worker thread and of one that
+/// finds an idle thread. The times are not checked because they depend on the
+/// machine. Median of 21 requests on loopback of an 8-core machine that ran
+/// other programs too, three runs: 372 to 410 us with an idle thread, 419 to
+/// 501 us without.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/HttpClient.h"
@@ -27,11 +26,11 @@
 
 static constexpr int Requests = 21;
 
-/// Returns the median time in us of requests that come after a quiet time, and
-/// how many threads there were before the last of them.
-static std::pair<int64_t, size_t> timeAfterQuiet(size_t Kept) {
+/// Returns the median time in us of requests that each follow an idle period,
+/// and the number of threads before the last of them.
+static std::pair<int64_t, size_t> timeAfterIdle(size_t KeptThreads) {
   HttpServerLimits Limits;
-  Limits.Workers.MinThreads = Kept;
+  Limits.Workers.MinThreads = KeptThreads;
   Limits.Workers.IdleLimit = fromMillis(5);
   HttpServer Server(Limits, [](HttpExchange &Exchange) {
     Exchange.Response.set_content("x", "text/plain");
@@ -48,7 +47,7 @@
     REQUIRE(Pool.exchange({"127.0.0.1", Server.getPort()}, OutgoingRequest(),
                           Began + fromSeconds(5), -1, nullptr)
                 .Status == 200);
-    // The first one connects.
+    // The first request includes establishing the connection.
     if (I > 0)
       Times.push_back((readSteadyClock() - Began).count());
   }
@@ -56,11 +55,11 @@
   return {Times[Requests / 2], Threads};
 }
 
-TEST_CASE("the first request after a quiet time costs a thread's start") {
-  const auto [WithThread, Kept] = timeAfterQuiet(1);
-  const auto [WithoutThread, None] = timeAfterQuiet(0);
+TEST_CASE("the first request after an idle period starts a thread") {
+  const auto [WithThread, ThreadsIfKept] = timeAfterIdle(1);
+  const auto [WithoutThread, ThreadsIfNotKept] = timeAfterIdle(0);
   MESSAGE("idle thread: ", WithThread, " us, no thread: ", WithoutThread,
           " us");
-  CHECK(Kept == 1);
-  CHECK(None == 0);
+  CHECK(ThreadsIfKept == 1);
+  CHECK(ThreadsIfNotKept == 0);
 }
--- a/unittests/Http/WorkerPoolTest.cpp
+++ b/unittests/Http/WorkerPoolTest.cpp
@@ -1,4 +1,4 @@
-//===- WorkerPoolTest.cpp - Tests of threads that come and go -------------===//
+//===- WorkerPoolTest.cpp - Tests for WorkerPool --------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Threads are started for jobs and end when there are none, the bounds hold
-/// meanwhile, and nothing is left behind.
-///
+/// Tests that threads start for jobs and end when idle, that the limits hold,
+/// and that no thread is leaked.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Http/WorkerPool.h"
@@ -23,24 +22,24 @@
 
 namespace {
 
-/// Threads of pools that ran a job of Held and have not ended. A thread's marks
-/// go before whoever joins it goes on.
+/// Number of threads that ran a job of BlockingJobs and have not ended. The
+/// thread-local marks of a thread are destroyed before join returns.
 std::atomic<int> MarkedThreads{0};
 
 struct ThreadMark {
   ThreadMark() { ++MarkedThreads; }
   ~ThreadMark() { --MarkedThreads; }
-  /// Makes the mark of the thread that calls, if it has none yet.
+  /// Constructs the mark of the calling thread if it has none.
   void touch() {}
 };
 
 thread_local ThreadMark Mark;
 
-/// Jobs that wait until they are let go.
-class Held {
+/// Jobs that block until IsOpen is set.
+class BlockingJobs {
 public:
-  explicit Held(WorkerPool &Pool) : Pool(Pool) {}
-  ~Held() { this->IsOpen = true; }
+  explicit BlockingJobs(WorkerPool &Pool) : Pool(Pool) {}
+  ~BlockingJobs() { this->IsOpen = true; }
 
   bool submit() {
     return this->Pool.trySubmit([this] {
@@ -52,7 +51,7 @@
     });
   }
 
-  /// Submits jobs that all run at once, and lets them go.
+  /// Submits Count jobs, waits until all run at once, and releases them.
   void runBurst(int Count) {
     this->IsOpen = false;
     const int Before = this->Entered;
@@ -80,7 +79,7 @@
   return static_cast<size_t>(std::distance(begin(Threads), end(Threads)));
 }
 
-/// Waits ten seconds at most until Check holds.
+/// Waits up to ten seconds until Check returns true.
 template <typename Condition> static bool waitFor(Condition Check) {
   for (int I = 0; I < 1000; ++I) {
     if (Check())
@@ -90,7 +89,7 @@
   return false;
 }
 
-/// Waits until the pool has Wanted threads, all of them idle.
+/// Waits until the pool has Wanted threads, all idle.
 static bool waitForThreads(const WorkerPool &Pool, size_t Wanted) {
   return waitFor([&] {
     const WorkerPoolThreads Now = Pool.countThreads();
@@ -98,7 +97,7 @@
   });
 }
 
-TEST_CASE("threads come with a burst, go when it is quiet, and come again") {
+TEST_CASE("threads start for a burst, end when idle, and start again") {
   const size_t Before = countThreadsOfProcess();
   {
     WorkerPool Pool({.MaxThreads = 48,
@@ -106,29 +105,29 @@
                      .MinThreads = 2,
                      .IdleLimit = fromMillis(50)});
     CHECK(Pool.countThreads().Peak == 0);
-    Held Jobs(Pool);
-    // All of a burst run at once: none waits for another to end.
+    BlockingJobs Jobs(Pool);
+    // All jobs of a burst run at once: none waits for another to end.
     Jobs.runBurst(48);
     CHECK(Pool.countThreads().Peak == 48);
     REQUIRE(waitForThreads(Pool, 2));
-    // One that ended last may still wait to be joined.
+    // The thread that ended last may still wait to be joined.
     CHECK(waitFor([&] { return countThreadsOfProcess() <= Before + 3; }));
     Jobs.runBurst(48);
     CHECK(Pool.countThreads().Peak == 48);
     REQUIRE(waitForThreads(Pool, 2));
   }
-  // All are joined, and none was left behind. The kernel lists a thread for a
-  // moment after it was joined.
+  // All threads are joined. The kernel may list a thread for a moment after it
+  // was joined.
   CHECK(MarkedThreads == 0);
   CHECK(waitFor([&] { return countThreadsOfProcess() == Before; }));
 }
 
-TEST_CASE("light load keeps one thread busy and lets the others go") {
+TEST_CASE("under light load one thread is busy and the others end") {
   WorkerPool Pool({.MaxThreads = 16, .IdleLimit = fromMillis(300)});
-  Held Jobs(Pool);
+  BlockingJobs Jobs(Pool);
   Jobs.runBurst(16);
-  // One job at a time, often enough that every thread would stay if they took
-  // turns: sixteen jobs come within the idle time.
+  // One job runs at a time, but sixteen jobs arrive within the idle limit: if
+  // the threads took turns, none would end.
   for (int I = 0; I < 100; ++I) {
     Jobs.runBurst(1);
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -137,9 +136,9 @@
   CHECK(Now.Running + Now.Idle <= 4);
 }
 
-TEST_CASE("as many jobs are taken as there may be threads and places to wait") {
+TEST_CASE("the pool accepts MaxThreads running and Queue waiting jobs") {
   WorkerPool Pool({.MaxThreads = 3, .Queue = 2});
-  Held Jobs(Pool);
+  BlockingJobs Jobs(Pool);
   for (int I = 0; I < 5; ++I)
     CHECK(Jobs.submit());
   CHECK_FALSE(Jobs.submit());
@@ -151,10 +150,10 @@
   CHECK_FALSE(Jobs.submit());
 }
 
-TEST_CASE("a stop runs what was queued and ends idle threads at once") {
+TEST_CASE("a stop runs the queued jobs and ends idle threads immediately") {
   WorkerPool Pool(
       {.MaxThreads = 2, .Queue = 50, .IdleLimit = fromSeconds(3600)});
-  Held Jobs(Pool);
+  BlockingJobs Jobs(Pool);
   Jobs.IsOpen = true;
   for (int I = 0; I < 50; ++I)
     CHECK(Jobs.submit());
@@ -164,9 +163,10 @@
   CHECK(Pool.countThreads().Running + Pool.countThreads().Idle == 0);
 }
 
-TEST_CASE("threads that end while jobs come lose none") {
-  // Idle times near the time between jobs, so that calls and ends cross. The
-  // queue holds them all: threads that get no processor must not fill it.
+TEST_CASE("no job is lost when threads end while jobs arrive") {
+  // The idle limit is close to the time between jobs, so that wakeups and
+  // timeouts coincide. The queue holds all jobs: threads that get no processor
+  // time must not fill it.
   constexpr int Jobs = 2000;
   WorkerPool Pool({.MaxThreads = 4, .Queue = Jobs, .IdleLimit = fromMillis(1)});
   std::atomic<int> Done{0};
