--- a/include/canvaswick/Support/Base64.h
+++ b/include/canvaswick/Support/Base64.h
@@ -1,4 +1,4 @@
-//===- Base64.h - Bytes as text ---------------------------------*- C++ -*-===//
+//===- Base64.h - Base64 encoding -------------------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The values of the store travel as standard base64 with padding.
-///
+/// Store values are transmitted as standard base64 with padding.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_BASE64_H
@@ -20,10 +19,10 @@
 
 namespace canvaswick {
 
-/// Encodes any bytes.
+/// Encodes arbitrary bytes.
 std::string encodeBase64(const std::string &Bytes);
 
-/// Decodes. Fails with InvalidArgument if Text is no base64.
+/// Decodes Text. Fails with InvalidArgument if Text is not valid base64.
 Result<std::string> decodeBase64(const std::string &Text);
 
 } // namespace canvaswick
--- a/include/canvaswick/Support/EnumNames.h
+++ b/include/canvaswick/Support/EnumNames.h
@@ -1,5 +1,4 @@
-//===- EnumNames.h - Tables that pair enumerators with their names -*- C++
-//-*-===//
+//===- EnumNames.h - Tables of enumerator names -----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// An enumeration that people read or write has one table of names, used in
-/// both directions.
-///
+/// An enumeration that appears in text has one table of names, which is used
+/// for both printing and parsing.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_ENUMNAMES_H
@@ -24,13 +22,13 @@
 
 namespace canvaswick {
 
-/// One row of a table of names.
+/// One row of a name table.
 template <typename EnumT> struct EnumName {
   EnumT Value;
   const char *Name;
 };
 
-/// A table of names for EnumT.
+/// A name table for EnumT.
 template <typename EnumT, size_t Count>
 using EnumNames = std::array<EnumName<EnumT>, Count>;
 
@@ -44,7 +42,7 @@
   return "?";
 }
 
-/// Returns the enumerator called Name, or nothing if no row has that name.
+/// Returns the enumerator called Name, or nullopt if there is none.
 template <typename EnumT, size_t Count>
 std::optional<EnumT> findEnumValue(const EnumNames<EnumT, Count> &Table,
                                    std::string_view Name) {
--- a/include/canvaswick/Support/Error.h
+++ b/include/canvaswick/Support/Error.h
@@ -1,4 +1,4 @@
-//===- Error.h - Typed errors and results as values -------------*- C++ -*-===//
+//===- Error.h - Error kinds and result type --------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Every recoverable failure in canvaswick is an Error inside a Result. Nothing
-/// throws across the project's own interfaces.
-///
+/// Every recoverable failure in canvaswick is an Error in a Result. The
+/// interfaces of the project do not throw exceptions.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_ERROR_H
@@ -21,7 +20,7 @@
 
 namespace canvaswick {
 
-/// The kinds of failure that callers of a function tell apart.
+/// The kinds of failure that callers distinguish.
 enum class ErrorKind {
   InvalidArgument,
   NotFound,
@@ -34,11 +33,11 @@
   OutcomeUnknown,
 };
 
-/// Returns the stable name of an error kind, as logs and reports print it.
+/// Returns the stable name of an error kind for logs and reports.
 const char *getName(ErrorKind Kind);
 
-/// One failure: what kind it is and a sentence for the person who reads it.
-/// The message never holds a secret.
+/// A failure: its kind, and a message for people. The message must not contain
+/// a secret.
 struct Error {
   ErrorKind Kind;
   std::string Message;
@@ -46,12 +45,12 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-/// Either a value or an Error. Looking at the wrong side ends the process,
-/// because that is a broken invariant and not a failure to recover from.
+/// Either a value or an Error. Access to the wrong one terminates the process,
+/// because it is a programming error and not a recoverable failure.
 template <typename T>
 using Result = outcome::result<T, Error, outcome::policy::terminate>;
 
-/// Builds the failing side of a Result.
+/// Creates the failure side of a Result.
 inline auto makeError(ErrorKind Kind, std::string Message) {
   return outcome::failure(Error{Kind, std::move(Message)});
 }
--- a/include/canvaswick/Support/Hash.h
+++ b/include/canvaswick/Support/Hash.h
@@ -1,4 +1,4 @@
-//===- Hash.h - Stable hashes and rendezvous ranking ------------*- C++ -*-===//
+//===- Hash.h - Stable hashes and rendezvous hashing ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Every daemon must compute the same value for the same words, so these hashes
-/// are fixed by the algorithm (XXH64) and not by the standard library.
-///
+/// Every daemon must compute the same value for the same text, so the algorithm
+/// is fixed (XXH64) instead of left to the standard library.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_HASH_H
@@ -25,8 +24,9 @@
 /// Returns the XXH64 hash of Text.
 uint64_t hashText(std::string_view Text, uint64_t Seed = 0);
 
-/// Returns the indexes of Candidates ordered by their rendezvous rank for Key,
-/// best first. Adding or losing a candidate moves no other pair.
+/// Returns the indexes of Candidates ordered by their rendezvous hash for Key,
+/// best first. Adding or removing a candidate does not change the relative
+/// order of the others.
 std::vector<size_t>
 rankByRendezvous(std::string_view Key,
                  const std::vector<std::string> &Candidates);
--- a/include/canvaswick/Support/KeyDigest.h
+++ b/include/canvaswick/Support/KeyDigest.h
@@ -1,4 +1,4 @@
-//===- KeyDigest.h - What is kept of a caller's key -------------*- C++ -*-===//
+//===- KeyDigest.h - Digest of a caller key ---------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A caller's key is a secret that a daemon must recognise and never needs to
-/// say. All that is kept, compared, stored and handed on of it is this digest.
-///
+/// The key of a caller is a secret that a daemon must recognise but never needs
+/// to reveal. Only its digest is kept, compared, stored and transmitted.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_KEYDIGEST_H
@@ -24,32 +23,34 @@
 
 namespace canvaswick {
 
-/// The first half of a key's SHA-256: as hard to turn back as the whole for
-/// keys drawn at random, and no longer in the settings than such a key.
+/// The first half of the SHA-256 of a key. For randomly generated keys it is as
+/// hard to invert as the full hash, and it is no longer in the settings than
+/// such a key.
 class KeyDigest {
 public:
   static constexpr size_t Size = 16;
 
-  /// Digests a key.
+  /// Computes the digest of Key.
   static KeyDigest of(std::string_view Key);
 
-  /// Reads what format writes, or nothing if the text is of another form.
+  /// Parses the output of format. Returns nullopt if Text has another form.
   static std::optional<KeyDigest> parse(std::string_view Text);
 
-  /// Returns the digest in 32 hexadecimal digits.
+  /// Returns the digest as 32 hexadecimal digits.
   std::string format() const;
 
-  /// Compares in a time that does not tell how many bytes agree.
+  /// Compares in constant time, so that the time does not reveal how many bytes
+  /// are equal.
   bool operator==(const KeyDigest &Other) const;
 
-  /// Returns a number that is evenly spread over digests, for hash tables.
+  /// Returns a uniformly distributed hash value.
   size_t hash() const;
 
 private:
   std::array<uint8_t, Size> Bytes{};
 };
 
-/// Hashes a digest in the standard library's tables.
+/// Hash function object for standard containers.
 struct KeyDigestHash {
   size_t operator()(const KeyDigest &Digest) const { return Digest.hash(); }
 };
--- a/include/canvaswick/Support/Log.h
+++ b/include/canvaswick/Support/Log.h
@@ -1,4 +1,4 @@
-//===- Log.h - Structured log lines on standard output ----------*- C++ -*-===//
+//===- Log.h - Structured logging to standard output ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Counters tell how often something happened; a log line tells what became of
-/// one request or that a belief changed. A line is "time level event key=value
-/// ...". The volume is bounded, and writing never waits for a reader.
-///
+/// A counter tells how often something happened; a log line tells the outcome
+/// of one request or a change of state. The format of a line is "time level
+/// event key=value ...". The log volume is limited, and logging never blocks on
+/// a slow reader.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_LOG_H
@@ -24,30 +24,31 @@
 
 namespace canvaswick {
 
-/// How much a process may log.
+/// Limits of the log volume of a process.
 struct LogBounds {
-  /// Lines a second, and lines that may come at once.
+  /// Rate limit in lines per second, and the maximum burst in lines.
   double LinesPerSecond = 400;
   double Burst = 2000;
-  /// Lines that wait to be written.
+  /// Maximum number of lines that wait to be written.
   size_t QueueLimit = 4096;
 };
 
-/// Starts to write lines on a thread of their own, within bounds. Before, and
-/// in programs that never call it, a line is written at once.
+/// Starts a thread that writes the lines within Bounds. Before this call, and
+/// in programs that never make it, each line is written synchronously.
 void startLogWriter(const LogBounds &Bounds);
 
-/// Writes what waits and ends the thread.
+/// Writes the queued lines and stops the thread.
 void stopLogWriter();
 
-/// Returns how many lines were dropped since the start, by the rate or because
-/// too many waited.
+/// Returns the number of lines dropped since the process started, because of
+/// the rate limit or a full queue.
 uint64_t countDroppedLogLines();
 
-/// How much a line matters to the person on call.
+/// Severity of a log line.
 enum class LogLevel { Info, Warning, Error };
 
-/// Writes one line. Event is a short constant name, Fields is "key=value ...".
+/// Writes one line. Event is a short constant name, and Fields has the form
+/// "key=value ...". Thread-safe.
 void writeLogLine(LogLevel Level, const char *Event, const std::string &Fields);
 
 /// Formats the fields and writes one line at the level Info.
--- a/include/canvaswick/Support/PauseDetector.h
+++ b/include/canvaswick/Support/PauseDetector.h
@@ -1,4 +1,4 @@
-//===- PauseDetector.h - Notices that a process stood still -----*- C++ -*-===//
+//===- PauseDetector.h - Detects pauses of the process ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A process that was suspended with its machine, stopped or frozen goes on as
-/// if nothing had happened: what it last heard looks like the latest. Who runs
-/// a round often notices by the clock that rounds are missing.
-///
+/// A process that was stopped, or suspended with its machine, resumes without
+/// noticing, and treats its last received state as current. A thread that runs
+/// frequent rounds can detect such a pause from the clock.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_PAUSEDETECTOR_H
@@ -22,28 +21,32 @@
 
 namespace canvaswick {
 
-/// A round that is later than this did not just wait for the processor: on a
-/// tenth of a core rounds are late by some hundred milliseconds.
+/// Minimum delay of a round that counts as a pause. Shorter delays occur under
+/// CPU contention: with a tenth of a core, rounds are late by some hundred
+/// milliseconds.
 inline constexpr Duration MinPause = fromSeconds(1);
 
-/// One for each thread that runs rounds. Not thread-safe.
+/// Detects pauses of a thread that runs rounds. One instance per thread; not
+/// thread-safe.
 class PauseDetector {
 public:
-  /// Usual is the longest time between two rounds when all is well.
-  explicit PauseDetector(Duration Usual) : Usual(Usual) {}
+  /// ExpectedInterval is the longest time between two rounds in normal
+  /// operation.
+  explicit PauseDetector(Duration ExpectedInterval)
+      : ExpectedInterval(ExpectedInterval) {}
 
-  /// Notes a round. Returns for how long the process stood still before it,
-  /// zero if it did not.
+  /// Records a round. Returns the time since the previous round if the process
+  /// was paused in between, otherwise zero.
   Duration recordRound(TimePoint Now) {
     const std::optional<TimePoint> Last = this->LastRound;
     this->LastRound = Now;
-    if (!Last || Now - *Last < this->Usual + MinPause)
+    if (!Last || Now - *Last < this->ExpectedInterval + MinPause)
       return Duration::zero();
     return Now - *Last;
   }
 
 private:
-  const Duration Usual;
+  const Duration ExpectedInterval;
   std::optional<TimePoint> LastRound;
 };
 
--- a/include/canvaswick/Support/PeriodicThread.h
+++ b/include/canvaswick/Support/PeriodicThread.h
@@ -1,4 +1,4 @@
-//===- PeriodicThread.h - A thread that works in rounds ---------*- C++ -*-===//
+//===- PeriodicThread.h - Thread that runs a task periodically --*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The background work of a daemon: each kind has a thread of its own that runs
-/// a round, waits and runs the next.
-///
+/// Each background task of a daemon has its own thread, which runs a round,
+/// waits, and runs the next one.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_PERIODICTHREAD_H
@@ -24,7 +23,7 @@
 
 namespace canvaswick {
 
-/// Runs a round again and again until it is stopped.
+/// Runs a function periodically until it is stopped.
 class PeriodicThread {
 public:
   PeriodicThread() = default;
@@ -32,14 +31,15 @@
   PeriodicThread(const PeriodicThread &) = delete;
   PeriodicThread &operator=(const PeriodicThread &) = delete;
 
-  /// Starts the thread. Rounds begin Interval apart, or later if one takes
-  /// longer. What a round throws is logged, and the next round goes on.
+  /// Starts the thread. Rounds start Interval apart, or later if a round takes
+  /// longer. Exceptions thrown by a round are logged, and the next round runs
+  /// as usual.
   void start(Duration Interval, std::function<void()> Round);
 
-  /// Begins the next round now.
+  /// Starts the next round now, or as soon as the current one ends.
   void wake();
 
-  /// Ends the thread after its current round. May be called twice.
+  /// Stops the thread after its current round. May be called repeatedly.
   void stop();
 
 private:
@@ -48,7 +48,7 @@
   std::mutex Mutex;
   std::condition_variable Changed;
   bool Stopping = false;
-  bool IsAwake = false;
+  bool IsWoken = false;
   std::thread Thread;
 };
 
--- a/include/canvaswick/Support/Text.h
+++ b/include/canvaswick/Support/Text.h
@@ -1,4 +1,4 @@
-//===- Text.h - Small helpers for text --------------------------*- C++ -*-===//
+//===- Text.h - Text utilities ----------------------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What several libraries need of plain text.
-///
+/// String functions shared by several libraries.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_TEXT_H
@@ -18,13 +17,13 @@
 
 namespace canvaswick {
 
-/// Returns Text without spaces, tabs and carriage returns at its ends.
+/// Returns Text without leading and trailing spaces, tabs and carriage returns.
 std::string trimText(const std::string &Text);
 
-/// Returns whether two texts are the same but for the case of ASCII letters.
+/// Returns whether two texts are equal, ignoring the case of ASCII letters.
 bool equalsIgnoringCase(const std::string &Left, const std::string &Right);
 
-/// Returns Text in lower case, by ASCII.
+/// Returns Text with ASCII letters converted to lower case.
 std::string toLowerCase(std::string Text);
 
 } // namespace canvaswick
--- a/include/canvaswick/Support/TextCompression.h
+++ b/include/canvaswick/Support/TextCompression.h
@@ -1,4 +1,4 @@
-//===- TextCompression.h - Texts made short for the wire --------*- C++ -*-===//
+//===- TextCompression.h - Compression of texts -----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Compresses what daemons tell each other of the store's items, with zlib.
-///
+/// Compresses store items that daemons exchange, with zlib.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_TEXTCOMPRESSION_H
@@ -20,12 +19,14 @@
 
 namespace canvaswick {
 
-/// Returns a text compressed. Any bytes may be in it.
+/// Returns Text compressed. Text may contain arbitrary bytes.
 std::string compressText(const std::string &Text);
 
-/// Undoes compressText. Fails with InvalidArgument on what compressText has not
-/// made, and on what would be longer than MostBytes.
-Result<std::string> decompressText(const std::string &Packed, size_t MostBytes);
+/// Decompresses the output of compressText. Fails with InvalidArgument if
+/// Compressed is invalid, or if the result would be longer than MaxBytes, and
+/// with Unavailable if there is no memory.
+Result<std::string> decompressText(const std::string &Compressed,
+                                   size_t MaxBytes);
 
 } // namespace canvaswick
 
--- a/include/canvaswick/Support/TextDelta.h
+++ b/include/canvaswick/Support/TextDelta.h
@@ -1,4 +1,4 @@
-//===- TextDelta.h - What changed between two texts ----------- -*- C++ -*-===//
+//===- TextDelta.h - Delta encoding of texts --------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Versions of a configuration differ by a route or two in a thousand. Who has
-/// one version gets the next as the places that stayed and the text between
-/// them.
-///
+/// Two versions of a configuration typically differ by one or two of a thousand
+/// routes. A daemon that has one version receives the next as references to
+/// unchanged ranges and the text between them.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_TEXTDELTA_H
@@ -24,7 +23,8 @@
 
 namespace canvaswick {
 
-/// Count bytes of the earlier text beginning with From, and Own after them.
+/// A range of Count bytes at offset From of the earlier text, followed by
+/// InsertedText.
 struct TextPiece {
   size_t From = 0;
   size_t Count = 0;
@@ -33,7 +33,7 @@
   bool operator==(const TextPiece &) const = default;
 };
 
-/// How a later text is made of an earlier one.
+/// Describes how to construct a later text from an earlier one.
 struct TextDelta {
   /// XXH64 of the later text.
   uint64_t Checksum = 0;
@@ -42,16 +42,16 @@
   bool operator==(const TextDelta &) const = default;
 };
 
-/// Compares two texts by the parts that end with a closing brace, as the
-/// objects of a JSON text do.
+/// Compares two texts by segments that end with a closing brace, as the objects
+/// of a JSON text do.
 TextDelta diffTexts(const std::string &Earlier, const std::string &Later);
 
-/// Makes the later text. Fails with InvalidArgument if the delta does not
-/// belong to this earlier text.
+/// Constructs the later text. Fails with InvalidArgument if Delta was not made
+/// for Earlier, or if the result would be too long.
 Result<std::string> applyDelta(const std::string &Earlier,
                                const TextDelta &Delta);
 
-/// Returns how many bytes a delta has on the wire, about.
+/// Returns the approximate encoded size of a delta in bytes.
 size_t measureDelta(const TextDelta &Delta);
 
 } // namespace canvaswick
--- a/include/canvaswick/Support/Time.h
+++ b/include/canvaswick/Support/Time.h
@@ -1,4 +1,4 @@
-//===- Time.h - Time types shared by every decision -------------*- C++ -*-===//
+//===- Time.h - Clock and time types ----------------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Decisions take the present time as an argument of these types, so that a
-/// test or a bench can drive them. Only programs and input/output code read the
-/// clocks.
-///
+/// Functions that make decisions take the current time as an argument of these
+/// types, so that tests and simulations control it. Only programs and
+/// input/output code read the clocks.
 //===----------------------------------------------------------------------===//
 
 #ifndef CANVASWICK_SUPPORT_TIME_H
@@ -23,20 +22,20 @@
 
 namespace canvaswick {
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The steady clock of this product: it never goes back, and counts the time in
-/// which the machine was suspended, as std::chrono::steady_clock does not here.
-/// After a suspension of ten seconds each age, lease and deadline is ten
-/// seconds older; with the other clock all that was known before looked fresh.
+/// A monotonic clock that includes the time during which the machine was
+/// suspended, which std::chrono::steady_clock excludes on Linux. After a
+/// suspension of ten seconds every age, lease and deadline must be ten seconds
+/// older; with steady_clock, state from before the suspension would look
+/// current.
 struct MachineClock {
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<MachineClock, duration>;
-  // Named so by the requirements on clocks.
-  // NOLINTNEXTLINE(readability-identifier-naming)
+  // The standard requires this name for clocks.
   static constexpr bool is_steady = true;
 
   static time_point now() {
@@ -48,19 +47,21 @@
   }
 };
 
-/// An instant of the steady clock. Zero is an arbitrary start.
+/// A point in time of MachineClock. Zero has no defined meaning.
 using TimePoint = MachineClock::time_point;
 
-/// Reads the steady clock. Only input/output code may call this.
+/// Returns the current time of MachineClock. Only input/output code may call
+/// this.
 inline TimePoint readSteadyClock() { return MachineClock::now(); }
 
-/// Reads the calendar clock in whole milliseconds since the epoch.
+/// Returns the calendar time in whole milliseconds since the epoch.
 inline int64_t readCalendarMillis() {
   auto Since = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(Since).count();
 }
 
-/// One instant on both clocks: the steady one, and the calendar's milliseconds.
+/// The same instant on both clocks: MachineClock, and the calendar time in
+/// milliseconds since the epoch.
 struct Instant {
   TimePoint Steady{};
   int64_t CalendarMillis = 0;
--- a/lib/Support/Base64.cpp
+++ b/lib/Support/Base64.cpp
@@ -1,4 +1,4 @@
-//===- Base64.cpp - Bytes as text -----------------------------------------===//
+//===- Base64.cpp - Base64 encoding ---------------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// OpenSSL does the work; what it does not check is checked here.
-///
+/// Uses OpenSSL, and adds the length check and padding removal that OpenSSL
+/// does not do.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/Base64.h"
@@ -29,14 +29,15 @@
 
 Result<std::string> decodeBase64(const std::string &Text) {
   if (Text.size() % 4 != 0)
-    return makeError(ErrorKind::InvalidArgument, "base64 of a wrong length");
+    return makeError(ErrorKind::InvalidArgument,
+                     "base64 length is not a multiple of 4");
   std::string Bytes(Text.size() / 4 * 3 + 1, '\0');
   const int Length =
       EVP_DecodeBlock(reinterpret_cast<unsigned char *>(Bytes.data()),
                       reinterpret_cast<const unsigned char *>(Text.data()),
                       static_cast<int>(Text.size()));
   if (Length < 0)
-    return makeError(ErrorKind::InvalidArgument, "not base64");
+    return makeError(ErrorKind::InvalidArgument, "invalid base64");
   size_t Padding = 0;
   while (Padding < 2 && Padding < Text.size() &&
          Text[Text.size() - 1 - Padding] == '=')
--- a/lib/Support/CallSignature.cpp
+++ b/lib/Support/CallSignature.cpp
@@ -1,5 +1,4 @@
-//===- CallSignature.cpp - Keyed checks on calls between daemons and from
-// operators -===//
+//===- CallSignature.cpp - Signatures of calls ----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A signature reads "name:millis:nonce:hmac" with the HMAC in hexadecimal.
-///
+/// The format of a signature is "name:millis:nonce:hmac", with the nonce and
+/// the HMAC in hexadecimal.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/CallSignature.h"
@@ -29,7 +28,7 @@
 
 namespace canvaswick {
 
-/// How far the sender's clock may differ from ours.
+/// Maximum difference between the clocks of sender and receiver.
 static constexpr int64_t WindowMillis = 30000;
 static constexpr size_t MinSecretBytes = 16;
 static constexpr size_t MaxKeys = 2;
@@ -89,7 +88,7 @@
 
 CallVerifier::CallVerifier(std::vector<CallKey> Keys) : Keys(std::move(Keys)) {}
 
-void CallVerifier::forgetOldNonces(int64_t NowMillis) {
+void CallVerifier::removeExpiredNonces(int64_t NowMillis) {
   while (!this->SeenNonces.empty() &&
          this->SeenNonces.begin()->first < NowMillis - WindowMillis)
     this->SeenNonces.erase(this->SeenNonces.begin());
@@ -119,7 +118,7 @@
       continue;
     if (!equalInConstantTime(Parts[3], computeHmac(Key, Prefix + "\n" + Body)))
       return makeError(ErrorKind::Unauthorized, "signature does not match");
-    this->forgetOldNonces(NowMillis);
+    this->removeExpiredNonces(NowMillis);
     if (!this->SeenNonces.insert({Sent, Prefix}).second)
       return makeError(ErrorKind::Unauthorized, "signature used before");
     return outcome::success();
--- a/lib/Support/Error.cpp
+++ b/lib/Support/Error.cpp
@@ -1,4 +1,4 @@
-//===- Error.cpp - Names of the error kinds -------------------------------===//
+//===- Error.cpp - Names of error kinds -----------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Holds the table of names that logs and reports print.
-///
+/// Defines the names of error kinds for logs and reports.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/Error.h"
--- a/lib/Support/Hash.cpp
+++ b/lib/Support/Hash.cpp
@@ -1,4 +1,4 @@
-//===- Hash.cpp - Stable hashes and rendezvous ranking --------------------===//
+//===- Hash.cpp - Stable hashes and rendezvous hashing --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// XXH64 for placement, SHA-256 for naming stored parts by their content.
-///
+/// Uses XXH64 for placement and SHA-256 for content addresses of stored parts.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/Hash.h"
--- a/lib/Support/KeyDigest.cpp
+++ b/lib/Support/KeyDigest.cpp
@@ -1,4 +1,4 @@
-//===- KeyDigest.cpp - What is kept of a caller's key ---------------------===//
+//===- KeyDigest.cpp - Digest of a caller key -----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// SHA-256 by OpenSSL, cut to its first half.
-///
+/// Uses the SHA-256 of OpenSSL, truncated to its first half.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/KeyDigest.h"
@@ -23,8 +22,8 @@
 
 namespace canvaswick {
 
-/// Hexadecimal digits of a byte.
-static constexpr size_t DigitsOfByte = 2;
+/// Number of hexadecimal digits per byte.
+static constexpr size_t HexDigitsPerByte = 2;
 
 KeyDigest KeyDigest::of(std::string_view Key) {
   unsigned char Whole[SHA256_DIGEST_LENGTH];
@@ -36,12 +35,12 @@
 }
 
 std::optional<KeyDigest> KeyDigest::parse(std::string_view Text) {
-  if (Text.size() != Size * DigitsOfByte)
+  if (Text.size() != Size * HexDigitsPerByte)
     return std::nullopt;
   KeyDigest Digest;
   for (size_t I = 0; I < Size; ++I) {
-    const char *First = Text.data() + I * DigitsOfByte;
-    const char *End = First + DigitsOfByte;
+    const char *First = Text.data() + I * HexDigitsPerByte;
+    const char *End = First + HexDigitsPerByte;
     const auto [Rest, Code] = std::from_chars(First, End, Digest.Bytes[I], 16);
     if (Code != std::errc() || Rest != End)
       return std::nullopt;
--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -1,4 +1,4 @@
-//===- Log.cpp - Log lines on standard output -----------------------------===//
+//===- Log.cpp - Structured logging to standard output --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,11 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One line an event: time, level, event, then fields as name=value. A daemon's
-/// lines go through a bounded queue to a thread that writes them, so that a
-/// reader that stalls never holds up a request; what does not fit is counted,
-/// and the count is logged.
-///
+/// A line holds the time, the level, the event and the fields as name=value. In
+/// a daemon, lines pass through a bounded queue to a writer thread, so that a
+/// stalled reader never delays a request. Dropped lines are counted, and their
+/// number is logged.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/Log.h"
@@ -36,11 +35,11 @@
 
 namespace {
 
-/// The queue and the thread behind it.
+/// Queue with a token bucket, and the thread that writes the lines.
 class LogWriter {
 public:
   explicit LogWriter(const LogBounds &Bounds)
-      : Bounds(Bounds), Tokens(Bounds.Burst), FilledAt(readSteadyClock()),
+      : Bounds(Bounds), Tokens(Bounds.Burst), RefilledAt(readSteadyClock()),
         Thread([this] { this->run(); }) {}
 
   ~LogWriter() {
@@ -54,7 +53,7 @@
 
   void add(std::string Line, TimePoint Now) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->fill(Now);
+    this->refillTokens(Now);
     if (this->Tokens < 1 || this->Queue.size() >= this->Bounds.QueueLimit) {
       ++this->Dropped;
       return;
@@ -71,15 +70,15 @@
   }
 
 private:
-  void fill(TimePoint Now) {
-    const double Seconds = std::max(0.0, toSeconds(Now - this->FilledAt));
+  void refillTokens(TimePoint Now) {
+    const double Seconds = std::max(0.0, toSeconds(Now - this->RefilledAt));
     this->Tokens = std::min(this->Bounds.Burst,
                             this->Tokens + Seconds * Bounds.LinesPerSecond);
-    this->FilledAt = Now;
+    this->RefilledAt = Now;
   }
 
-  /// Writes what waits without the mutex, so that a stalled reader stalls only
-  /// this thread.
+  /// Writes queued lines without holding the mutex, so that a stalled reader
+  /// blocks only this thread.
   void run() {
     std::unique_lock<std::mutex> Lock(this->Mutex);
     while (!this->Stopping || !this->Queue.empty()) {
@@ -87,8 +86,8 @@
           Lock, [this] { return this->Stopping || !this->Queue.empty(); });
       std::deque<std::string> Lines;
       Lines.swap(this->Queue);
-      const uint64_t Lost = this->Dropped - this->DroppedLogged;
-      this->DroppedLogged = this->Dropped;
+      const uint64_t Lost = this->Dropped - this->DroppedReported;
+      this->DroppedReported = this->Dropped;
       Lock.unlock();
       this->write(Lines, Lost);
       Lock.lock();
@@ -109,14 +108,14 @@
   std::condition_variable Changed;
   std::deque<std::string> Queue;
   double Tokens;
-  TimePoint FilledAt;
+  TimePoint RefilledAt;
   uint64_t Dropped = 0;
-  uint64_t DroppedLogged = 0;
+  uint64_t DroppedReported = 0;
   bool Stopping = false;
   std::thread Thread;
 };
 
-/// The writer of this process, or none.
+/// The writer of this process, if any.
 struct LogSlot {
   std::mutex Mutex;
   std::shared_ptr<LogWriter> Writer;
@@ -125,7 +124,8 @@
 
 } // namespace
 
-/// Lives as long as the process: threads may log until its very end.
+/// Returns the slot, which is never destroyed because threads may log until the
+/// process ends.
 static LogSlot &getLogSlot() {
   static LogSlot *Slot = new LogSlot;
   return *Slot;
--- a/lib/Support/PeriodicThread.cpp
+++ b/lib/Support/PeriodicThread.cpp
@@ -1,4 +1,4 @@
-//===- PeriodicThread.cpp - A thread that does one thing again and again --===//
+//===- PeriodicThread.cpp - Thread that runs a task periodically ----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One mutex and condition; the round runs without the mutex.
-///
+/// Uses one mutex and condition variable. The round runs without the mutex.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/PeriodicThread.h"
@@ -26,8 +25,9 @@
   });
 }
 
-/// Runs a round. A library may throw over an answer of a wrong shape.
-static void runGuarded(const std::function<void()> &Round) {
+/// Runs a round and logs exceptions. A library may throw on a malformed
+/// response.
+static void runAndLogExceptions(const std::function<void()> &Round) {
   try {
     Round();
   } catch (const std::exception &Failure) {
@@ -39,20 +39,20 @@
                          const std::function<void()> &Round) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
-    this->IsAwake = false;
+    this->IsWoken = false;
     Lock.unlock();
     const TimePoint Next = readSteadyClock() + Interval;
-    runGuarded(Round);
+    runAndLogExceptions(Round);
     Lock.lock();
     this->Changed.wait_until(
-        Lock, Next, [this] { return this->Stopping || this->IsAwake; });
+        Lock, Next, [this] { return this->Stopping || this->IsWoken; });
   }
 }
 
 void PeriodicThread::wake() {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->IsAwake = true;
+    this->IsWoken = true;
   }
   this->Changed.notify_all();
 }
--- a/lib/Support/Text.cpp
+++ b/lib/Support/Text.cpp
@@ -1,4 +1,4 @@
-//===- Text.cpp - Small helpers for text ----------------------------------===//
+//===- Text.cpp - Text utilities ------------------------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// ASCII only: header names and settings keys are.
-///
+/// ASCII is sufficient for header names and settings keys.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/Text.h"
--- a/lib/Support/TextCompression.cpp
+++ b/lib/Support/TextCompression.cpp
@@ -1,4 +1,4 @@
-//===- TextCompression.cpp - Texts made short for the wire ----------------===//
+//===- TextCompression.cpp - Compression of texts -------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A zlib stream with nothing around it: its own check sum is its only proof.
-///
+/// The format is a plain zlib stream. Its checksum is the only integrity check.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/TextCompression.h"
@@ -20,34 +19,35 @@
 
 namespace canvaswick {
 
-/// A machine with a tenth of a core packs for others. A copy of 1,163 entries
-/// of servers and daemons: 212,272 bytes as text, 30,553 packed and as base64,
-/// in 3.8 ms of a whole core (unit tests DirectoryCalls, beside other
-/// programs).
-static constexpr int Level = 3;
+/// zlib compression level. A daemon with a tenth of a core compresses for
+/// others, so the level is low. At this level a replica of 1,163 entries of
+/// servers and daemons shrinks from 212,272 bytes of text to 30,553 bytes of
+/// base64 in 3.8 ms on a full core (unit tests DirectoryCalls, on a machine
+/// that ran other programs too).
+static constexpr int CompressionLevel = 3;
 
-/// Room is made in steps, so that a short text that claims to be long costs
-/// what it is.
-static constexpr size_t StepBytes = 64 * 1024;
+/// Increment by which the output grows, so that a short input that claims to be
+/// long allocates no more than it decompresses to.
+static constexpr size_t OutputStepBytes = 64 * 1024;
 
 std::string compressText(const std::string &Text) {
   uLongf Length = ::compressBound(static_cast<uLong>(Text.size()));
-  std::string Packed(Length, '\0');
+  std::string Compressed(Length, '\0');
   [[maybe_unused]] const int Status =
-      ::compress2(reinterpret_cast<Bytef *>(Packed.data()), &Length,
+      ::compress2(reinterpret_cast<Bytef *>(Compressed.data()), &Length,
                   reinterpret_cast<const Bytef *>(Text.data()),
-                  static_cast<uLong>(Text.size()), Level);
-  assert(Status == Z_OK && "room for the longest result");
-  Packed.resize(Length);
-  return Packed;
+                  static_cast<uLong>(Text.size()), CompressionLevel);
+  assert(Status == Z_OK && "compressBound must suffice");
+  Compressed.resize(Length);
+  return Compressed;
 }
 
-/// Inflates all of Stream's input into Text. Returns zlib's last word.
-static int inflateAll(z_stream &Stream, size_t MostBytes, std::string &Text) {
+/// Decompresses all input of Stream into Text. Returns the last status of zlib.
+static int inflateAll(z_stream &Stream, size_t MaxBytes, std::string &Text) {
   int Status = Z_OK;
-  while (Status == Z_OK && Text.size() < MostBytes) {
+  while (Status == Z_OK && Text.size() < MaxBytes) {
     const size_t Before = Text.size();
-    const size_t Room = std::min(StepBytes, MostBytes - Before);
+    const size_t Room = std::min(OutputStepBytes, MaxBytes - Before);
     Text.resize(Before + Room);
     Stream.next_out = reinterpret_cast<Bytef *>(Text.data() + Before);
     Stream.avail_out = static_cast<uInt>(Room);
@@ -57,21 +57,22 @@
   return Status;
 }
 
-Result<std::string> decompressText(const std::string &Packed,
-                                   size_t MostBytes) {
+Result<std::string> decompressText(const std::string &Compressed,
+                                   size_t MaxBytes) {
   z_stream Stream{};
-  // zlib reads through this pointer only.
-  Stream.next_in = reinterpret_cast<Bytef *>(const_cast<char *>(Packed.data()));
-  Stream.avail_in = static_cast<uInt>(Packed.size());
+  // zlib does not write through next_in.
+  Stream.next_in =
+      reinterpret_cast<Bytef *>(const_cast<char *>(Compressed.data()));
+  Stream.avail_in = static_cast<uInt>(Compressed.size());
   if (::inflateInit(&Stream) != Z_OK)
-    return makeError(ErrorKind::Unavailable, "no memory to unpack a text");
+    return makeError(ErrorKind::Unavailable, "no memory to decompress a text");
   std::string Text;
-  const int Status = inflateAll(Stream, MostBytes, Text);
+  const int Status = inflateAll(Stream, MaxBytes, Text);
   const bool IsWhole = Status == Z_STREAM_END && Stream.avail_in == 0;
   ::inflateEnd(&Stream);
   if (!IsWhole)
     return makeError(ErrorKind::InvalidArgument,
-                     "a packed text that is broken or too long");
+                     "the compressed text is corrupt or too long");
   return Text;
 }
 
--- a/lib/Support/TextDelta.cpp
+++ b/lib/Support/TextDelta.cpp
@@ -1,4 +1,4 @@
-//===- TextDelta.cpp - What changed between two texts ---------------------===//
+//===- TextDelta.cpp - Delta encoding of texts ----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Parts are looked up by their content. One that goes on where the last one
-/// ended is taken before any other, so that runs stay whole.
-///
+/// Segments are looked up by content. A segment that follows the previous match
+/// in the earlier text is preferred to any other, so that ranges stay
+/// contiguous.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/TextDelta.h"
@@ -20,46 +20,47 @@
 
 namespace canvaswick {
 
-static constexpr char PartEnd = '}';
+static constexpr char SegmentEnd = '}';
 
-/// Longest text that is made: pieces may repeat what the earlier text has.
-static constexpr size_t MostTextBytes = 16 << 20;
+/// Maximum size of a constructed text: a small delta may refer to the same
+/// range many times.
+static constexpr size_t MaxTextBytes = 16 << 20;
 
-/// What one piece takes beside its text: two numbers and punctuation.
+/// Encoded size of a piece without its text: two numbers and punctuation.
 static constexpr size_t BytesPerPiece = 20;
 
-/// Returns the part of Text that begins at From.
-static std::string_view readPart(std::string_view Text, size_t From) {
-  const size_t End = Text.find(PartEnd, From);
+/// Returns the segment of Text that begins at From.
+static std::string_view readSegment(std::string_view Text, size_t From) {
+  const size_t End = Text.find(SegmentEnd, From);
   return Text.substr(From,
                      End == std::string_view::npos ? End : End + 1 - From);
 }
 
 TextDelta diffTexts(const std::string &Earlier, const std::string &Later) {
-  std::unordered_map<std::string_view, size_t> Places;
-  for (size_t At = 0; At < Earlier.size();) {
-    const std::string_view Part = readPart(Earlier, At);
-    Places.emplace(Part, At);
-    At += Part.size();
+  std::unordered_map<std::string_view, size_t> Offsets;
+  for (size_t Offset = 0; Offset < Earlier.size();) {
+    const std::string_view Segment = readSegment(Earlier, Offset);
+    Offsets.emplace(Segment, Offset);
+    Offset += Segment.size();
   }
   TextDelta Delta;
   Delta.Checksum = hashText(Later);
   TextPiece Piece;
-  for (size_t At = 0; At < Later.size();) {
-    const std::string_view Part = readPart(Later, At);
-    At += Part.size();
+  for (size_t Offset = 0; Offset < Later.size();) {
+    const std::string_view Segment = readSegment(Later, Offset);
+    Offset += Segment.size();
     const size_t Next = Piece.From + Piece.Count;
-    const bool GoesOn =
+    const bool IsContiguous =
         Piece.InsertedText.empty() &&
-        readPart(Earlier, std::min(Next, Earlier.size())) == Part;
-    const auto Found = Places.find(Part);
-    if (GoesOn) {
-      Piece.Count += Part.size();
-    } else if (Found == Places.end()) {
-      Piece.InsertedText += Part;
+        readSegment(Earlier, std::min(Next, Earlier.size())) == Segment;
+    const auto Found = Offsets.find(Segment);
+    if (IsContiguous) {
+      Piece.Count += Segment.size();
+    } else if (Found == Offsets.end()) {
+      Piece.InsertedText += Segment;
     } else {
       Delta.Pieces.push_back(std::move(Piece));
-      Piece = {Found->second, Part.size(), ""};
+      Piece = {Found->second, Segment.size(), ""};
     }
   }
   Delta.Pieces.push_back(std::move(Piece));
@@ -73,16 +74,16 @@
     if (Piece.From > Earlier.size() ||
         Piece.Count > Earlier.size() - Piece.From)
       return makeError(ErrorKind::InvalidArgument,
-                       "a difference past the end of the earlier text");
-    if (Piece.Count + Piece.InsertedText.size() > MostTextBytes - Later.size())
+                       "a delta that refers past the end of the earlier text");
+    if (Piece.Count + Piece.InsertedText.size() > MaxTextBytes - Later.size())
       return makeError(ErrorKind::InvalidArgument,
-                       "a difference to a text that is too long");
+                       "a delta to a text that is too long");
     Later.append(Earlier, Piece.From, Piece.Count);
     Later += Piece.InsertedText;
   }
   if (hashText(Later) != Delta.Checksum)
     return makeError(ErrorKind::InvalidArgument,
-                     "a difference to another text");
+                     "a delta to a text with another checksum");
   return Later;
 }
 
--- a/unittests/Support/CallSignatureTest.cpp
+++ b/unittests/Support/CallSignatureTest.cpp
@@ -1,4 +1,4 @@
-//===- CallSignatureTest.cpp - Tests of the keyed checks ------------------===//
+//===- CallSignatureTest.cpp - Tests for call signatures ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Wrong, old and replayed signatures are refused; two keys are valid at once.
-///
+/// Tests that wrong, old and replayed signatures are refused and that two keys
+/// are valid at once.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/CallSignature.h"
@@ -35,13 +35,13 @@
   CHECK(Again.error().Message == "signature used before");
 }
 
-TEST_CASE("both keys are valid while a key is changed") {
+TEST_CASE("both keys are valid during a key rotation") {
   CallVerifier Verifier({NewKey, OldKey});
   CHECK(Verifier.verify(signCall(OldKey, "body", Now, 1), "body", Now));
   CHECK(Verifier.verify(signCall(NewKey, "body", Now, 1), "body", Now));
 }
 
-TEST_CASE("what does not match is refused") {
+TEST_CASE("signatures that do not match are refused") {
   CallVerifier Verifier({NewKey});
   const std::string Signature = signCall(NewKey, "body", Now, 1);
   CHECK(!Verifier.verify(Signature, "another body", Now));
@@ -50,7 +50,7 @@
   CHECK(!Verifier.verify("new:1:2", "body", Now));
 }
 
-TEST_CASE("an old signature is refused, and stays refused") {
+TEST_CASE("a signature outside the time window is refused") {
   CallVerifier Verifier({NewKey});
   const std::string Signature = signCall(NewKey, "body", Now, 1);
   CHECK(!Verifier.verify(Signature, "body", Now + 30001));
@@ -58,7 +58,7 @@
   CHECK(Verifier.verify(Signature, "body", Now + 30000));
 }
 
-TEST_CASE("errors never hold the secret") {
+TEST_CASE("errors do not contain the secret") {
   CallVerifier Verifier({NewKey});
   Result<void> Refused =
       Verifier.verify(signCall(OldKey, "body", Now, 2), "body", Now);
@@ -67,7 +67,7 @@
   CHECK(Refused.error().Message.find(NewKey.Secret) == std::string::npos);
 }
 
-TEST_CASE("a key file that others may read is refused") {
+TEST_CASE("a key file that others may access is refused") {
   char Path[] = "/tmp/canvaswick-key-XXXXXX";
   ::close(::mkstemp(Path));
   std::ofstream(Path) << "# two keys\nnew = 0123456789abcdef\n"
--- a/unittests/Support/KeyDigestTest.cpp
+++ b/unittests/Support/KeyDigestTest.cpp
@@ -1,4 +1,4 @@
-//===- KeyDigestTest.cpp - Tests of what is kept of a key ----------------===//
+//===- KeyDigestTest.cpp - Tests for KeyDigest ----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -14,12 +14,12 @@
 using namespace canvaswick;
 
 TEST_CASE("a digest is the first half of SHA-256") {
-  // From the examples of FIPS 180-4.
+  // Examples of FIPS 180-4.
   CHECK(KeyDigest::of("abc").format() == "ba7816bf8f01cfea414140de5dae2223");
   CHECK(KeyDigest::of("").format() == "e3b0c44298fc1c149afbf4c8996fb924");
 }
 
-TEST_CASE("a digest that was written is read again, and tells keys apart") {
+TEST_CASE("a digest survives a round trip and distinguishes keys") {
   CHECK(rc::check([] {
     const auto Key = *rc::gen::arbitrary<std::string>();
     const auto Other = *rc::gen::arbitrary<std::string>();
@@ -31,7 +31,7 @@
   }));
 }
 
-TEST_CASE("a text of another form is no digest") {
+TEST_CASE("a text of another form is not parsed") {
   const std::string Good = KeyDigest::of("k").format();
   CHECK(KeyDigest::parse(Good));
   CHECK_FALSE(KeyDigest::parse(""));
--- a/unittests/Support/LogTest.cpp
+++ b/unittests/Support/LogTest.cpp
@@ -1,4 +1,4 @@
-//===- LogTest.cpp - Tests of the bounds of the log -----------------------===//
+//===- LogTest.cpp - Tests for the log limits -----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Volume stays within its bounds, what is dropped is counted, and writing
-/// waits for nobody.
-///
+/// Tests that the log volume is limited, that dropped lines are counted, and
+/// that logging does not block.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/Log.h"
@@ -25,7 +24,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("a log beyond its rate drops lines and counts them") {
+TEST_CASE("lines beyond the rate limit are dropped and counted") {
   LogBounds Bounds;
   Bounds.LinesPerSecond = 0;
   Bounds.Burst = 5;
@@ -38,7 +37,7 @@
   CHECK(countDroppedLogLines() - Before == 15);
 }
 
-TEST_CASE("a reader that stalls holds up nobody who logs") {
+TEST_CASE("a stalled reader does not block threads that log") {
   int Pipe[2];
   REQUIRE(::pipe(Pipe) == 0);
   const int Saved = ::dup(1);
@@ -50,15 +49,15 @@
   Bounds.QueueLimit = 100;
   const uint64_t Before = countDroppedLogLines();
   startLogWriter(Bounds);
-  // Far more than a pipe and the queue hold; nobody reads meanwhile.
+  // Writes more than the pipe and the queue can hold while nothing reads.
   const std::string Long(1000, 'x');
   for (int I = 0; I < 2000; ++I)
     logInfo("log-test", "text={}", Long);
   CHECK(countDroppedLogLines() - Before > 0);
-  // Reading again lets the writer end.
+  // The writer thread can only end once the pipe is read.
   std::thread Reader([&Pipe] {
-    char Thrown[65536];
-    while (::read(Pipe[0], Thrown, sizeof(Thrown)) > 0) {
+    char Discarded[65536];
+    while (::read(Pipe[0], Discarded, sizeof(Discarded)) > 0) {
     }
   });
   stopLogWriter();
--- a/unittests/Support/PauseDetectorTest.cpp
+++ b/unittests/Support/PauseDetectorTest.cpp
@@ -1,4 +1,4 @@
-//===- PauseDetectorTest.cpp - Tests of clocks and standstills ------------===//
+//===- PauseDetectorTest.cpp - Tests for PauseDetector and MachineClock ---===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The clock counts suspensions; rounds that are missing are noticed once.
-///
+/// Tests that the clock includes suspensions and that each pause is reported
+/// once.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/PauseDetector.h"
@@ -17,7 +17,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("the clock is the one that counts the time of suspensions") {
+TEST_CASE("the clock includes the time of suspensions") {
   timespec Boot{};
   REQUIRE(::clock_gettime(CLOCK_BOOTTIME, &Boot) == 0);
   const Duration Since = readSteadyClock().time_since_epoch();
@@ -25,11 +25,11 @@
   CHECK(Since < std::chrono::seconds(Boot.tv_sec + 60));
 }
 
-TEST_CASE("rounds that are missing are noticed, late ones are not") {
+TEST_CASE("missing rounds are detected, late rounds are not") {
   const TimePoint Start(fromSeconds(100));
-  PauseDetector Watch(fromMillis(50));
-  CHECK(Watch.recordRound(Start) == Duration::zero());
-  CHECK(Watch.recordRound(Start + fromMillis(900)) == Duration::zero());
-  CHECK(Watch.recordRound(Start + fromMillis(10900)) == fromSeconds(10));
-  CHECK(Watch.recordRound(Start + fromMillis(10950)) == Duration::zero());
+  PauseDetector Detector(fromMillis(50));
+  CHECK(Detector.recordRound(Start) == Duration::zero());
+  CHECK(Detector.recordRound(Start + fromMillis(900)) == Duration::zero());
+  CHECK(Detector.recordRound(Start + fromMillis(10900)) == fromSeconds(10));
+  CHECK(Detector.recordRound(Start + fromMillis(10950)) == Duration::zero());
 }
--- a/unittests/Support/TextCompressionTest.cpp
+++ b/unittests/Support/TextCompressionTest.cpp
@@ -1,4 +1,4 @@
-//===- TextCompressionTest.cpp - Tests of packed texts --------------------===//
+//===- TextCompressionTest.cpp - Tests for text compression ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// What is packed comes back, and nothing else does.
-///
+/// Tests that texts survive a round trip and that invalid input is refused.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/TextCompression.h"
@@ -18,13 +17,14 @@
 
 using namespace canvaswick;
 
-static constexpr size_t Most = 1 << 20;
+static constexpr size_t MaxBytes = 1 << 20;
 
-TEST_CASE("any text comes back, up to the bound to the byte") {
+TEST_CASE("any text survives a round trip, up to the exact length limit") {
   CHECK(rc::check([](const std::string &Text) {
-    Result<std::string> Back = decompressText(compressText(Text), Most);
-    RC_ASSERT(Back);
-    RC_ASSERT(Back.value() == Text);
+    Result<std::string> Decompressed =
+        decompressText(compressText(Text), MaxBytes);
+    RC_ASSERT(Decompressed);
+    RC_ASSERT(Decompressed.value() == Text);
   }));
   const std::string Long(100000, 'x');
   CHECK(compressText(Long).size() < 1000);
@@ -32,22 +32,23 @@
   CHECK_FALSE(decompressText(compressText(Long), Long.size() - 1));
 }
 
-TEST_CASE("what is cut, changed or followed by more is refused") {
-  const std::string Packed =
+TEST_CASE("truncated, changed or extended input is refused") {
+  const std::string Compressed =
       compressText("a text that is long enough to be cut");
-  CHECK_FALSE(decompressText("", Most));
-  CHECK_FALSE(decompressText("no stream", Most));
-  CHECK_FALSE(decompressText(Packed.substr(0, Packed.size() - 1), Most));
-  CHECK_FALSE(decompressText(Packed + "x", Most));
-  std::string Changed = Packed;
+  CHECK_FALSE(decompressText("", MaxBytes));
+  CHECK_FALSE(decompressText("no stream", MaxBytes));
+  CHECK_FALSE(
+      decompressText(Compressed.substr(0, Compressed.size() - 1), MaxBytes));
+  CHECK_FALSE(decompressText(Compressed + "x", MaxBytes));
+  std::string Changed = Compressed;
   Changed[Changed.size() / 2] ^= 1;
-  CHECK_FALSE(decompressText(Changed, Most));
+  CHECK_FALSE(decompressText(Changed, MaxBytes));
 }
 
-TEST_CASE("random bytes never unpack to more than the bound") {
+TEST_CASE("random bytes never decompress to more than the limit") {
   CHECK(rc::check([](const std::string &Bytes) {
-    Result<std::string> Back = decompressText(Bytes, 10);
-    if (Back)
-      RC_ASSERT(Back.value().size() <= 10U);
+    Result<std::string> Decompressed = decompressText(Bytes, 10);
+    if (Decompressed)
+      RC_ASSERT(Decompressed.value().size() <= 10U);
   }));
 }
--- a/unittests/Support/TextDeltaTest.cpp
+++ b/unittests/Support/TextDeltaTest.cpp
@@ -1,4 +1,4 @@
-//===- TextDeltaTest.cpp - Tests of differences between texts -------------===//
+//===- TextDeltaTest.cpp - Tests for delta encoding -----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A later text always comes back from the earlier one and the difference.
-///
+/// Tests that a later text is reconstructed from an earlier one and the delta.
 //===----------------------------------------------------------------------===//
 
 #include "canvaswick/Support/TextDelta.h"
@@ -29,7 +28,8 @@
   return Text + "]}";
 }
 
-TEST_CASE("one route of a thousand changed, and the version") {
+TEST_CASE(
+    "the delta is small if one route of a thousand and the version change") {
   const std::string Earlier = makeConfig(20, 1130, -1);
   const std::string Later = makeConfig(23, 1130, 700);
   const TextDelta Delta = diffTexts(Earlier, Later);
@@ -41,30 +41,30 @@
   CHECK(measureDelta(diffTexts(Later, Longer)) < 500);
 }
 
-TEST_CASE("any text comes back from any other") {
+TEST_CASE("any text is reconstructed from any other") {
   CHECK(rc::check([] {
     const auto Draw = rc::gen::container<std::string>(
         rc::gen::elementOf(std::string("ab{}}}")));
     const std::string Earlier = *Draw;
     const std::string Later = *Draw;
-    const Result<std::string> Back =
+    const Result<std::string> Reconstructed =
         applyDelta(Earlier, diffTexts(Earlier, Later));
-    RC_ASSERT(Back);
-    RC_ASSERT(Back.value() == Later);
+    RC_ASSERT(Reconstructed);
+    RC_ASSERT(Reconstructed.value() == Later);
   }));
 }
 
-TEST_CASE("a difference to another text, or past its end, is refused") {
+TEST_CASE("a delta for another text, or past its end, is refused") {
   const std::string Earlier = makeConfig(20, 30, -1);
   const TextDelta Delta = diffTexts(Earlier, makeConfig(21, 30, 3));
   CHECK_FALSE(applyDelta(makeConfig(20, 30, 5), Delta));
   CHECK_FALSE(applyDelta("", Delta));
-  TextDelta Past = Delta;
-  Past.Pieces.push_back({Earlier.size(), 1, ""});
-  CHECK_FALSE(applyDelta(Earlier, Past));
-  TextDelta Endless;
-  Endless.Pieces.assign(1 << 16, {0, Earlier.size(), ""});
-  CHECK_FALSE(applyDelta(Earlier, Endless));
-  Past.Pieces.back() = {1, SIZE_MAX, ""};
-  CHECK_FALSE(applyDelta(Earlier, Past));
+  TextDelta PastEnd = Delta;
+  PastEnd.Pieces.push_back({Earlier.size(), 1, ""});
+  CHECK_FALSE(applyDelta(Earlier, PastEnd));
+  TextDelta TooLong;
+  TooLong.Pieces.assign(1 << 16, {0, Earlier.size(), ""});
+  CHECK_FALSE(applyDelta(Earlier, TooLong));
+  PastEnd.Pieces.back() = {1, SIZE_MAX, ""};
+  CHECK_FALSE(applyDelta(Earlier, PastEnd));
 }
