--- a/unittests/EndingRequest/EndingRequestTest.cpp
+++ b/unittests/EndingRequest/EndingRequestTest.cpp
@@ -1,4 +1,4 @@
-//===- EndingRequestTest.cpp - A request under which servers end ----------===//
+//===- EndingRequestTest.cpp - Tests of requests that crash servers -------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,30 +7,25 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The failure. A caller asked for one thing again and again, at any daemon.
-/// Each server that began it ended, and was back after a second or two. It was
-/// sent on each time: 20 servers ended, and a third of the reads of all others
-/// were not served meanwhile.
+/// Guards against a request that crashes one server after another. A caller
+/// sent one such request again and again, to any daemon. Each server that ran
+/// it crashed, with all that it had in flight or queued, and was back after a
+/// second or two. The daemon charged the crash to the server and forgot the
+/// request; the next daemon sent it to the best of the servers that were left.
+/// 20 servers crashed, twelve of one service and of all halls within 17
+/// seconds, each with up to twelve attempts of different daemons in flight. No
+/// daemon refused anything, and a third of the reads of all other callers
+/// failed meanwhile.
 ///
-/// The order of events. The request reached a well server; the server ended,
-/// and with it all that it had in flight or queued. The daemon charged that to
-/// the server and forgot the request. The caller asked another daemon, which
-/// sent the request to the best of those that were left.
+/// The cause was that daemons kept the outcomes of attempts by server alone, so
+/// that the same request met the next server as if it were new.
 ///
-/// The cause. What the end of an attempt says was kept by server alone. Nothing
-/// was known of requests once they were answered, at no daemon, so that the
-/// same request met the next server as if it had never been asked. Evidence:
-/// within 17 seconds twelve servers of one service and of all halls ended one
-/// by one, each with up to twelve attempts of different daemons in flight, and
-/// no daemon refused anything for that; the caller's record names one request
-/// under all.
-///
-/// The counterpart must stay as it is: what all callers ask for is in flight at
-/// any server that ends, whatever ended it.
+/// The converse is tested too: a request that many callers send is in flight at
+/// any server that crashes, whatever the cause, and must not be quarantined.
 ///
 //===----------------------------------------------------------------------===//
 
-#include "MortalServers.h"
+#include "CrashingServers.h"
 #include "PlatformAdapter/HallFixture.h"
 #include "canvaswick/Daemon/PoisonRequestReport.h"
 
@@ -39,58 +34,62 @@
 using namespace canvaswick;
 using namespace canvaswick::platform;
 
-/// Sends of one request that are left for it once three servers have ended
-/// under it, and from when on they count: until then the news may travel.
-static constexpr size_t TriesLeft = 3;
-static constexpr Duration NewsTime = fromSeconds(3);
+/// Maximum number of sends of one request after it has crashed three servers.
+/// Sends count from PropagationTime after the third crash, since daemons need
+/// that time to learn of it.
+static constexpr size_t MaxLateSends = 3;
+static constexpr Duration PropagationTime = fromSeconds(3);
 
-/// How long the request comes again, and how often.
-static constexpr Duration AskingTime = fromSeconds(7);
-static constexpr std::chrono::milliseconds AskingPause(60);
+/// Time for which the request is repeated, and the interval between requests.
+static constexpr Duration RequestPeriod = fromSeconds(7);
+static constexpr std::chrono::milliseconds RequestInterval(60);
 
 namespace {
 
-/// Three daemons of two halls before six servers.
-struct Fleet : Hall {
-  explicit Fleet(const std::string &EndsUnder)
+/// Three daemons and six servers in two halls.
+struct FleetFixture : Hall {
+  explicit FleetFixture(const std::string &FatalTarget)
       : Hall({"a", "a", "b"}),
-        Servers(this->Store, {"a", "a", "a", "b", "b", "b"}, EndsUnder) {
+        Servers(this->Store, {"a", "a", "a", "b", "b", "b"}, FatalTarget) {
     this->writeConfig(2);
     for (const std::unique_ptr<Member> &Each : this->Members)
       this->waitFor([&] { return this->serves(*Each, "/x/1"); });
     this->waitFor([&] { return this->listWatchers().size() == 3; });
   }
 
-  /// Asks the next daemon in turn.
-  ExchangeResult askNext(const std::string &Method, const std::string &Target) {
-    const Member &Each = *this->Members[this->Turn++ % this->Members.size()];
+  /// Sends a request to the next daemon in turn.
+  ExchangeResult sendToNextDaemon(const std::string &Method,
+                                  const std::string &Target) {
+    const Member &Each =
+        *this->Members[this->NextMember++ % this->Members.size()];
     return this->sendRequestTo(Each.Config.Callers, Method, Target,
                                Method == "POST" ? "order" : "");
   }
 
-  /// Asks for what ends servers as long as AskingTime. Returns the last answer.
-  ExchangeResult askOften(const std::string &Method,
-                          const std::string &Target) {
-    const TimePoint Until = readSteadyClock() + AskingTime;
+  /// Sends a request repeatedly for RequestPeriod. Returns the last answer.
+  ExchangeResult sendRepeatedly(const std::string &Method,
+                                const std::string &Target) {
+    const TimePoint Until = readSteadyClock() + RequestPeriod;
     ExchangeResult Last;
     while (readSteadyClock() < Until) {
-      Last = this->askNext(Method, Target);
-      std::this_thread::sleep_for(AskingPause);
+      Last = this->sendToNextDaemon(Method, Target);
+      std::this_thread::sleep_for(RequestInterval);
     }
     return Last;
   }
 
-  /// Returns how often it was sent after the news of three ends had time.
+  /// Returns how often the fatal request was sent later than PropagationTime
+  /// after its third arrival at a server.
   size_t countLateSends() {
-    const std::vector<TimePoint> Sends = this->Servers.listArrivals();
+    const std::vector<TimePoint> Sends = this->Servers.listFatalArrivals();
     REQUIRE(Sends.size() >= 3);
-    const TimePoint From = Sends[2] + NewsTime;
+    const TimePoint From = Sends[2] + PropagationTime;
     return static_cast<size_t>(
         std::count_if(Sends.begin(), Sends.end(),
                       [From](TimePoint Each) { return Each > From; }));
   }
 
-  /// Returns the requests of which the store has a record.
+  /// Returns the records of poison requests that the store holds.
   std::vector<PoisonRequestRecord> readRecords() {
     const std::string Text = this->Store.peek("canvaswick/suspects");
     if (Text.empty())
@@ -101,95 +100,99 @@
     return Records.value();
   }
 
-  MortalServers Servers;
-  size_t Turn = 0;
+  CrashingServers Servers;
+  size_t NextMember = 0;
 };
 
 } // namespace
 
-TEST_CASE("what ends three servers is sent three times more at most") {
+TEST_CASE("a request that crashed three servers is sent at most three times "
+          "more") {
   for (const std::string Method : {"GET", "POST"}) {
     const std::string Target = Method == "GET" ? "/x/fatal" : "/pay/fatal";
     CAPTURE(Method);
-    Fleet Under(Target);
-    const ExchangeResult Last = Under.askOften(Method, Target);
-    CHECK(Under.countLateSends() <= TriesLeft);
+    FleetFixture Fixture(Target);
+    const ExchangeResult Last = Fixture.sendRepeatedly(Method, Target);
+    CHECK(Fixture.countLateSends() <= MaxLateSends);
     CHECK(Last.Status == 503);
     CHECK(Last.Headers.count("Retry-After") == 1);
     for (int I = 0; I < 30; ++I)
-      CHECK(Under.askNext("GET", "/x/other").Status == 200);
+      CHECK(Fixture.sendToNextDaemon("GET", "/x/other").Status == 200);
   }
 }
 
-TEST_CASE("daemons that start later know what is held back") {
-  Fleet Under("/pay/fatal");
-  while (Under.askNext("POST", "/pay/fatal").Status != 503)
+TEST_CASE("daemons that start later know the quarantined requests") {
+  FleetFixture Fixture("/pay/fatal");
+  while (Fixture.sendToNextDaemon("POST", "/pay/fatal").Status != 503)
     continue;
-  Under.waitFor([&] { return !Under.readRecords().empty(); });
-  // All at once: what they knew of each other is gone.
-  for (const std::unique_ptr<Member> &Each : Under.Members)
+  Fixture.waitFor([&] { return !Fixture.readRecords().empty(); });
+  // All daemons stop at once, so that no peer remembers the quarantine.
+  for (const std::unique_ptr<Member> &Each : Fixture.Members)
     Each->stop();
-  for (const std::unique_ptr<Member> &Each : Under.Members)
+  for (const std::unique_ptr<Member> &Each : Fixture.Members)
     Each->start();
-  for (const std::unique_ptr<Member> &Each : Under.Members)
-    Under.waitFor([&] { return Under.serves(*Each, "/x/1"); });
-  const size_t Before = Under.Servers.listArrivals().size();
+  for (const std::unique_ptr<Member> &Each : Fixture.Members)
+    Fixture.waitFor([&] { return Fixture.serves(*Each, "/x/1"); });
+  const size_t Before = Fixture.Servers.listFatalArrivals().size();
   size_t Sent = 0;
   for (int I = 0; I < 12; ++I) {
-    const ExchangeResult Answer = Under.askNext("POST", "/pay/fatal");
-    const bool IsHeld = Answer.Status == 503;
-    Sent += IsHeld ? 0 : 1;
-    if (IsHeld)
+    const ExchangeResult Answer =
+        Fixture.sendToNextDaemon("POST", "/pay/fatal");
+    const bool IsQuarantined = Answer.Status == 503;
+    Sent += IsQuarantined ? 0 : 1;
+    if (IsQuarantined)
       CHECK(Answer.Headers.find("Canvaswick-Reason")->second == "held-back");
   }
-  // Nothing is sent but for a try that has come due, by its record.
-  CHECK(Under.Servers.listArrivals().size() == Before + Sent);
-  CHECK(Sent <= static_cast<size_t>(Under.readRecords().at(0).Probes));
+  // Requests are sent only as probes that are due, which the record counts.
+  CHECK(Fixture.Servers.listFatalArrivals().size() == Before + Sent);
+  CHECK(Sent <= static_cast<size_t>(Fixture.readRecords().at(0).Probes));
 }
 
-TEST_CASE("what no longer ends servers comes free, at all daemons") {
-  Fleet Under("/x/fatal");
-  while (Under.askNext("GET", "/x/fatal").Status != 503)
+TEST_CASE(
+    "a request that no longer crashes servers is released at all daemons") {
+  FleetFixture Fixture("/x/fatal");
+  while (Fixture.sendToNextDaemon("GET", "/x/fatal").Status != 503)
     continue;
-  Under.waitFor([&] { return !Under.readRecords().empty(); });
-  Under.Servers.mend();
-  for (const std::unique_ptr<Member> &Each : Under.Members)
-    Under.waitFor([&] { return Under.serves(*Each, "/x/fatal"); });
-  // Also for those that have yet to start.
-  Under.waitFor([&] { return Under.readRecords().empty(); });
+  Fixture.waitFor([&] { return !Fixture.readRecords().empty(); });
+  Fixture.Servers.stopCrashing();
+  for (const std::unique_ptr<Member> &Each : Fixture.Members)
+    Fixture.waitFor([&] { return Fixture.serves(*Each, "/x/fatal"); });
+  // The record is removed, so daemons that start later do not quarantine it.
+  Fixture.waitFor([&] { return Fixture.readRecords().empty(); });
 }
 
-TEST_CASE("without the store a request is held back, and not tried") {
-  Fleet Under("/x/fatal");
+TEST_CASE("without the store a request is quarantined and not probed") {
+  FleetFixture Fixture("/x/fatal");
   StoreFaults Down;
   Down.IsDown = true;
-  Under.Store.setFaults(Down);
-  const ExchangeResult Last = Under.askOften("GET", "/x/fatal");
+  Fixture.Store.setFaults(Down);
+  const ExchangeResult Last = Fixture.sendRepeatedly("GET", "/x/fatal");
   CHECK(Last.Status == 503);
-  CHECK(Under.countLateSends() == 0);
+  CHECK(Fixture.countLateSends() == 0);
 }
 
-TEST_CASE("what all ask for is served while servers end for another reason") {
-  Fleet Under("");
-  const TimePoint Until = readSteadyClock() + AskingTime;
-  std::atomic<size_t> Asked{0};
-  std::atomic<size_t> Served{0};
+TEST_CASE(
+    "a popular request is served while servers crash for another reason") {
+  FleetFixture Fixture("");
+  const TimePoint Until = readSteadyClock() + RequestPeriod;
+  std::atomic<size_t> SentCount{0};
+  std::atomic<size_t> ServedCount{0};
   std::vector<std::thread> Callers;
-  for (const std::unique_ptr<Member> &Each : Under.Members)
+  for (const std::unique_ptr<Member> &Each : Fixture.Members)
     Callers.emplace_back([&] {
       while (readSteadyClock() < Until) {
-        ++Asked;
-        Served += Under.serves(*Each, "/x/popular") ? 1 : 0;
+        ++SentCount;
+        ServedCount += Fixture.serves(*Each, "/x/popular") ? 1 : 0;
       }
     });
   while (readSteadyClock() < Until) {
-    Under.Servers.endOne();
-    Under.Servers.endOne();
+    Fixture.Servers.crashOne();
+    Fixture.Servers.crashOne();
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
   }
   for (std::thread &Each : Callers)
     Each.join();
-  CAPTURE(Asked.load());
-  CAPTURE(Served.load());
-  CHECK(Served * 100 >= Asked * 98);
+  CAPTURE(SentCount.load());
+  CAPTURE(ServedCount.load());
+  CHECK(ServedCount * 100 >= SentCount * 98);
 }
