--- a/unittests/StoreRestore/FeedRestoreTest.cpp
+++ b/unittests/StoreRestore/FeedRestoreTest.cpp
@@ -1,5 +1,4 @@
-//===- FeedRestoreTest.cpp - What one daemon learns of a restored store --===//
-//----===//
+//===- FeedRestoreTest.cpp - Tests of StoreWatcher after a restore --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -20,18 +19,19 @@
 
 static const std::string DaemonKey = "canvaswick/daemons/d1";
 
-/// Changes an item that means nothing so often.
-static void change(StoreStandIn &Store, int Count) {
+/// Writes an item that no daemon reads Count times.
+static void writeUnrelatedItem(StoreStandIn &Store, int Count) {
   for (int I = 0; I < Count; ++I)
     Store.put("other/item", fmt::format("{}", I));
 }
 
-/// Runs rounds until the view is as far as the store, or says that it is not.
-static bool catchesUp(StoreWatcherFixture &Under, int Rounds) {
+/// Runs up to Rounds rounds until the view is at the store's epoch and
+/// revision. Returns whether it got there.
+static bool catchesUp(StoreWatcherFixture &Fixture, int Rounds) {
   for (int I = 0; I < Rounds; ++I) {
-    Under.Watcher.runRound();
-    if (Under.View.getAsOf().Revision == Under.Store.getRevision() &&
-        Under.View.getAsOf().Epoch == Under.Client.getEpoch())
+    Fixture.Watcher.runRound();
+    if (Fixture.View.getAsOf().Revision == Fixture.Store.getRevision() &&
+        Fixture.View.getAsOf().Epoch == Fixture.Client.getEpoch())
       return true;
   }
   return false;
@@ -39,201 +39,201 @@
 
 namespace {
 
-/// A feed that is further than the copy to which its store goes back.
-struct RestoreBench : StoreWatcherFixture {
-  RestoreBench() {
+/// A watcher whose view is newer than the backup of its store.
+struct RestoreFixture : StoreWatcherFixture {
+  RestoreFixture() {
     this->Store.put(DaemonKey, encodeDaemon(this->Self));
     synchronize(this->Watcher);
     this->Store.takeBackup();
-    change(this->Store, 20);
+    writeUnrelatedItem(this->Store, 20);
     CHECK(catchesUp(*this, 3));
   }
 };
 
 } // namespace
 
-TEST_CASE("changes in a gap that revisions have passed again are read") {
-  RestoreBench Under;
-  Under.Store.restoreBackup();
-  Under.Store.remove(DaemonKey);
-  change(Under.Store, 40);
-  CHECK(catchesUp(Under, 3));
-  CHECK(Under.View.listDaemons().size() == 1);
-  Under.View.resolveMissing(readSteadyClock() + fromSeconds(10));
-  CHECK(Under.View.listDaemons().empty());
+TEST_CASE("changes are read although the revision passed the old one again") {
+  RestoreFixture Fixture;
+  Fixture.Store.restoreBackup();
+  Fixture.Store.remove(DaemonKey);
+  writeUnrelatedItem(Fixture.Store, 40);
+  CHECK(catchesUp(Fixture, 3));
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  Fixture.View.resolveMissing(readSteadyClock() + fromSeconds(10));
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("a store that goes back and tells no epoch is believed") {
-  RestoreBench Under;
-  Under.Store.restoreBackup();
-  SUBCASE("it never told one") { Under.Store.setEpochText(std::nullopt); }
-  SUBCASE("it tells the one before") { Under.Store.setEpochText("1"); }
-  Under.Store.remove(DaemonKey);
-  Under.Watcher.runRound();
-  Under.Watcher.runRound();
-  Under.Watcher.runRound();
-  CHECK(Under.View.getAsOf().Revision == Under.Store.getRevision());
+TEST_CASE("a restored store that sends no new epoch is read again") {
+  RestoreFixture Fixture;
+  Fixture.Store.restoreBackup();
+  SUBCASE("it sends no epoch") { Fixture.Store.setEpochText(std::nullopt); }
+  SUBCASE("it sends the earlier epoch") { Fixture.Store.setEpochText("1"); }
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Watcher.runRound();
+  Fixture.Watcher.runRound();
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.getAsOf().Revision == Fixture.Store.getRevision());
 }
 
-TEST_CASE("an epoch that is no number, or two, is none") {
-  const auto Read = [](std::vector<std::string> Texts) {
+TEST_CASE("an epoch that is not a number, or two different ones, is ignored") {
+  const auto ReadTexts = [](std::vector<std::string> Texts) {
     httplib::Headers Headers;
     for (std::string &Text : Texts)
       Headers.emplace("Store-Era", std::move(Text));
     return readEpoch(Headers);
   };
-  CHECK(Read({"7"}) == 7);
-  CHECK(Read({"7", "7"}) == 7);
-  CHECK_FALSE(Read({}));
-  CHECK_FALSE(Read({""}));
-  CHECK_FALSE(Read({"7", "8"}));
+  CHECK(ReadTexts({"7"}) == 7);
+  CHECK(ReadTexts({"7", "7"}) == 7);
+  CHECK_FALSE(ReadTexts({}));
+  CHECK_FALSE(ReadTexts({""}));
+  CHECK_FALSE(ReadTexts({"7", "8"}));
   for (const char *Text : {"-1", "+1", " 7", "7 ", "7.0", "1e3", "0x7", "seven",
                            "7,7", "18446744073709551616"}) {
     CAPTURE(Text);
-    CHECK_FALSE(Read({Text}));
+    CHECK_FALSE(ReadTexts({Text}));
   }
 }
 
-TEST_CASE("answers without an epoch count as of the one that is known") {
-  RestoreBench Under;
-  Under.Store.setEpochText("x");
-  Under.Store.remove(DaemonKey);
-  CHECK(catchesUp(Under, 2));
-  CHECK(Under.View.listDaemons().empty());
+TEST_CASE("answers without a valid epoch count as of the known epoch") {
+  RestoreFixture Fixture;
+  Fixture.Store.setEpochText("x");
+  Fixture.Store.remove(DaemonKey);
+  CHECK(catchesUp(Fixture, 2));
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("an answer of an epoch that is over changes nothing") {
-  RestoreBench Under;
-  Under.Store.restoreBackup();
-  CHECK(catchesUp(Under, 4));
-  const StorePosition Known = Under.View.getAsOf();
-  // The store answers as it would have before.
-  Under.Store.setEpochText("1");
-  Under.Store.remove(DaemonKey);
-  Under.Watcher.runRound();
-  Under.Watcher.runRound();
-  CHECK(Under.View.getAsOf() == Known);
-  CHECK_FALSE(Under.Watcher.isSynced());
-  Under.Store.setEpochText("2");
-  CHECK(catchesUp(Under, 4));
-  CHECK(Under.View.listDaemons().empty());
+TEST_CASE("an answer of an earlier epoch changes nothing") {
+  RestoreFixture Fixture;
+  Fixture.Store.restoreBackup();
+  CHECK(catchesUp(Fixture, 4));
+  const StorePosition Known = Fixture.View.getAsOf();
+  // The store answers as of the earlier epoch.
+  Fixture.Store.setEpochText("1");
+  Fixture.Store.remove(DaemonKey);
+  Fixture.Watcher.runRound();
+  Fixture.Watcher.runRound();
+  CHECK(Fixture.View.getAsOf() == Known);
+  CHECK_FALSE(Fixture.Watcher.isSynced());
+  Fixture.Store.setEpochText("2");
+  CHECK(catchesUp(Fixture, 4));
+  CHECK(Fixture.View.listDaemons().empty());
 }
 
-TEST_CASE("an epoch that jumps is taken like the next") {
-  RestoreBench Under;
-  Under.Store.restoreBackup();
-  Under.Store.setEpochText("12");
-  CHECK(catchesUp(Under, 4));
-  CHECK(Under.View.getAsOf().Epoch == 12);
+TEST_CASE("an epoch that skips numbers is accepted") {
+  RestoreFixture Fixture;
+  Fixture.Store.restoreBackup();
+  Fixture.Store.setEpochText("12");
+  CHECK(catchesUp(Fixture, 4));
+  CHECK(Fixture.View.getAsOf().Epoch == 12);
 }
 
-TEST_CASE("a store that forgets its history all the time is not stormed") {
-  RestoreBench Under;
-  const double Before = Under.Store.sumCallCosts();
-  const TimePoint Began = readSteadyClock();
+TEST_CASE("a store that keeps losing its history gets few calls") {
+  RestoreFixture Fixture;
+  const double Before = Fixture.Store.sumCallCosts();
+  const TimePoint Begin = readSteadyClock();
   constexpr int Rounds = 8;
   for (int I = 0; I < Rounds; ++I) {
-    change(Under.Store, 1);
-    Under.Store.forgetHistory();
-    Under.Watcher.runRound();
+    writeUnrelatedItem(Fixture.Store, 1);
+    Fixture.Store.forgetHistory();
+    Fixture.Watcher.runRound();
   }
-  // Every second round pauses, longer each time.
-  CHECK(readSteadyClock() - Began >= fromMillis(200));
-  CHECK(Under.Store.sumCallCosts() - Before <= 2 * Rounds);
+  // Every second round waits, and the backoff grows.
+  CHECK(readSteadyClock() - Begin >= fromMillis(200));
+  CHECK(Fixture.Store.sumCallCosts() - Before <= 2 * Rounds);
 }
 
-TEST_CASE("a lease number of an earlier epoch is let go, and not ended") {
-  StoreWatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  StoreWatcherFixture::synchronize(Under.Watcher);
-  Under.Store.takeBackup();
-  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
+TEST_CASE(
+    "a lease of an earlier epoch is dropped without ending it at the store") {
+  StoreWatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  StoreWatcherFixture::synchronize(Fixture.Watcher);
+  Fixture.Store.takeBackup();
+  DaemonRegistration Registry(Fixture.Client, Fixture.View, Fixture.Self,
                               fromSeconds(60));
   const TimePoint Now = readSteadyClock();
   Registry.runRound(Now);
-  CHECK(catchesUp(Under, 2));
-  Under.Store.restoreBackup();
-  // The number is given out again.
-  Result<StoreLease> Others = Under.Client.openLease(fromSeconds(60));
-  REQUIRE(Others);
+  CHECK(catchesUp(Fixture, 2));
+  Fixture.Store.restoreBackup();
+  // The store gives the same number to another lease.
+  Result<StoreLease> OtherLease = Fixture.Client.openLease(fromSeconds(60));
+  REQUIRE(OtherLease);
   StoreTransaction Write;
   Write.Writes.push_back(
       {"canvaswick/daemons/d2",
        encodeDaemon({"d2", "h", {"10.0.0.2", 80}, {"10.0.0.2", 81}},
-                    Others.value().Number),
-       Others.value().Number});
-  REQUIRE(Under.Client.write(Write));
-  SUBCASE("it leaves before it has read the store again") {
+                    OtherLease.value().Number),
+       OtherLease.value().Number});
+  REQUIRE(Fixture.Client.write(Write));
+  SUBCASE("the daemon leaves before it has read the store again") {
     Registry.leave();
-    CHECK_FALSE(Under.Store.peek("canvaswick/daemons/d2").empty());
+    CHECK_FALSE(Fixture.Store.peek("canvaswick/daemons/d2").empty());
   }
-  SUBCASE("it is listed again, by a lease of its own") {
-    CHECK(catchesUp(Under, 3));
+  SUBCASE("the daemon is listed again, with a new lease") {
+    CHECK(catchesUp(Fixture, 3));
     for (int Seconds = 0; Seconds < 3; ++Seconds)
       Registry.runRound(Now + fromSeconds(Seconds));
-    CHECK_FALSE(Under.Store.peek(DaemonKey).empty());
+    CHECK_FALSE(Fixture.Store.peek(DaemonKey).empty());
     Registry.leave();
-    CHECK(Under.Store.peek(DaemonKey).empty());
-    CHECK_FALSE(Under.Store.peek("canvaswick/daemons/d2").empty());
+    CHECK(Fixture.Store.peek(DaemonKey).empty());
+    CHECK_FALSE(Fixture.Store.peek("canvaswick/daemons/d2").empty());
   }
 }
 
-TEST_CASE("a daemon whose entry the copy holds goes on with its lease") {
-  StoreWatcherFixture Under;
-  Under.Store.put("op/config", "{}");
-  StoreWatcherFixture::synchronize(Under.Watcher);
-  DaemonRegistration Registry(Under.Client, Under.View, Under.Self,
+TEST_CASE("a daemon whose entry the backup holds keeps its lease") {
+  StoreWatcherFixture Fixture;
+  Fixture.Store.put("op/config", "{}");
+  StoreWatcherFixture::synchronize(Fixture.Watcher);
+  DaemonRegistration Registry(Fixture.Client, Fixture.View, Fixture.Self,
                               fromSeconds(60));
   const TimePoint Now = readSteadyClock();
   Registry.runRound(Now);
-  CHECK(catchesUp(Under, 2));
-  Under.Store.takeBackup();
-  Under.Store.restoreBackup();
-  CHECK(catchesUp(Under, 3));
-  const double Before = Under.Store.sumCallCosts();
+  CHECK(catchesUp(Fixture, 2));
+  Fixture.Store.takeBackup();
+  Fixture.Store.restoreBackup();
+  CHECK(catchesUp(Fixture, 3));
+  const double Before = Fixture.Store.sumCallCosts();
   Registry.runRound(Now + fromSeconds(1));
-  CHECK(Under.Store.sumCallCosts() - Before == doctest::Approx(0.1));
+  CHECK(Fixture.Store.sumCallCosts() - Before == doctest::Approx(0.1));
   Registry.leave();
-  CHECK(Under.Store.peek(DaemonKey).empty());
+  CHECK(Fixture.Store.peek(DaemonKey).empty());
 }
 
-TEST_CASE("the copy for starts is written again soon after a restore") {
-  RestoreBench Under;
-  SnapshotWriter Keeper(Under.Client, Under.View);
+TEST_CASE("the snapshot is written again soon after a restore") {
+  RestoreFixture Fixture;
+  SnapshotWriter Writer(Fixture.Client, Fixture.View);
   const TimePoint Start = readSteadyClock();
-  Keeper.runRound(WatchRole::Lead, 0, Start);
-  Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(5));
-  REQUIRE(decodeSnapshot(Under.Store.peek("canvaswick/copy")));
-  Under.Store.restoreBackup();
-  CHECK(Under.Store.peek("canvaswick/copy").empty());
-  // Not from what is of an earlier epoch.
-  (void)Under.Client.readItem(DaemonKey, ReadConsistency::Linearizable);
-  Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(20));
-  CHECK(Under.Store.peek("canvaswick/copy").empty());
-  CHECK(catchesUp(Under, 3));
-  Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(21));
-  Keeper.runRound(WatchRole::Lead, 0, Start + fromSeconds(26));
-  const Result<ItemChanges> Copy =
-      decodeSnapshot(Under.Store.peek("canvaswick/copy"));
-  REQUIRE(Copy);
-  CHECK(Copy.value().AsOf.Epoch == 2);
+  Writer.runRound(WatchRole::Lead, 0, Start);
+  Writer.runRound(WatchRole::Lead, 0, Start + fromSeconds(5));
+  REQUIRE(decodeSnapshot(Fixture.Store.peek("canvaswick/copy")));
+  Fixture.Store.restoreBackup();
+  CHECK(Fixture.Store.peek("canvaswick/copy").empty());
+  // It is not written from a view of an earlier epoch.
+  (void)Fixture.Client.readItem(DaemonKey, ReadConsistency::Linearizable);
+  Writer.runRound(WatchRole::Lead, 0, Start + fromSeconds(20));
+  CHECK(Fixture.Store.peek("canvaswick/copy").empty());
+  CHECK(catchesUp(Fixture, 3));
+  Writer.runRound(WatchRole::Lead, 0, Start + fromSeconds(21));
+  Writer.runRound(WatchRole::Lead, 0, Start + fromSeconds(26));
+  const Result<ItemChanges> Snapshot =
+      decodeSnapshot(Fixture.Store.peek("canvaswick/copy"));
+  REQUIRE(Snapshot);
+  CHECK(Snapshot.value().AsOf.Epoch == 2);
 }
 
-TEST_CASE(
-    "a copy for starts of an earlier epoch is followed by a read of all") {
-  RestoreBench Under;
-  ItemChanges All = Under.View.getChangesAfter({});
+TEST_CASE("a snapshot of an earlier epoch is followed by a read of all items") {
+  RestoreFixture Fixture;
+  ItemChanges All = Fixture.View.getChangesAfter({});
   All.IsFull = true;
-  Under.Store.put("canvaswick/copy", encodeSnapshot(All));
-  Under.Store.takeBackup();
-  Under.Store.restoreBackup();
+  Fixture.Store.put("canvaswick/copy", encodeSnapshot(All));
+  Fixture.Store.takeBackup();
+  Fixture.Store.restoreBackup();
   FleetView View{{70}, fromSeconds(2)};
-  StoreClient Client(Under.Store.getAddress(), Under.Counters);
+  StoreClient Client(Fixture.Store.getAddress(), Fixture.Counters);
   StoreWatcher Watcher(Client, View, [] {});
   Watcher.runRound();
   CHECK(View.getAsOf().Epoch == 1);
-  const size_t Before = Under.Store.countCalls("/kv-range");
+  const size_t Before = Fixture.Store.countCalls("/kv-range");
   Watcher.runRound();
-  CHECK(Under.Store.countCalls("/kv-range") > Before);
-  CHECK(View.getAsOf() == StorePosition(2, Under.Store.getRevision()));
+  CHECK(Fixture.Store.countCalls("/kv-range") > Before);
+  CHECK(View.getAsOf() == StorePosition(2, Fixture.Store.getRevision()));
 }
--- a/unittests/StoreRestore/FleetModelTest.cpp
+++ b/unittests/StoreRestore/FleetModelTest.cpp
@@ -1,4 +1,4 @@
-//===- FleetModelTest.cpp - Any order of restores and changes ------------===//
+//===- FleetModelTest.cpp - Random restores and changes of the store ------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A store, three daemons and all that may happen to them, in any order drawn.
-/// A schedule that breaks a promise comes down to its shortest form.
+/// Models a store, three daemons and the events that may happen to them, and
+/// runs random schedules of these events. RapidCheck shrinks a schedule that
+/// violates an invariant.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,9 +30,9 @@
 
 constexpr size_t DaemonCount = 3;
 constexpr size_t ServerCount = 3;
-constexpr const char *RulesKey = "op/config";
+constexpr const char *SettingsKey = "op/config";
 
-std::string makeRules(uint64_t Version) {
+std::string makeSettings(uint64_t Version) {
   return fmt::format(R"({{"version": {}, "limits": {{}}, "clusters":
       [{{"name": "s", "healthPath": "/healthz", "maxConns": 300}}],
       "listeners": []}})",
@@ -42,7 +43,7 @@
   return fmt::format("servers/i-{}", Server);
 }
 
-/// The store, as far as the daemons and their surroundings see it.
+/// The store, as daemons, operators and servers see it.
 class ModelStore {
 public:
   void put(const std::string &Key, const std::string &Value) {
@@ -56,11 +57,11 @@
           {Key, "", {this->Epoch, ++this->Now.Revision}, true});
   }
 
-  void takeBackup() { this->Copy = this->Now; }
+  void takeBackup() { this->Backup = this->Now; }
 
   void restoreBackup() {
-    this->Now = this->Copy;
-    if (this->TellsEpoch)
+    this->Now = this->Backup;
+    if (this->SendsEpoch)
       ++this->Epoch;
     this->History.clear();
     this->HistorySince = this->Now.Revision;
@@ -75,7 +76,8 @@
     return All;
   }
 
-  /// Returns what changed after a revision, or nothing if that is refused.
+  /// Returns the changes after a revision, or nothing if the store no longer
+  /// has the history or has not reached the revision.
   std::optional<std::vector<StoreItem>> watch(uint64_t After) const {
     if (After < this->HistorySince || After > this->Now.Revision)
       return std::nullopt;
@@ -88,7 +90,7 @@
 
   StorePosition getAsOf() const { return {this->Epoch, this->Now.Revision}; }
 
-  bool TellsEpoch = true;
+  bool SendsEpoch = true;
 
 private:
   struct Contents {
@@ -97,7 +99,7 @@
   };
 
   Contents Now;
-  Contents Copy;
+  Contents Backup;
   uint64_t Epoch = 1;
   std::vector<StoreItem> History;
   uint64_t HistorySince = 0;
@@ -118,7 +120,7 @@
   }
 };
 
-/// A daemon that watches as StoreWatcher does.
+/// A daemon that watches the store as StoreWatcher does.
 struct ModelDaemon {
   explicit ModelDaemon()
       : View(std::make_unique<FleetView>(ServiceDefaults{70}, fromSeconds(2))) {
@@ -148,10 +150,10 @@
     const StorePosition Known = this->View->getAsOf();
     if (Peer.View->getAsOf() <= Known)
       return;
-    const Result<ItemChanges> Told =
+    const Result<ItemChanges> Received =
         decodeChanges(encodeChanges(Peer.View->getChangesAfter(Known)));
-    RC_ASSERT(Told.has_value());
-    this->View->applyChanges(Told.value(), Now);
+    RC_ASSERT(Received.has_value());
+    this->View->applyChanges(Received.value(), Now);
   }
 
   uint64_t getVersion() const {
@@ -171,19 +173,19 @@
 
   std::unique_ptr<FleetView> View;
   bool IsCutOff = false;
-  /// What this life of it knows never to be undone.
+  /// State that this instance of the daemon has seen and must not undo.
   uint64_t NewestVersion = 0;
-  std::array<bool, ServerCount> KnowsLeaving{};
+  std::array<bool, ServerCount> WasDraining{};
 };
 
-enum class Act : uint8_t {
-  WriteRules,
+enum class Action : uint8_t {
+  WriteSettings,
   WriteServer,
   LeaveServer,
   EndServer,
-  KeepBackup,
+  TakeBackup,
   Restore,
-  WriteAgain,
+  RewriteAll,
   Watch,
   Fetch,
   Cut,
@@ -191,9 +193,9 @@
 };
 
 struct Step {
-  Act What = Act::Watch;
-  size_t Who = 0;
-  size_t Whom = 0;
+  Action Kind = Action::Watch;
+  size_t Index = 0;
+  size_t PeerIndex = 0;
 };
 
 std::ostream &operator<<(std::ostream &Out, const Step &Each) {
@@ -201,14 +203,14 @@
                                        "end-server",  "keep-copy",    "return",
                                        "write-again", "watch",        "fetch",
                                        "cut",         "restart"};
-  return Out << Names.at(static_cast<size_t>(Each.What)) << ' ' << Each.Who
-             << ' ' << Each.Whom;
+  return Out << Names.at(static_cast<size_t>(Each.Kind)) << ' ' << Each.Index
+             << ' ' << Each.PeerIndex;
 }
 
 class Model {
 public:
   Model() {
-    this->Store.put(RulesKey, makeRules(this->Version));
+    this->Store.put(SettingsKey, makeSettings(this->Version));
     for (size_t I = 0; I < ServerCount; ++I)
       this->Store.put(makeKey(I), this->Servers[I].makeEntry());
     this->Store.takeBackup();
@@ -217,67 +219,67 @@
   void run(const std::vector<Step> &Steps) {
     for (const Step &Each : Steps) {
       this->Now += fromMillis(50);
-      this->act(Each);
-      this->checkKept();
+      this->perform(Each);
+      this->checkMonotonic();
     }
-    this->settle();
+    this->checkConvergence();
   }
 
   ModelStore Store;
 
 private:
-  void act(const Step &Each) {
-    ModelServer &Server = this->Servers[Each.Who];
-    ModelDaemon &Daemon = this->Daemons[Each.Who];
-    switch (Each.What) {
-    case Act::WriteRules:
-      this->Store.put(RulesKey, makeRules(++this->Version));
+  void perform(const Step &Each) {
+    ModelServer &Server = this->Servers[Each.Index];
+    ModelDaemon &Daemon = this->Daemons[Each.Index];
+    switch (Each.Kind) {
+    case Action::WriteSettings:
+      this->Store.put(SettingsKey, makeSettings(++this->Version));
       return;
-    case Act::WriteServer:
+    case Action::WriteServer:
       if (!Server.IsGone && !Server.IsLeaving)
-        this->Store.put(makeKey(Each.Who), Server.makeEntry());
+        this->Store.put(makeKey(Each.Index), Server.makeEntry());
       return;
-    case Act::LeaveServer:
+    case Action::LeaveServer:
       if (Server.IsGone)
         return;
       Server.IsLeaving = true;
-      this->Store.put(makeKey(Each.Who), Server.makeEntry());
+      this->Store.put(makeKey(Each.Index), Server.makeEntry());
       return;
-    case Act::EndServer:
+    case Action::EndServer:
       Server.IsGone = true;
-      this->Store.remove(makeKey(Each.Who));
+      this->Store.remove(makeKey(Each.Index));
       return;
-    case Act::KeepBackup:
+    case Action::TakeBackup:
       this->Store.takeBackup();
       return;
-    case Act::Restore:
+    case Action::Restore:
       this->Store.restoreBackup();
-      this->IsLost = true;
+      this->HasLostWrites = true;
       return;
-    case Act::WriteAgain:
-      this->writeAgain();
+    case Action::RewriteAll:
+      this->rewriteAll();
       return;
-    case Act::Watch:
+    case Action::Watch:
       if (!Daemon.IsCutOff)
         Daemon.watch(this->Store, this->Now);
       return;
-    case Act::Fetch:
-      if (Each.Who != Each.Whom)
-        Daemon.fetch(this->Daemons[Each.Whom], this->Now);
+    case Action::Fetch:
+      if (Each.Index != Each.PeerIndex)
+        Daemon.fetch(this->Daemons[Each.PeerIndex], this->Now);
       return;
-    case Act::Cut:
+    case Action::Cut:
       Daemon.IsCutOff = !Daemon.IsCutOff;
       return;
-    case Act::Restart:
+    case Action::Restart:
       Daemon = ModelDaemon();
       return;
     }
   }
 
-  /// What the operators and the servers wrote is written again.
-  void writeAgain() {
-    this->IsLost = false;
-    this->Store.put(RulesKey, makeRules(this->Version));
+  /// Writes the current entries of the operators and the servers again.
+  void rewriteAll() {
+    this->HasLostWrites = false;
+    this->Store.put(SettingsKey, makeSettings(this->Version));
     for (size_t I = 0; I < ServerCount; ++I)
       if (this->Servers[I].IsGone)
         this->Store.remove(makeKey(I));
@@ -285,40 +287,42 @@
         this->Store.put(makeKey(I), this->Servers[I].makeEntry());
   }
 
-  /// What a life of a daemon has known is not undone, whatever the store says.
-  void checkKept() {
+  /// Checks that no instance of a daemon goes back to earlier settings or to
+  /// using a draining server, whatever the store holds.
+  void checkMonotonic() {
     for (ModelDaemon &Each : this->Daemons) {
       RC_ASSERT(Each.getVersion() >= Each.NewestVersion);
       Each.NewestVersion = Each.getVersion();
       for (size_t I = 0; I < ServerCount; ++I) {
         const auto State = Each.findState(I);
-        RC_ASSERT(!Each.KnowsLeaving[I] || State != ServerState::Active);
-        Each.KnowsLeaving[I] =
-            Each.KnowsLeaving[I] || State == ServerState::Draining;
+        RC_ASSERT(!Each.WasDraining[I] || State != ServerState::Active);
+        Each.WasDraining[I] =
+            Each.WasDraining[I] || State == ServerState::Draining;
       }
     }
   }
 
-  /// Once all is written again and everybody asks, all know the same.
-  void settle() {
-    if (this->IsLost)
-      this->writeAgain();
+  /// Checks that all daemons agree with the store once all entries are written
+  /// again and every daemon has watched.
+  void checkConvergence() {
+    if (this->HasLostWrites)
+      this->rewriteAll();
     for (ModelDaemon &Each : this->Daemons) {
       Each.watch(this->Store, this->Now);
       Each.watch(this->Store, this->Now);
     }
-    this->checkKept();
+    this->checkMonotonic();
     this->Now += fromSeconds(20);
     for (ModelDaemon &Each : this->Daemons) {
       Each.View->resolveMissing(this->Now);
       RC_ASSERT(Each.getVersion() == this->Version);
       RC_ASSERT(Each.View->getAsOf() == this->Store.getAsOf());
       for (size_t I = 0; I < ServerCount; ++I)
-        RC_ASSERT(Each.findState(I) == this->getTruth(I));
+        RC_ASSERT(Each.findState(I) == this->getExpectedState(I));
     }
   }
 
-  std::optional<ServerState> getTruth(size_t Server) const {
+  std::optional<ServerState> getExpectedState(size_t Server) const {
     if (this->Servers[Server].IsGone)
       return std::nullopt;
     return this->Servers[Server].IsLeaving ? ServerState::Draining
@@ -326,44 +330,46 @@
   }
 
   TimePoint Now{fromSeconds(1000)};
-  /// Whether what was lost is still to be written again.
-  bool IsLost = false;
+  /// Whether a restore has lost writes that are not yet written again.
+  bool HasLostWrites = false;
   uint64_t Version = 1;
   std::array<ModelServer, ServerCount> Servers;
   std::array<ModelDaemon, DaemonCount> Daemons;
 };
 
 rc::Gen<std::vector<Step>> makeSchedules() {
-  const auto Acts = rc::gen::weightedElement<Act>({{2, Act::WriteRules},
-                                                   {2, Act::WriteServer},
-                                                   {1, Act::LeaveServer},
-                                                   {1, Act::EndServer},
-                                                   {2, Act::KeepBackup},
-                                                   {2, Act::Restore},
-                                                   {2, Act::WriteAgain},
-                                                   {6, Act::Watch},
-                                                   {4, Act::Fetch},
-                                                   {1, Act::Cut},
-                                                   {1, Act::Restart}});
-  return rc::gen::container<std::vector<Step>>(
-      rc::gen::construct<Step>(Acts, rc::gen::inRange<size_t>(0, DaemonCount),
-                               rc::gen::inRange<size_t>(0, DaemonCount)));
+  const auto Actions =
+      rc::gen::weightedElement<Action>({{2, Action::WriteSettings},
+                                        {2, Action::WriteServer},
+                                        {1, Action::LeaveServer},
+                                        {1, Action::EndServer},
+                                        {2, Action::TakeBackup},
+                                        {2, Action::Restore},
+                                        {2, Action::RewriteAll},
+                                        {6, Action::Watch},
+                                        {4, Action::Fetch},
+                                        {1, Action::Cut},
+                                        {1, Action::Restart}});
+  return rc::gen::container<std::vector<Step>>(rc::gen::construct<Step>(
+      Actions, rc::gen::inRange<size_t>(0, DaemonCount),
+      rc::gen::inRange<size_t>(0, DaemonCount)));
 }
 
 } // namespace
 
-TEST_CASE("whatever is lost and in whatever order, all learn what is so") {
+TEST_CASE("daemons converge after any order of restores and changes") {
   CHECK(rc::check([] { Model().run(*makeSchedules()); }));
 }
 
-TEST_CASE("the model finds a change that a passed revision hides") {
-  // Without an epoch nothing shows it: the schedule that the epoch is for.
-  Model Under;
-  Under.Store.TellsEpoch = false;
+TEST_CASE("the model finds a change that a reused revision hides") {
+  // Without epochs, a store whose revision has passed the old one again looks
+  // as if it had never been restored. Epochs exist because of this schedule.
+  Model Fleet;
+  Fleet.Store.SendsEpoch = false;
   const std::vector<Step> Schedule = {
-      {Act::Watch, 0, 0},       {Act::WriteRules, 0, 0},
-      {Act::WriteServer, 0, 0}, {Act::WriteServer, 0, 0},
-      {Act::Watch, 0, 0},       {Act::Restore, 0, 0},
-      {Act::WriteRules, 0, 0},  {Act::WriteAgain, 0, 0}};
-  CHECK_THROWS(Under.run(Schedule));
+      {Action::Watch, 0, 0},         {Action::WriteSettings, 0, 0},
+      {Action::WriteServer, 0, 0},   {Action::WriteServer, 0, 0},
+      {Action::Watch, 0, 0},         {Action::Restore, 0, 0},
+      {Action::WriteSettings, 0, 0}, {Action::RewriteAll, 0, 0}};
+  CHECK_THROWS(Fleet.run(Schedule));
 }
--- a/unittests/StoreRestore/StoreRestoreTest.cpp
+++ b/unittests/StoreRestore/StoreRestoreTest.cpp
@@ -1,4 +1,4 @@
-//===- StoreRestoreTest.cpp - A store that is restored from a backup ------===//
+//===- StoreRestoreTest.cpp - Daemons whose store is restored -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whole daemons before a store that loses what it has acknowledged of late and
-/// gives the same revisions and leases out again.
+/// Tests whole daemons with a store that is restored from a backup: it loses
+/// its latest acknowledged writes and gives out the same revisions and lease
+/// numbers again.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,13 +22,14 @@
 
 namespace {
 
-/// Changes that the store forgets, and more of them than it makes anew.
+/// Numbers of changes. A restore loses ManyChanges, and FewChanges after it are
+/// too few to reach the old revision again.
 constexpr int FewChanges = 5;
 constexpr int ManyChanges = 30;
 
-/// Daemons before a store that has a backup of itself.
-struct RestoreBench : Hall {
-  explicit RestoreBench(int Count) : Hall(Count) {
+/// Daemons with a store that has taken a backup.
+struct RestoreFixture : Hall {
+  explicit RestoreFixture(int Count) : Hall(Count) {
     this->startServing();
     for (const std::unique_ptr<Member> &Each : this->Members)
       this->waitFor([&] { return this->isListed(*Each); });
@@ -38,14 +40,14 @@
     return !this->Store.peek("canvaswick/daemons/" + Each.Config.Name).empty();
   }
 
-  /// Changes items that mean nothing to a daemon.
-  void change(int Count) {
+  /// Writes an item that no daemon reads Count times.
+  void writeUnrelatedItem(int Count) {
     for (int I = 0; I < Count; ++I)
       this->Store.put("other/item", fmt::format("{}", I));
   }
 
-  /// Waits until every daemon has a copy as far as the store.
-  void waitForAll() {
+  /// Waits until every daemon's replica is at the store's revision.
+  void waitUntilSynced() {
     const std::string Wanted =
         fmt::format("canvaswick_store_as_of {}\n", this->Store.getRevision());
     for (const std::unique_ptr<Member> &Each : this->Members)
@@ -55,8 +57,8 @@
       });
   }
 
-  /// Is restored from the backup after a moment in which nobody is answered.
-  /// Meanwhile the others write what they choose.
+  /// Restores the store from the backup. The store is down for 300 ms, in which
+  /// Write writes to it directly.
   template <typename Writer> void restore(Writer Write) {
     this->Store.setFaults({.IsDown = true});
     this->Store.restoreBackup();
@@ -84,82 +86,83 @@
 
 } // namespace
 
-TEST_CASE("a change is in force though the store's revisions went back") {
-  RestoreBench Under(4);
-  Under.change(ManyChanges);
-  Under.waitForAll();
-  Under.restore([&] { Under.change(FewChanges); });
-  Under.writeConfig(3, "/y/");
-  Under.waitForAllToServe("/y/1");
+TEST_CASE("a change is applied although the store's revision went back") {
+  RestoreFixture Fixture(4);
+  Fixture.writeUnrelatedItem(ManyChanges);
+  Fixture.waitUntilSynced();
+  Fixture.restore([&] { Fixture.writeUnrelatedItem(FewChanges); });
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitForAllToServe("/y/1");
 }
 
-TEST_CASE("a change is in force though lower revisions than the one before") {
-  RestoreBench Under(4);
-  Under.change(ManyChanges);
-  Under.writeConfig(3, "/y/");
-  Under.waitForAllToServe("/y/1");
-  Under.restore([&] {
-    Under.writeConfig(4, "/z/");
-    Under.change(2 * ManyChanges);
+TEST_CASE(
+    "a change is applied although the revision passed the old one again") {
+  RestoreFixture Fixture(4);
+  Fixture.writeUnrelatedItem(ManyChanges);
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitForAllToServe("/y/1");
+  Fixture.restore([&] {
+    Fixture.writeConfig(4, "/z/");
+    Fixture.writeUnrelatedItem(2 * ManyChanges);
   });
-  Under.waitForAllToServe("/z/1");
+  Fixture.waitForAllToServe("/z/1");
 }
 
-TEST_CASE(
-    "a server that leaves after the store was restored gets nothing more") {
-  RestoreBench Under(4);
-  Under.change(ManyChanges);
-  Under.waitForAll();
-  Under.restore([&] { Under.change(FewChanges); });
-  Under.Store.put("servers/i-1", Under.One.makeEntry("draining", 2));
-  Under.waitUntilUnused(Under.One);
+TEST_CASE("a server that drains after a restore gets no more requests") {
+  RestoreFixture Fixture(4);
+  Fixture.writeUnrelatedItem(ManyChanges);
+  Fixture.waitUntilSynced();
+  Fixture.restore([&] { Fixture.writeUnrelatedItem(FewChanges); });
+  Fixture.Store.put("servers/i-1", Fixture.One.makeEntry("draining", 2));
+  Fixture.waitUntilUnused(Fixture.One);
 }
 
-TEST_CASE("settings in force outlast a store that has lost them") {
-  RestoreBench Under(2);
-  Under.change(ManyChanges);
-  Under.writeConfig(3, "/y/");
-  Under.waitForAllToServe("/y/1");
-  Under.restore([&] { Under.change(FewChanges); });
+TEST_CASE("settings in force are kept when the store has lost them") {
+  RestoreFixture Fixture(2);
+  Fixture.writeUnrelatedItem(ManyChanges);
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitForAllToServe("/y/1");
+  Fixture.restore([&] { Fixture.writeUnrelatedItem(FewChanges); });
   std::this_thread::sleep_for(std::chrono::seconds(1));
-  for (const std::unique_ptr<Member> &Each : Under.Members) {
-    CHECK(Under.serves(*Each, "/y/1"));
-    CHECK_FALSE(Under.serves(*Each, "/x/1"));
+  for (const std::unique_ptr<Member> &Each : Fixture.Members) {
+    CHECK(Fixture.serves(*Each, "/y/1"));
+    CHECK_FALSE(Fixture.serves(*Each, "/x/1"));
   }
 }
 
-TEST_CASE("two restores in a row are taken as well as one") {
-  RestoreBench Under(3);
-  Under.change(ManyChanges);
-  Under.waitForAll();
-  Under.restore([&] { Under.change(FewChanges); });
-  Under.restore([&] { Under.change(FewChanges); });
-  Under.writeConfig(3, "/y/");
-  Under.waitForAllToServe("/y/1");
+TEST_CASE("a change is applied after two restores in a row") {
+  RestoreFixture Fixture(3);
+  Fixture.writeUnrelatedItem(ManyChanges);
+  Fixture.waitUntilSynced();
+  Fixture.restore([&] { Fixture.writeUnrelatedItem(FewChanges); });
+  Fixture.restore([&] { Fixture.writeUnrelatedItem(FewChanges); });
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitForAllToServe("/y/1");
 }
 
 TEST_CASE("a daemon whose entry the store has lost is listed again") {
-  Hall Under(2);
-  Under.Store.takeBackup();
-  Under.startServing();
+  Hall Fixture(2);
+  Fixture.Store.takeBackup();
+  Fixture.startServing();
   const std::string Key = "canvaswick/daemons/d0";
-  Under.waitFor([&] { return !Under.Store.peek(Key).empty(); });
-  Under.Store.restoreBackup();
-  Under.writeConfig(3, "/y/");
-  Under.waitFor([&] { return !Under.Store.peek(Key).empty(); });
+  Fixture.waitFor([&] { return !Fixture.Store.peek(Key).empty(); });
+  Fixture.Store.restoreBackup();
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitFor([&] { return !Fixture.Store.peek(Key).empty(); });
 }
 
-TEST_CASE("a store that was restored costs each daemon few calls") {
+TEST_CASE("a restore costs each daemon few calls to the store") {
   constexpr size_t Daemons = 4;
-  RestoreBench Under(Daemons);
-  Under.change(ManyChanges);
-  Under.waitForAll();
-  Under.restore([&] { Under.change(FewChanges); });
-  const double Before = Under.Store.sumCallCosts();
+  RestoreFixture Fixture(Daemons);
+  Fixture.writeUnrelatedItem(ManyChanges);
+  Fixture.waitUntilSynced();
+  Fixture.restore([&] { Fixture.writeUnrelatedItem(FewChanges); });
+  const double Before = Fixture.Store.sumCallCosts();
   std::this_thread::sleep_for(std::chrono::seconds(2));
-  // As after a start, and what two daemons that watch ask in two seconds.
-  constexpr double CallsADaemon = 3;
-  constexpr double CallsOfWatches = 10;
-  CHECK(Under.Store.sumCallCosts() - Before <=
-        CallsADaemon * Daemons + CallsOfWatches);
+  // Each daemon calls as often as after a start; the two watchers add their
+  // calls of two seconds.
+  constexpr double CallsPerDaemon = 3;
+  constexpr double WatchCalls = 10;
+  CHECK(Fixture.Store.sumCallCosts() - Before <=
+        CallsPerDaemon * Daemons + WatchCalls);
 }
--- a/unittests/StoreRestore/ViewRestoreTest.cpp
+++ b/unittests/StoreRestore/ViewRestoreTest.cpp
@@ -1,4 +1,4 @@
-//===- ViewRestoreTest.cpp - What outlasts a store that goes back ---------===//
+//===- ViewRestoreTest.cpp - Tests of FleetView after a restore -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -26,7 +26,7 @@
       State, Sequence);
 }
 
-static std::string makeRules(int Version) {
+static std::string makeSettings(int Version) {
   return fmt::format(R"({{"version": {}, "limits": {{}}, "clusters":
       [{{"name": "s", "healthPath": "/healthz", "maxConns": 300}}],
       "listeners": []}})",
@@ -46,22 +46,23 @@
 
 namespace {
 
-/// A view with settings, a server and a daemon, as of 1:50.
-struct RestoreBench {
-  RestoreBench() {
+/// A view with settings, a server and a daemon, at epoch 1, revision 50.
+struct RestoreFixture {
+  RestoreFixture() {
     this->View.replaceAll(
-        {makeItem("op/config", makeRules(5), {1, 48}),
+        {makeItem("op/config", makeSettings(5), {1, 48}),
          makeItem("servers/i-1", makeServer(7, "ready"), {1, 20}),
          makeDaemonItem("d1", {1, 49})},
         {1, 50}, Start);
   }
 
-  /// The store is restored, in a later epoch, with these.
+  /// Replaces the view's items by those of a restored store.
   void restore(std::vector<StoreItem> Items, StorePosition AsOf) {
     CHECK(this->View.replaceAll(Items, AsOf, this->Now));
   }
 
-  /// Returns the server's state as a daemon runs it, or nothing.
+  /// Returns the server's state in the compiled configuration, or nothing if it
+  /// has none.
   std::optional<ServerState> findState() {
     const FleetConfigRef Config = this->View.compileConfig();
     REQUIRE(Config);
@@ -77,137 +78,143 @@
 
 } // namespace
 
-TEST_CASE("settings in force stay though the store holds older ones") {
-  RestoreBench Under;
-  Under.restore({makeItem("op/config", makeRules(3), {2, 10})}, {2, 20});
-  CHECK(Under.View.compileConfig()->Version == 5);
-  Under.View.applyEvents({makeItem("op/config", makeRules(5), {2, 21})},
-                         {2, 21}, Under.Now);
-  CHECK(Under.View.compileConfig()->Version == 5);
-  Under.View.applyEvents({makeItem("op/config", makeRules(6), {2, 22})},
-                         {2, 22}, Under.Now);
-  CHECK(Under.View.compileConfig()->Version == 6);
+TEST_CASE("settings in force stay although the store holds older ones") {
+  RestoreFixture Fixture;
+  Fixture.restore({makeItem("op/config", makeSettings(3), {2, 10})}, {2, 20});
+  CHECK(Fixture.View.compileConfig()->Version == 5);
+  Fixture.View.applyEvents({makeItem("op/config", makeSettings(5), {2, 21})},
+                           {2, 21}, Fixture.Now);
+  CHECK(Fixture.View.compileConfig()->Version == 5);
+  Fixture.View.applyEvents({makeItem("op/config", makeSettings(6), {2, 22})},
+                           {2, 22}, Fixture.Now);
+  CHECK(Fixture.View.compileConfig()->Version == 6);
 }
 
-TEST_CASE("who said that it leaves still does though a backup calls it ready") {
-  RestoreBench Under;
-  Under.View.applyEvents(
+TEST_CASE(
+    "a draining server stays draining although a backup lists it as ready") {
+  RestoreFixture Fixture;
+  Fixture.View.applyEvents(
       {makeItem("servers/i-1", makeServer(8, "draining"), {1, 51})}, {1, 51},
       Start);
-  Under.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
-                {2, 30});
-  CHECK(Under.findState() == ServerState::Draining);
-  SUBCASE("for as long as that stands there") {
-    Under.View.resolveMissing(Under.Now + fromSeconds(60));
-    CHECK(Under.findState() == ServerState::Draining);
+  Fixture.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
+                  {2, 30});
+  CHECK(Fixture.findState() == ServerState::Draining);
+  SUBCASE("as long as the entry does not change") {
+    Fixture.View.resolveMissing(Fixture.Now + fromSeconds(60));
+    CHECK(Fixture.findState() == ServerState::Draining);
   }
-  SUBCASE("until it says something later") {
-    Under.View.applyEvents(
+  SUBCASE("until the server writes a later entry") {
+    Fixture.View.applyEvents(
         {makeItem("servers/i-1", makeServer(9, "ready"), {2, 31})}, {2, 31},
-        Under.Now);
-    CHECK(Under.findState() == ServerState::Active);
+        Fixture.Now);
+    CHECK(Fixture.findState() == ServerState::Active);
   }
 }
 
-TEST_CASE("who said that it leaves still does where no epoch shows a loss") {
-  RestoreBench Under;
-  Under.View.applyEvents(
+TEST_CASE("a draining server stays draining where no epoch shows the restore") {
+  RestoreFixture Fixture;
+  Fixture.View.applyEvents(
       {makeItem("servers/i-1", makeServer(8, "draining"), {1, 51})}, {1, 51},
       Start);
-  Under.View.markStale(Under.Now);
-  Under.restore({makeItem("servers/i-1", makeServer(7, "ready"), {1, 20})},
-                {1, 30});
-  CHECK(Under.findState() == ServerState::Draining);
-  Under.View.applyEvents(
+  Fixture.View.markStale(Fixture.Now);
+  Fixture.restore({makeItem("servers/i-1", makeServer(7, "ready"), {1, 20})},
+                  {1, 30});
+  CHECK(Fixture.findState() == ServerState::Draining);
+  Fixture.View.applyEvents(
       {makeItem("servers/i-1", makeServer(9, "ready"), {1, 31})}, {1, 31},
-      Under.Now);
-  CHECK(Under.findState() == ServerState::Active);
+      Fixture.Now);
+  CHECK(Fixture.findState() == ServerState::Active);
 }
 
-TEST_CASE("who has left is not used though it stands in a backup") {
-  RestoreBench Under;
-  Under.View.applyEvents({{"servers/i-1", "", {1, 51}, true}}, {1, 51}, Start);
-  REQUIRE_FALSE(Under.findState());
-  Under.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
-                {2, 30});
-  CHECK_FALSE(Under.findState());
-  SUBCASE("it lives and writes again") {
-    Under.View.applyEvents(
+TEST_CASE("a removed server is not used although a backup lists it") {
+  RestoreFixture Fixture;
+  Fixture.View.applyEvents({{"servers/i-1", "", {1, 51}, true}}, {1, 51},
+                           Start);
+  REQUIRE_FALSE(Fixture.findState());
+  Fixture.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
+                  {2, 30});
+  CHECK_FALSE(Fixture.findState());
+  SUBCASE("it runs and writes its entry again") {
+    Fixture.View.applyEvents(
         {makeItem("servers/i-1", makeServer(9, "ready"), {2, 31})}, {2, 31},
-        Under.Now);
-    CHECK(Under.findState() == ServerState::Active);
+        Fixture.Now);
+    CHECK(Fixture.findState() == ServerState::Active);
   }
-  SUBCASE("its entry stands for longer than a silent server's") {
-    CHECK_FALSE(Under.View.resolveMissing(Under.Now + fromSeconds(9.9)));
-    CHECK(Under.View.resolveMissing(Under.Now + fromSeconds(10)));
-    CHECK(Under.findState() == ServerState::Active);
+  SUBCASE("its entry outlasts that of a silent server") {
+    CHECK_FALSE(Fixture.View.resolveMissing(Fixture.Now + fromSeconds(9.9)));
+    CHECK(Fixture.View.resolveMissing(Fixture.Now + fromSeconds(10)));
+    CHECK(Fixture.findState() == ServerState::Active);
   }
-  SUBCASE("its entry goes") {
-    Under.View.applyEvents({{"servers/i-1", "", {2, 31}, true}}, {2, 31},
-                           Under.Now);
-    Under.View.resolveMissing(Under.Now + fromSeconds(20));
-    CHECK_FALSE(Under.findState());
+  SUBCASE("its entry is removed") {
+    Fixture.View.applyEvents({{"servers/i-1", "", {2, 31}, true}}, {2, 31},
+                             Fixture.Now);
+    Fixture.View.resolveMissing(Fixture.Now + fromSeconds(20));
+    CHECK_FALSE(Fixture.findState());
   }
 }
 
-TEST_CASE("who said that it leaves, and left, is not used however long it "
-          "stands in a backup") {
-  RestoreBench Under;
-  Under.View.applyEvents(
+TEST_CASE("a server that drained and was removed is not used however long a "
+          "backup lists it") {
+  RestoreFixture Fixture;
+  Fixture.View.applyEvents(
       {makeItem("servers/i-1", makeServer(8, "draining"), {1, 51})}, {1, 51},
       Start);
-  Under.View.applyEvents({{"servers/i-1", "", {1, 52}, true}}, {1, 52}, Start);
-  Under.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
-                {2, 30});
+  Fixture.View.applyEvents({{"servers/i-1", "", {1, 52}, true}}, {1, 52},
+                           Start);
+  Fixture.restore({makeItem("servers/i-1", makeServer(7, "ready"), {2, 20})},
+                  {2, 30});
   for (const double Seconds : {1.0, 10.0, 20.0, 300.0}) {
-    Under.View.resolveMissing(Under.Now + fromSeconds(Seconds));
-    CHECK_FALSE(Under.findState());
+    Fixture.View.resolveMissing(Fixture.Now + fromSeconds(Seconds));
+    CHECK_FALSE(Fixture.findState());
   }
 }
 
-TEST_CASE("a server that the backup lacks is kept until it can have written") {
-  RestoreBench Under;
-  Under.restore({makeItem("op/config", makeRules(5), {2, 10})}, {2, 20});
-  CHECK(Under.findState() == ServerState::Active);
-  SUBCASE("it is gone if it has not") {
-    CHECK_FALSE(Under.View.resolveMissing(Under.Now + fromSeconds(1.9)));
-    CHECK(Under.View.resolveMissing(Under.Now + fromSeconds(2)));
-    CHECK_FALSE(Under.findState());
+TEST_CASE(
+    "a server that the backup lacks is kept until it has had time to write") {
+  RestoreFixture Fixture;
+  Fixture.restore({makeItem("op/config", makeSettings(5), {2, 10})}, {2, 20});
+  CHECK(Fixture.findState() == ServerState::Active);
+  SUBCASE("it is removed if it has not written") {
+    CHECK_FALSE(Fixture.View.resolveMissing(Fixture.Now + fromSeconds(1.9)));
+    CHECK(Fixture.View.resolveMissing(Fixture.Now + fromSeconds(2)));
+    CHECK_FALSE(Fixture.findState());
   }
-  SUBCASE("it stays if it has") {
-    Under.View.applyEvents(
+  SUBCASE("it stays if it has written") {
+    Fixture.View.applyEvents(
         {makeItem("servers/i-1", makeServer(9, "ready"), {2, 21})}, {2, 21},
-        Under.Now);
-    Under.View.resolveMissing(Under.Now + fromSeconds(20));
-    CHECK(Under.findState() == ServerState::Active);
+        Fixture.Now);
+    Fixture.View.resolveMissing(Fixture.Now + fromSeconds(20));
+    CHECK(Fixture.findState() == ServerState::Active);
   }
-  SUBCASE("one that leaves after the return is not kept") {
-    Under.View.applyEvents(
+  SUBCASE("a server that is removed after the restore is not kept") {
+    Fixture.View.applyEvents(
         {makeItem("servers/i-1", makeServer(9, "ready"), {2, 21})}, {2, 21},
-        Under.Now);
-    Under.View.applyEvents({{"servers/i-1", "", {2, 22}, true}}, {2, 22},
-                           Under.Now + fromSeconds(7));
-    CHECK_FALSE(Under.findState());
+        Fixture.Now);
+    Fixture.View.applyEvents({{"servers/i-1", "", {2, 22}, true}}, {2, 22},
+                             Fixture.Now + fromSeconds(7));
+    CHECK_FALSE(Fixture.findState());
   }
 }
 
 TEST_CASE("daemons that the backup lacks are counted for ten seconds") {
-  RestoreBench Under;
-  Under.restore({makeItem("op/config", makeRules(5), {2, 10})}, {2, 20});
-  CHECK(Under.View.listDaemons().size() == 1);
-  SUBCASE("who does not write again is gone then") {
-    CHECK_FALSE(Under.View.resolveMissing(Under.Now + fromSeconds(1)));
-    Under.View.resolveMissing(Under.Now + fromSeconds(10));
-    CHECK(Under.View.listDaemons().empty());
+  RestoreFixture Fixture;
+  Fixture.restore({makeItem("op/config", makeSettings(5), {2, 10})}, {2, 20});
+  CHECK(Fixture.View.listDaemons().size() == 1);
+  SUBCASE("a daemon that does not write again is then removed") {
+    CHECK_FALSE(Fixture.View.resolveMissing(Fixture.Now + fromSeconds(1)));
+    Fixture.View.resolveMissing(Fixture.Now + fromSeconds(10));
+    CHECK(Fixture.View.listDaemons().empty());
   }
-  SUBCASE("who does stays") {
-    Under.View.applyEvents({makeDaemonItem("d1", {2, 21})}, {2, 21}, Under.Now);
-    Under.View.resolveMissing(Under.Now + fromSeconds(10));
-    CHECK(Under.View.listDaemons().size() == 1);
+  SUBCASE("a daemon that writes again stays") {
+    Fixture.View.applyEvents({makeDaemonItem("d1", {2, 21})}, {2, 21},
+                             Fixture.Now);
+    Fixture.View.resolveMissing(Fixture.Now + fromSeconds(10));
+    CHECK(Fixture.View.listDaemons().size() == 1);
   }
 }
 
-TEST_CASE("nobody's part grows while a large fleet writes its entries again") {
+TEST_CASE(
+    "no daemon's part grows while a large fleet writes its entries again") {
   for (const size_t Count : {36, 113, 443}) {
     CAPTURE(Count);
     FleetView View({70}, fromSeconds(2));
@@ -216,73 +223,74 @@
     for (size_t I = 0; I < Count; ++I)
       All.push_back(makeDaemonItem(MakeName(I), {1, 10 + I}));
     View.replaceAll(All, {1, 1000}, Start);
-    // The backup is of a moment at which a third was there.
-    const size_t Listed = Count / 3;
-    for (size_t I = 0; I < Listed; ++I)
+    // The backup lists the first third of the daemons.
+    const size_t ListedCount = Count / 3;
+    for (size_t I = 0; I < ListedCount; ++I)
       All[I].At = {2, 10 + I};
-    All.resize(Listed);
+    All.resize(ListedCount);
     View.replaceAll(All, {2, 500}, Start);
     CHECK(View.listDaemons().size() == Count);
-    // Three died meanwhile; the others write again within size / 100 seconds.
-    const size_t Dead = 3;
+    // Three daemons have died; the others write again within Count / 100
+    // seconds.
+    const size_t DeadCount = 3;
     const double Spread = static_cast<double>(Count) / 100;
-    const size_t Missing = Count - Listed - Dead;
-    for (size_t I = 0; I < Missing; ++I) {
+    const size_t MissingCount = Count - ListedCount - DeadCount;
+    for (size_t I = 0; I < MissingCount; ++I) {
       const TimePoint Now =
           Start + fromSeconds(Spread * static_cast<double>(I) /
-                              static_cast<double>(Missing));
+                              static_cast<double>(MissingCount));
       View.resolveMissing(Now);
       const StorePosition At(2, 501 + I);
-      View.applyEvents({makeDaemonItem(MakeName(Listed + I), At)}, At, Now);
+      View.applyEvents({makeDaemonItem(MakeName(ListedCount + I), At)}, At,
+                       Now);
       REQUIRE(View.listDaemons().size() == Count);
     }
     View.resolveMissing(Start + fromSeconds(10));
-    CHECK(View.listDaemons().size() == Count - Dead);
+    CHECK(View.listDaemons().size() == Count - DeadCount);
   }
 }
 
 TEST_CASE("a peer of an earlier epoch is never ahead and changes nothing") {
-  RestoreBench Under;
-  FleetView Behind({70}, fromSeconds(2));
-  Behind.replaceAll({makeItem("op/config", makeRules(5), {1, 48}),
-                     makeItem("servers/i-9", makeServer(1, "ready"), {1, 90})},
-                    {1, 900}, Start);
-  Under.restore({makeItem("op/config", makeRules(5), {2, 10})}, {2, 20});
-  CHECK(Under.View.getAsOf() > Behind.getAsOf());
-  const ItemChanges Told = Behind.getChangesAfter(Under.View.getAsOf());
-  CHECK_FALSE(Under.View.applyChanges(Told, Under.Now));
-  CHECK(Under.View.getAsOf() == StorePosition(2, 20));
+  RestoreFixture Fixture;
+  FleetView Peer({70}, fromSeconds(2));
+  Peer.replaceAll({makeItem("op/config", makeSettings(5), {1, 48}),
+                   makeItem("servers/i-9", makeServer(1, "ready"), {1, 90})},
+                  {1, 900}, Start);
+  Fixture.restore({makeItem("op/config", makeSettings(5), {2, 10})}, {2, 20});
+  CHECK(Fixture.View.getAsOf() > Peer.getAsOf());
+  const ItemChanges Sent = Peer.getChangesAfter(Fixture.View.getAsOf());
+  CHECK_FALSE(Fixture.View.applyChanges(Sent, Fixture.Now));
+  CHECK(Fixture.View.getAsOf() == StorePosition(2, 20));
 }
 
-TEST_CASE("a peer of a later epoch tells all, over the wire too") {
-  RestoreBench Under;
-  FleetView Ahead({70}, fromSeconds(2));
-  Ahead.replaceAll(
-      {makeItem("op/config", makeRules(6), {2, 10}),
-       makeItem("servers/i-1", makeServer(8, "draining"), {2, 11})},
-      {2, 20}, Start);
-  const ItemChanges Told = Ahead.getChangesAfter(Under.View.getAsOf());
-  CHECK(Told.IsFull);
-  const Result<ItemChanges> Heard = decodeChanges(encodeChanges(Told));
-  REQUIRE(Heard);
-  CHECK(Under.View.applyChanges(Heard.value(), Under.Now));
-  CHECK(Under.View.getAsOf() == StorePosition(2, 20));
-  CHECK(Under.View.compileConfig()->Version == 6);
-  CHECK(Under.findState() == ServerState::Draining);
+TEST_CASE("a peer of a later epoch sends all items, over the wire too") {
+  RestoreFixture Fixture;
+  FleetView Peer({70}, fromSeconds(2));
+  Peer.replaceAll({makeItem("op/config", makeSettings(6), {2, 10}),
+                   makeItem("servers/i-1", makeServer(8, "draining"), {2, 11})},
+                  {2, 20}, Start);
+  const ItemChanges Sent = Peer.getChangesAfter(Fixture.View.getAsOf());
+  CHECK(Sent.IsFull);
+  const Result<ItemChanges> Received = decodeChanges(encodeChanges(Sent));
+  REQUIRE(Received);
+  CHECK(Fixture.View.applyChanges(Received.value(), Fixture.Now));
+  CHECK(Fixture.View.getAsOf() == StorePosition(2, 20));
+  CHECK(Fixture.View.compileConfig()->Version == 6);
+  CHECK(Fixture.findState() == ServerState::Draining);
 }
 
-TEST_CASE("an item of another epoch keeps it over the wire") {
+TEST_CASE("an item of another epoch keeps its epoch over the wire") {
   ItemChanges Changes;
   Changes.AsOf = {1, 50};
   Changes.Items = {{"a", "x", {1, 40}, false},
                    {"b", "y", {2, 7}, false},
                    {"c", "", {2, 8}, true}};
-  const Result<ItemChanges> Heard = decodeChanges(encodeChanges(Changes));
-  REQUIRE(Heard);
-  CHECK(Heard.value().Items == Changes.Items);
-  // A daemon that knows no epochs tells none.
-  Json::Value Old = encodeChanges(Changes);
-  Old.removeMember("epoch");
-  REQUIRE(decodeChanges(Old));
-  CHECK(decodeChanges(Old).value().AsOf == StorePosition(0, 50));
+  const Result<ItemChanges> Received = decodeChanges(encodeChanges(Changes));
+  REQUIRE(Received);
+  CHECK(Received.value().Items == Changes.Items);
+  // A daemon without support for epochs sends none.
+  Json::Value WithoutEpoch = encodeChanges(Changes);
+  WithoutEpoch.removeMember("epoch");
+  REQUIRE(decodeChanges(WithoutEpoch));
+  CHECK(decodeChanges(WithoutEpoch).value().AsOf == StorePosition(0, 50));
 }
