--- a/unittests/Lifetimes/LifetimesTest.cpp
+++ b/unittests/Lifetimes/LifetimesTest.cpp
@@ -1,4 +1,4 @@
-//===- LifetimesTest.cpp - Servers that start again under their id --------===//
+//===- LifetimesTest.cpp - Servers that restart under the same id ---------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A server is its id and the instant of its start. A model of the directory
-/// against an oracle, and a whole daemon before a server that starts again at
-/// once at its address while requests are in flight.
+/// Tests that a server's id and start time together identify its instance: a
+/// model test of the directory against an oracle, and a test of a daemon with a
+/// server that restarts at once at the same address while requests are in
+/// flight.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +27,7 @@
 
 namespace {
 
-/// Returns an entry of one life of a server at a port.
+/// Returns the entry of one instance of a server at a port.
 std::string makeEntry(uint64_t Born, uint64_t Sequence, bool IsDraining,
                       int Port) {
   return fmt::format(
@@ -36,18 +37,18 @@
       Port, Born, IsDraining ? "draining" : "ready", Sequence);
 }
 
-/// What an oracle knows of one server: the newest that it has told of itself,
-/// and whether its entry stands as it wrote it.
-struct Told {
+/// The state of one server that the oracle expects: that of its newest entry,
+/// and whether the store lists a valid entry.
+struct ExpectedServer {
   uint64_t Born = 0;
   uint64_t Sequence = 0;
   bool IsDraining = false;
   bool IsListed = false;
 };
 
-/// One life of a server at a fixed port, which tells who it is.
-struct Life {
-  Life(uint64_t Born, uint16_t Port) : Born(Born) {
+/// One instance of a server at a fixed port. Its responses hold its start time.
+struct ServerInstance {
+  ServerInstance(uint64_t Born, uint16_t Port) : Born(Born) {
     REQUIRE(this->Server.start({"127.0.0.1", Port}));
   }
 
@@ -79,7 +80,8 @@
 
 } // namespace
 
-TEST_CASE("the directory knows the newest of each server, in whatever order") {
+TEST_CASE("the directory keeps the newest entry of each server in any order of "
+          "events") {
   CHECK(rc::check([] {
     FleetView View({70}, fromSeconds(2));
     const TimePoint Start(fromSeconds(100));
@@ -89,70 +91,73 @@
                       {0, 1},
                       false}},
                     {0, 1}, Start);
-    std::map<std::string, Told> Oracle;
+    std::map<std::string, ExpectedServer> Expected;
     const int Steps = *rc::gen::inRange(1, 40);
     for (int Step = 0; Step < Steps; ++Step) {
       const std::string Id = fmt::format("i-{}", *rc::gen::inRange(0, 3));
       const uint64_t Born = 1000 + *rc::gen::inRange<uint64_t>(0, 3);
       const uint64_t Sequence = *rc::gen::inRange<uint64_t>(1, 5);
       const bool IsDraining = *rc::gen::arbitrary<bool>();
-      const int Kind = *rc::gen::inRange(0, 8);
+      const int EventKind = *rc::gen::inRange(0, 8);
       const auto Revision = static_cast<uint64_t>(Step + 2);
       StoreItem Event{"servers/" + Id,
                       makeEntry(Born, Sequence, IsDraining, 80),
                       {0, Revision},
                       false};
-      Told &Known = Oracle[Id];
-      if (Kind == 0) {
+      ExpectedServer &ExpectedEntry = Expected[Id];
+      if (EventKind == 0) {
         Event.IsRemoved = true;
         Event.Value.clear();
-        Known.IsListed = false;
-      } else if (Kind == 1) {
+        ExpectedEntry.IsListed = false;
+      } else if (EventKind == 1) {
         Event.Value = "not an entry";
-        Known.IsListed = false;
+        ExpectedEntry.IsListed = false;
       } else if (std::pair(Born, Sequence) >=
-                 std::pair(Known.Born, Known.Sequence)) {
-        Known = {Born, Sequence, IsDraining, true};
+                 std::pair(ExpectedEntry.Born, ExpectedEntry.Sequence)) {
+        ExpectedEntry = {Born, Sequence, IsDraining, true};
       }
       View.applyEvents({Event}, {0, Revision}, Start);
     }
-    std::map<std::string, bool> Wanted;
-    for (const auto &[Id, Known] : Oracle)
-      if (Known.IsListed)
-        Wanted[fmt::format("{}@{:x}", Id, Known.Born)] = Known.IsDraining;
-    std::map<std::string, bool> Listed;
+    std::map<std::string, bool> ExpectedStates;
+    for (const auto &[Id, ExpectedEntry] : Expected)
+      if (ExpectedEntry.IsListed)
+        ExpectedStates[fmt::format("{}@{:x}", Id, ExpectedEntry.Born)] =
+            ExpectedEntry.IsDraining;
+    std::map<std::string, bool> ListedStates;
     const FleetConfigRef Config = View.compileConfig();
     for (const ServerConfig &Server : Config->Services[0].Servers)
-      Listed[Server.Name] = Server.State == ServerState::Draining;
-    RC_ASSERT(Listed == Wanted);
+      ListedStates[Server.Name] = Server.State == ServerState::Draining;
+    RC_ASSERT(ListedStates == ExpectedStates);
   }));
 }
 
-TEST_CASE("what was in flight at one life is not run by the next, and all else "
-          "goes there") {
-  DaemonFixture Under;
-  Under.writeConfig(2);
+TEST_CASE("requests in flight at one instance are not run by the next, and new "
+          "ones are") {
+  DaemonFixture Fixture;
+  Fixture.writeConfig(2);
   const uint16_t Port = PlatformFixture::findFreePort();
-  auto First = std::make_unique<Life>(1000, Port);
-  Under.Store.put("servers/i-1", First->makeEntry());
-  Under.waitFor([&] { return Under.sendRequest("GET", "/x/1").Status == 200; });
-  CHECK(Under.sendRequest("GET", "/x/1").Body == "1000");
+  auto First = std::make_unique<ServerInstance>(1000, Port);
+  Fixture.Store.put("servers/i-1", First->makeEntry());
+  Fixture.waitFor(
+      [&] { return Fixture.sendRequest("GET", "/x/1").Status == 200; });
+  CHECK(Fixture.sendRequest("GET", "/x/1").Body == "1000");
   First->Runs = 0;
 
   ExchangeResult InFlight;
   std::thread Caller(
-      [&] { InFlight = Under.sendRequest("POST", "/pay/slow", "order"); });
-  Under.waitFor([&] { return First->Runs == 1; });
+      [&] { InFlight = Fixture.sendRequest("POST", "/pay/slow", "order"); });
+  Fixture.waitFor([&] { return First->Runs == 1; });
   First->Server.stopGracefully(readSteadyClock() + fromSeconds(1));
   Caller.join();
-  auto Second = std::make_unique<Life>(2000, Port);
-  Under.Store.put("servers/i-1", Second->makeEntry());
+  auto Second = std::make_unique<ServerInstance>(2000, Port);
+  Fixture.Store.put("servers/i-1", Second->makeEntry());
   CHECK(InFlight.Status == 502);
 
-  Under.waitFor([&] { return Under.sendRequest("GET", "/x/1").Status == 200; });
-  CHECK(Under.sendRequest("GET", "/x/1").Body == "2000");
-  CHECK(Under.sendRequest("POST", "/pay/1", "order").Body == "2000");
-  const std::string Metrics = Under.readMetrics();
+  Fixture.waitFor(
+      [&] { return Fixture.sendRequest("GET", "/x/1").Status == 200; });
+  CHECK(Fixture.sendRequest("GET", "/x/1").Body == "2000");
+  CHECK(Fixture.sendRequest("POST", "/pay/1", "order").Body == "2000");
+  const std::string Metrics = Fixture.readMetrics();
   CHECK(Metrics.find("server=\"i-1@7d0\"") != std::string::npos);
   CHECK(Metrics.find("server=\"i-1@3e8\"") == std::string::npos);
 }
