--- a/unittests/FleetStart/FleetStartTest.cpp
+++ b/unittests/FleetStart/FleetStartTest.cpp
@@ -7,18 +7,17 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The failure. After all machines of a fleet of 443 had lost power, 8 in 10
-/// requests of the next two seconds were refused, since the daemons had no
-/// settings yet; the last had them 1.1 s after its process was up. The starts
-/// also made nearly all of the fleet's calls to the store, seven each.
+/// Guards against a slow start of a whole fleet. After all VMs of a fleet of
+/// 443 daemons had lost power, 8 in 10 requests of the next two seconds were
+/// refused, since the daemons had no settings yet; the last had them 1.1 s
+/// after its process was up. The starts also made nearly all of the fleet's
+/// calls to the store, seven each.
 ///
-/// The order of events. Every daemon read all items of the store in three
-/// pages, began to watch, opened a lease and wrote its entry, and watched again
-/// for each group of entries of the others.
-///
-/// The cause. Each start reads everything and relies on nobody. Evidence: the
-/// later a daemon of a hall came up the longer it waited, 0.09 to 1.08 s, as on
-/// a full link: 443 copies of about 300 KB take a second of the store's.
+/// Every daemon read all items of the store in three pages, started a watch,
+/// opened a lease and wrote its entry, and watched again for each group of
+/// entries of the others. Reading everything from the store saturates its link:
+/// 443 replicas of about 300 KB take a second, and the later a daemon of a hall
+/// came up the longer it waited, 0.09 to 1.08 s.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,22 +32,22 @@
 using namespace canvaswick;
 using namespace canvaswick::platform;
 
-/// As many as a hall of a large fleet has in half.
+/// Number of daemons: half of those of a hall of a large fleet.
 static constexpr int DaemonCount = 40;
 
-/// Servers' entries beside the two that answer.
+/// Number of listed servers that do not answer, besides the two that do.
 static constexpr int SilentServers = 150;
 
-/// What an answer of the users' store takes.
-static constexpr int StoreMillis = 4;
+/// Response time of the users' store, in milliseconds.
+static constexpr int StoreDelayMs = 4;
 
 namespace {
 
-/// A hall whose daemons come and go together.
-struct Fleet : PlatformFixture {
-  Fleet() {
+/// A hall whose daemons start and stop together.
+struct FleetFixture : PlatformFixture {
+  FleetFixture() {
     this->Store.setPageItems(500);
-    this->Store.setFaults({.SlowMs = StoreMillis});
+    this->Store.setFaults({.SlowMs = StoreDelayMs});
     this->writeConfig(2);
     this->addServers();
     for (int I = 0; I < SilentServers; ++I)
@@ -66,11 +65,11 @@
     }
   }
 
-  /// Starts all daemons but the first Left at once.
-  void start(int Left = 0) {
+  /// Starts all daemons but the first SkipCount at once.
+  void start(int SkipCount = 0) {
     for (const DaemonConfig &Config : this->Configs) {
       this->Daemons.push_back(std::make_unique<PlatformDaemon>(Config));
-      if (--Left >= 0) {
+      if (--SkipCount >= 0) {
         this->Daemons.pop_back();
         continue;
       }
@@ -79,12 +78,12 @@
     }
   }
 
-  /// All daemons lose power: they end nothing at the store.
-  void losePower() {
-    std::vector<std::thread> Ends;
+  /// Stops all daemons as after a power loss: they end nothing at the store.
+  void killAll() {
+    std::vector<std::thread> Threads;
     for (std::unique_ptr<PlatformDaemon> &Each : this->Daemons)
-      Ends.emplace_back([&Each] { Each.reset(); });
-    for (std::thread &Each : Ends)
+      Threads.emplace_back([&Each] { Each.reset(); });
+    for (std::thread &Each : Threads)
       Each.join();
     this->Daemons.clear();
   }
@@ -94,18 +93,18 @@
   }
 
   /// Waits until the last Count daemons serve a path.
-  void waitUntilServed(size_t Count, const std::string &Target) {
+  void waitUntilServing(size_t Count, const std::string &Target) {
     for (size_t I = this->Configs.size() - Count; I < this->Configs.size(); ++I)
       this->waitFor([&] { return this->serves(this->Configs[I], Target); });
   }
 
-  /// Waits until the copy lists all daemons.
-  void waitForCopy() {
+  /// Waits until the stored snapshot holds all items and daemons.
+  void waitForSnapshot() {
     this->waitFor([this] {
-      const Result<ItemChanges> Copy =
+      const Result<ItemChanges> Snapshot =
           decodeSnapshot(this->Store.peek("canvaswick/copy"));
-      return Copy &&
-             Copy.value().Items.size() == SilentServers + 3 + DaemonCount;
+      return Snapshot &&
+             Snapshot.value().Items.size() == SilentServers + 3 + DaemonCount;
     });
   }
 
@@ -115,73 +114,74 @@
 
 } // namespace
 
-TEST_CASE("daemons that start at once cost few calls, and less the next time") {
-  Fleet Under;
-  Under.start();
-  Under.waitUntilServed(DaemonCount, "/x/1");
-  // The first to know the others writes the copy some seconds later.
+TEST_CASE(
+    "daemons that start at once make few calls, and fewer the next time") {
+  FleetFixture Fixture;
+  Fixture.start();
+  Fixture.waitUntilServing(DaemonCount, "/x/1");
+  // The first daemon to know the others writes the snapshot seconds later.
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  const double First = Under.Store.sumCallCosts() / DaemonCount;
-  MESSAGE("first start: ", First, " calls each");
-  CHECK(First < 4.5);
-  Under.waitForCopy();
-  Under.losePower();
-
-  const double Before = Under.Store.sumCallCosts();
-  const TimePoint Began = readSteadyClock();
-  Under.start();
-  Under.waitUntilServed(DaemonCount, "/x/1");
-  MESSAGE("served by all ", toMillis(readSteadyClock() - Began),
-          " ms after the first began to start again");
+  const double FirstCost = Fixture.Store.sumCallCosts() / DaemonCount;
+  MESSAGE("first start: ", FirstCost, " calls each");
+  CHECK(FirstCost < 4.5);
+  Fixture.waitForSnapshot();
+  Fixture.killAll();
+
+  const double CostBefore = Fixture.Store.sumCallCosts();
+  const TimePoint StartTime = readSteadyClock();
+  Fixture.start();
+  Fixture.waitUntilServing(DaemonCount, "/x/1");
+  MESSAGE("served by all ", toMillis(readSteadyClock() - StartTime),
+          " ms after the first began to restart");
   std::this_thread::sleep_for(std::chrono::seconds(1));
-  const double Second = (Under.Store.sumCallCosts() - Before) / DaemonCount;
-  MESSAGE("second start: ", Second, " calls each");
-  CHECK(Second < 1);
-  // A change reaches those that have never asked the store themselves.
-  Under.writeConfig(3, "/y/");
-  Under.waitUntilServed(DaemonCount, "/y/1");
+  const double SecondCost =
+      (Fixture.Store.sumCallCosts() - CostBefore) / DaemonCount;
+  MESSAGE("second start: ", SecondCost, " calls each");
+  CHECK(SecondCost < 1);
+  // A change reaches daemons that have never called the store themselves.
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitUntilServing(DaemonCount, "/y/1");
 }
 
-TEST_CASE("who should watch does not come back, and the others learn all") {
-  Fleet Under;
-  Under.start();
-  Under.waitUntilServed(DaemonCount, "/x/1");
+TEST_CASE("daemons learn changes when the elected watchers do not come back") {
+  FleetFixture Fixture;
+  Fixture.start();
+  Fixture.waitUntilServing(DaemonCount, "/x/1");
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  Under.waitForCopy();
-  Under.losePower();
-  // What changes now is not in the copy.
-  Under.writeConfig(3, "/y/");
-  // Half of the hall, those who watch among them as likely as not.
-  constexpr size_t Back = DaemonCount / 2;
-  Under.start(DaemonCount - static_cast<int>(Back));
-  Under.waitUntilServed(Back, "/y/1");
+  Fixture.waitForSnapshot();
+  Fixture.killAll();
+  // The snapshot does not hold this change.
+  Fixture.writeConfig(3, "/y/");
+  // Half of the hall restarts, which may or may not include the watchers.
+  constexpr size_t RestartCount = DaemonCount / 2;
+  Fixture.start(DaemonCount - static_cast<int>(RestartCount));
+  Fixture.waitUntilServing(RestartCount, "/y/1");
 }
 
-// The failure. On a day on which 94 daemons were added while the store answered
-// nobody for 8 s, the fleet made 2,789 calls to it, nearly three times as many
-// as on others. The cause. While nobody of a hall is answered all its daemons
-// ask, each as often as one of a small hall would: the calls grow with the
-// fleet just as the store has trouble. Evidence: the calls of that day against
-// six others.
-TEST_CASE(
-    "a large hall asks a store that fails no more often than a small one") {
-  Fleet Under;
-  Under.start();
-  Under.waitUntilServed(DaemonCount, "/x/1");
+// Guards against calls to a failing store that grow with the fleet. While no
+// daemon of a hall gets answers, all of them call the store, each as often as a
+// daemon of a small hall would. On a day on which 94 daemons were added while
+// the store answered nobody for 8 s, the fleet made 2,789 calls to it, nearly
+// three times as many as on six other days.
+TEST_CASE("a large hall calls a failing store no more often than a small one") {
+  FleetFixture Fixture;
+  Fixture.start();
+  Fixture.waitUntilServing(DaemonCount, "/x/1");
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  Under.Store.setFaults({.IsDown = true});
-  // All have noticed, and wait longest.
+  Fixture.Store.setFaults({.IsDown = true});
+  // After this time all daemons have noticed and back off for the longest time.
   std::this_thread::sleep_for(std::chrono::seconds(5));
-  const double Before = Under.Store.sumCallCosts();
-  const TimePoint Began = readSteadyClock();
+  const double CostBefore = Fixture.Store.sumCallCosts();
+  const TimePoint StartTime = readSteadyClock();
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  const double Rate = (Under.Store.sumCallCosts() - Before) /
-                      toSeconds(readSteadyClock() - Began);
+  const double Rate = (Fixture.Store.sumCallCosts() - CostBefore) /
+                      toSeconds(readSteadyClock() - StartTime);
   MESSAGE("calls a second of ", DaemonCount, " daemons: ", Rate);
-  // 30 by the waits; 82 before, and 44 while each of them wrote the copy.
+  // The backoffs allow 30. The rate was 82 while daemons ignored the size of
+  // their hall, and 44 while each of them wrote the snapshot.
   CHECK(Rate < 40);
-  // Once it answers again all learn what has changed.
-  Under.writeConfig(3, "/y/");
-  Under.Store.setFaults({.SlowMs = StoreMillis});
-  Under.waitUntilServed(DaemonCount, "/y/1");
+  // Once the store answers again, all daemons learn the change.
+  Fixture.writeConfig(3, "/y/");
+  Fixture.Store.setFaults({.SlowMs = StoreDelayMs});
+  Fixture.waitUntilServing(DaemonCount, "/y/1");
 }
