--- a/unittests/FloorProperty/FloorPropertyTest.cpp
+++ b/unittests/FloorProperty/FloorPropertyTest.cpp
@@ -1,4 +1,4 @@
-//===- FloorPropertyTest.cpp - Sound servers stay in use, always ----------===//
+//===- FloorPropertyTest.cpp - Healthy servers stay in use ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The floor for any number of servers, part that is sick, length of spells and
-/// rate. A program of its own, since it fails: see KNOWN-RED.txt.
+/// Tests the floor for any number of servers, unhealthy fraction, duration of
+/// failure episodes and request rate. It is a program of its own because it
+/// fails: see KNOWN-RED.txt.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,8 @@
 
 using namespace canvaswick;
 
-TEST_CASE("for any part that is sick and any spells the floor is kept") {
+TEST_CASE(
+    "the floor is kept for any unhealthy fraction and any failure episodes") {
   CHECK(rc::check([] {
     CoverageScenario Scenario;
     Scenario.Servers = *rc::gen::inRange<size_t>(12, 60);
@@ -32,8 +34,8 @@
   }));
 }
 
-TEST_CASE("the floor is kept where one server in twelve is sick by turns") {
-  // What the property came down to from seed 1.
+TEST_CASE("the floor is kept where one server in twelve is unhealthy in turn") {
+  // RapidCheck shrank the failure of the property with seed 1 to this scenario.
   CoverageScenario Scenario;
   Scenario.Servers = 12;
   Scenario.UnhealthyFraction = 0.05;
