--- a/unittests/AllowanceCoincidence/AllowanceCoincidenceTest.cpp
+++ b/unittests/AllowanceCoincidence/AllowanceCoincidenceTest.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceCoincidenceTest.cpp - Two troubles in one second ----------===//
+//===- AllowanceCoincidenceTest.cpp - Faults during a surge ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,31 +7,36 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// An organisation sends ten times its usual, and within about a second more
-/// befalls the fleet.
+/// Tests that the quota of an organisation that sends ten times its typical
+/// load holds when the fleet has a fault within about a second.
 ///
 //===----------------------------------------------------------------------===//
 
-#include "HotPlay.h"
+#include "SurgeScenario.h"
 
 #include <doctest/doctest.h>
 
 using namespace canvaswick;
 
-TEST_CASE("cut off as it begins, a third and the rest keep the bound") {
+TEST_CASE("the quota holds when a third of the fleet is cut off as the surge "
+          "starts") {
   for (const int DaemonsOfHall : {12, 38})
     for (const double Rate : {8.0, 60.0, 173.0})
-      CHECK(getWorstFill(makeHotAndCut(DaemonsOfHall, Rate), 3) <= 1);
+      CHECK(findMaxFill(makeSurgeWithCut(DaemonsOfHall, Rate), 3) <= 1);
 }
 
-// A daemon charged nothing for what the others told of first: after a start of
-// the whole fleet each had the bucket to itself until it heard of another
-// request. 36 daemons filled the bound to 1.02, 114 to 1.13.
-TEST_CASE("killed a second after it began, a whole fleet keeps the bound") {
+// Guards against daemons that charge nothing for the first usage that others
+// report: after a restart of the whole fleet each had the whole token bucket to
+// itself until it learned of another request. 36 daemons filled the bound to
+// 1.02, 114 to 1.13.
+TEST_CASE(
+    "the quota holds when the whole fleet is killed a second after the surge "
+    "starts") {
   for (const int DaemonsOfHall : {3, 12, 38})
     for (const double Rate : {8.0, 60.0, 173.0}) {
-      AllowanceScenario Killed = makeHot(DaemonsOfHall, Rate);
-      Killed.Events = {{AllowanceTrouble::Killed, RiseMs + 1000, 1000, 1}};
-      CHECK(getWorstFill(Killed, 3) <= 1);
+      AllowanceScenario Killed = makeSurge(DaemonsOfHall, Rate);
+      Killed.Events = {
+          {AllowanceTrouble::Killed, SurgeStartMs + 1000, 1000, 1}};
+      CHECK(findMaxFill(Killed, 3) <= 1);
     }
 }
--- a/unittests/AllowanceCoincidence/SurgeScenario.h
+++ b/unittests/AllowanceCoincidence/SurgeScenario.h
@@ -1,4 +1,4 @@
-//===- HotPlay.h - An organisation that sends ten times its usual -*- C++ -*-=//
+//===- SurgeScenario.h - Tenfold load of an organisation --------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,12 +7,13 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A play of the allowance model in which troubles meet a tenfold rise.
+/// Provides scenarios of the quota model in which faults coincide with a
+/// tenfold rise of an organisation's load.
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_HOTPLAY_H
-#define CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_HOTPLAY_H
+#ifndef CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_SURGESCENARIO_H
+#define CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_SURGESCENARIO_H
 
 #include "canvaswick/Bench/AllowanceModel.h"
 
@@ -20,39 +21,41 @@
 
 namespace canvaswick {
 
-/// When the organisation begins to send ten times its usual.
-inline constexpr int RiseMs = 8000;
-
-/// Returns a play of three halls in which it does, for six seconds.
-inline AllowanceScenario makeHot(int DaemonsOfHall, double Rate) {
-  AllowanceScenario Hot;
-  Hot.DaemonsOfHall = DaemonsOfHall;
-  Hot.Rate = Rate;
-  Hot.Callers = Rate < 20 ? 19 : 200;
-  Hot.LengthMs = 15000;
-  Hot.HotTimes = 10;
-  Hot.HotFromMs = RiseMs;
-  Hot.HotForMs = 6000;
-  return Hot;
+/// Time at which the organisation starts to send ten times its typical load.
+inline constexpr int SurgeStartMs = 8000;
+
+/// Returns a scenario of three halls in which the surge lasts six seconds.
+inline AllowanceScenario makeSurge(int DaemonsOfHall, double Rate) {
+  AllowanceScenario Surge;
+  Surge.DaemonsOfHall = DaemonsOfHall;
+  Surge.Rate = Rate;
+  Surge.Callers = Rate < 20 ? 19 : 200;
+  Surge.LengthMs = 15000;
+  Surge.HotTimes = 10;
+  Surge.HotFromMs = SurgeStartMs;
+  Surge.HotForMs = 6000;
+  return Surge;
 }
 
-/// Returns the same where a third is cut off as it begins, for as long.
-inline AllowanceScenario makeHotAndCut(int DaemonsOfHall, double Rate) {
-  AllowanceScenario Cut = makeHot(DaemonsOfHall, Rate);
-  Cut.Events = {{AllowanceTrouble::Cut, RiseMs, 6000, 0.33}};
+/// Returns the same scenario, with a third of the daemons cut off from the
+/// others during the surge.
+inline AllowanceScenario makeSurgeWithCut(int DaemonsOfHall, double Rate) {
+  AllowanceScenario Cut = makeSurge(DaemonsOfHall, Rate);
+  Cut.Events = {{AllowanceTrouble::Cut, SurgeStartMs, 6000, 0.33}};
   return Cut;
 }
 
-/// Returns the largest part of the bound that a window is filled to.
-inline double getWorstFill(const AllowanceScenario &Scenario, uint64_t Seeds) {
-  double Worst = 0;
+/// Returns the maximum over all windows and seeds of the admitted requests, as
+/// a fraction of the bound.
+inline double findMaxFill(const AllowanceScenario &Scenario, uint64_t Seeds) {
+  double MaxFill = 0;
   for (uint64_t Seed = 1; Seed <= Seeds; ++Seed)
-    Worst = std::max(
-        Worst,
+    MaxFill = std::max(
+        MaxFill,
         runAllowanceModel(Scenario, AllowanceWay::ToldCounts, Seed).WorstFill);
-  return Worst;
+  return MaxFill;
 }
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_HOTPLAY_H
+#endif // CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_SURGESCENARIO_H
--- a/unittests/AllowanceSmallFleet/AllowanceSmallFleetTest.cpp
+++ b/unittests/AllowanceSmallFleet/AllowanceSmallFleetTest.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceSmallFleetTest.cpp - A rise and a cut in a small fleet ----===//
+//===- AllowanceSmallFleetTest.cpp - Cuts of a small fleet ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,20 +7,22 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Six or nine daemons of which a third is cut off just as an organisation
-/// begins to send ten times its usual.
+/// Tests that the quota of an organisation that starts to send ten times its
+/// typical load holds for six or nine daemons of which a third is cut off at
+/// that moment.
 ///
 //===----------------------------------------------------------------------===//
 
-#include "../AllowanceCoincidence/HotPlay.h"
+#include "../AllowanceCoincidence/SurgeScenario.h"
 
 #include <doctest/doctest.h>
 
 using namespace canvaswick;
 
 TEST_CASE(
-    "cut off as it begins, a third and the rest of a few keep the bound") {
+    "the quota of a small fleet holds when a third is cut off as the surge "
+    "starts") {
   for (const int DaemonsOfHall : {2, 3})
     for (const double Rate : {8.0, 60.0, 173.0})
-      CHECK(getWorstFill(makeHotAndCut(DaemonsOfHall, Rate), 12) <= 1);
+      CHECK(findMaxFill(makeSurgeWithCut(DaemonsOfHall, Rate), 12) <= 1);
 }
