--- a/unittests/PlannedStop/PlannedStopTest.cpp
+++ b/unittests/PlannedStop/PlannedStopTest.cpp
@@ -1,4 +1,4 @@
-//===- PlannedStopTest.cpp - What comes during a planned stop -------------===//
+//===- PlannedStopTest.cpp - Requests that arrive during a planned stop ---===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The first one failed now and then for the fault that HttpClosingTest.cpp
-/// tells, so it has a program of its own.
+/// Tests requests that arrive during a planned stop. The first test sometimes
+/// failed because of the fault that HttpClosingTest.cpp describes, so these
+/// tests have a program of their own.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,44 +20,45 @@
 using namespace canvaswick;
 using namespace canvaswick::platform;
 
-TEST_CASE("what comes during a stop is answered before the daemon is killed") {
-  DaemonFixture Under(fromMillis(1200));
-  Under.startServing();
-  Under.setBehaviours(Behaviour::Slow);
-  Under.Daemon->beginStop();
-  const TimePoint Began = readSteadyClock();
-  // The server takes longer than the daemon has left, the caller would wait.
-  const ExchangeResult Result = Under.sendRequest("POST", "/pay/1", "x");
+TEST_CASE("requests during a stop are answered before the daemon is killed") {
+  DaemonFixture Fixture(fromMillis(1200));
+  Fixture.startServing();
+  Fixture.setBehaviours(Behaviour::Slow);
+  Fixture.Daemon->beginStop();
+  const TimePoint StartTime = readSteadyClock();
+  // The server takes longer than the daemon has left; the caller would wait.
+  const ExchangeResult Result = Fixture.sendRequest("POST", "/pay/1", "x");
   CHECK(Result.End == ExchangeEnd::Complete);
   CHECK(Result.Status == 504);
-  CHECK(readSteadyClock() - Began < Under.Config.Grace);
+  CHECK(readSteadyClock() - StartTime < Fixture.Config.Grace);
 }
 
-// The failure. A warning that may be issued once was taken five seconds after
-// the stop signal, begun at a server, and given up half a second later, since
-// the daemon had to end.
-// The cause. A daemon that waits for its last requests took new ones as long as
-// it had any: what a hall sends is sent to all of its daemons while fewer than
-// half of them are ready. Evidence: the request came 4.98 s after the signal,
-// on a connection of its own, and got the daemon's last answer at 5.4 s.
-TEST_CASE("what comes near the end of a stop is refused, not begun") {
-  DaemonFixture Under(fromMillis(2500));
-  Under.startServing();
-  Under.setBehaviours(Behaviour::Slow);
-  Under.Daemon->beginStop();
+// Guards against a stopping daemon that begins requests which it cannot finish.
+// A daemon accepted new requests as long as it had any in flight. They still
+// arrive then, since callers send to all daemons of a hall while fewer than
+// half of them are ready. A request that may run only once arrived 4.98 s after
+// the stop signal, on a connection of its own. The daemon sent it to a server
+// and aborted it half a second later, since it had to exit; its last response
+// was sent at 5.4 s.
+TEST_CASE("requests near the end of a stop are refused and not begun") {
+  DaemonFixture Fixture(fromMillis(2500));
+  Fixture.startServing();
+  Fixture.setBehaviours(Behaviour::Slow);
+  Fixture.Daemon->beginStop();
   ExchangeResult First;
-  std::thread Caller([&] { First = Under.sendRequest("POST", "/pay/1", "x"); });
-  Under.waitFor([&] { return Under.countRuns() == 1; });
+  std::thread Caller(
+      [&] { First = Fixture.sendRequest("POST", "/pay/1", "x"); });
+  Fixture.waitFor([&] { return Fixture.countRuns() == 1; });
   std::thread Stopper(
-      [&] { Under.Daemon->finishStop(readSteadyClock() + fromSeconds(2)); });
+      [&] { Fixture.Daemon->finishStop(readSteadyClock() + fromSeconds(2)); });
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  const ExchangeResult Late = Under.sendRequest("POST", "/pay/2", "x");
+  const ExchangeResult Late = Fixture.sendRequest("POST", "/pay/2", "x");
   CHECK(Late.Status == 503);
   const auto Outcome = Late.Headers.find("Canvaswick-Outcome");
   CHECK((Outcome != Late.Headers.end() && Outcome->second == "not-run"));
-  CHECK(Under.countRuns() == 1);
+  CHECK(Fixture.countRuns() == 1);
   Caller.join();
   Stopper.join();
-  // What was taken before is served.
+  // The request that was accepted before is served.
   CHECK(First.Status == 200);
 }
