--- a/unittests/StoreSilence/StoreSilenceTest.cpp
+++ b/unittests/StoreSilence/StoreSilenceTest.cpp
@@ -1,4 +1,4 @@
-//===- StoreSilenceTest.cpp - A store that says nothing, without an error -===//
+//===- StoreSilenceTest.cpp - A store that stops answering watches --------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,21 +7,18 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The failure. Operators changed a route, and the store acknowledged it. Two
-/// seconds later daemons of two halls still served by the version before, and
-/// went on to for another second, though the store answered other calls.
+/// Guards against daemons that keep old settings while the store leaves watches
+/// unanswered. Operators changed a route, and the store acknowledged it.
+/// Daemons of two halls still served by the previous version two seconds later
+/// and for another second, although the store answered other calls.
 ///
-/// The order of events. Each hall's two watchers had a watch out. The store
-/// stopped to answer them: their connections stayed open, no call failed. The
-/// change was acknowledged. The watchers said several times a second that they
-/// watch and reach the store, so nobody else of their halls asked it.
-///
-/// The cause. A watch waited up to 25 seconds and was taken for quiet all that
-/// time; that a watcher was to be relied on followed from its last call,
-/// however long ago that was. Evidence: between the fault and the end of their
-/// wait the watchers' counts of calls to the store stood still, no daemon
-/// logged an error or a later version, and the watches ended after 25 seconds
-/// exactly.
+/// The two watchers of each hall had a watch in flight. The store stopped
+/// answering it, but the connections stayed open and no call failed. A watch
+/// could wait up to 25 seconds and counted as idle all that time, and whether a
+/// watcher was reliable followed from its last call, however old. The watchers
+/// therefore kept reporting several times a second that they watch and reach
+/// the store, so that no other daemon of their halls called it. They made no
+/// calls and logged no error until the watches ended after exactly 25 seconds.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,25 +32,26 @@
 using namespace canvaswick;
 using namespace canvaswick::platform;
 
-TEST_CASE("a change reaches daemons whose watchers the store leaves waiting") {
-  Hall Under(4);
-  Under.startServing();
-  const std::vector<Member *> Watchers = Under.listWatchers();
+TEST_CASE(
+    "a change reaches daemons whose watchers get no answer from the store") {
+  Hall Fixture(4);
+  Fixture.startServing();
+  const std::vector<Member *> Watchers = Fixture.listWatchers();
   for (Member *Each : Watchers) {
     Each->StoreRelay.getFaults().CutForward = true;
     Each->StoreRelay.getFaults().CutBackward = true;
   }
-  Under.writeConfig(3, "/y/");
-  for (const std::unique_ptr<Member> &Each : Under.Members)
+  Fixture.writeConfig(3, "/y/");
+  for (const std::unique_ptr<Member> &Each : Fixture.Members)
     if (std::find(Watchers.begin(), Watchers.end(), Each.get()) ==
         Watchers.end())
-      Under.waitFor([&] { return Under.serves(*Each, "/y/1"); });
+      Fixture.waitFor([&] { return Fixture.serves(*Each, "/y/1"); });
 }
 
-TEST_CASE("a change is learned though the watch's connection went silent") {
-  Hall Under(1);
-  Under.startServing();
-  Under.Members[0]->StoreRelay.silenceOpenConnections();
-  Under.writeConfig(3, "/y/");
-  Under.waitFor([&] { return Under.serves(*Under.Members[0], "/y/1"); });
+TEST_CASE("a change is learned although the watch's connection went silent") {
+  Hall Fixture(1);
+  Fixture.startServing();
+  Fixture.Members[0]->StoreRelay.silenceOpenConnections();
+  Fixture.writeConfig(3, "/y/");
+  Fixture.waitFor([&] { return Fixture.serves(*Fixture.Members[0], "/y/1"); });
 }
