--- a/unittests/HttpClosing/HttpClosingTest.cpp
+++ b/unittests/HttpClosing/HttpClosingTest.cpp
@@ -1,4 +1,4 @@
-//===- HttpClosingTest.cpp - Answers while a server begins to close -------===//
+//===- HttpClosingTest.cpp - Responses while a server closes --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,18 +7,16 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The failure. A request that may run once, sent on a kept connection right
-/// after a planned stop had begun, ended without an answer.
+/// Guards against a connection that is closed without notice. A request that
+/// may run only once, sent on a kept connection right after a planned stop had
+/// begun, ended without a response.
 ///
-/// The order of events. An earlier request on that connection was being served
-/// as the stop began. Its answer did not say that the connection would be
-/// closed, since that is decided when a request is taken. The server closed it
-/// all the same, since whether to keep it is decided after the answer. The next
-/// request crossed the close.
-///
-/// The cause. Two reads of one flag that may change between them. Evidence: the
-/// log of the failing test has one request still in flight as the stop begins,
-/// and none after it.
+/// The server was handling an earlier request on that connection as the stop
+/// began. It decided whether to announce the close when it received that
+/// request, and whether to keep the connection after the response. Both
+/// decisions read the same flag, which changed in between: the response
+/// announced no close, the server closed the connection, and the next request
+/// crossed the close.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +30,7 @@
 
 using namespace canvaswick;
 
-TEST_CASE("an answer tells whether its connection is closed after it") {
+TEST_CASE("a response announces whether its connection is closed after it") {
   std::atomic<bool> IsEntered{false};
   std::atomic<bool> MayAnswer{false};
   HttpServer Server(HttpServerLimits(), [&](HttpExchange &Exchange) {
@@ -55,10 +53,10 @@
   MayAnswer = true;
   Caller.join();
   REQUIRE(Result.End == ExchangeEnd::Complete);
-  // Whatever follows, it must be so whenever it is looked at.
+  // The connection's state must be final by now.
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   const auto Found = Result.Headers.find("Connection");
-  const bool IsToldClosed =
+  const bool IsAnnouncedClosed =
       Found != Result.Headers.end() && Found->second == "close";
-  CHECK(IsToldClosed == (Server.countConnections() == 0));
+  CHECK(IsAnnouncedClosed == (Server.countConnections() == 0));
 }
