--- a/unittests/TestMain/TestMain.cpp
+++ b/unittests/TestMain/TestMain.cpp
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// doctest's runner, compiled once.
+/// Defines the main function of doctest, which all test programs link.
 ///
 //===----------------------------------------------------------------------===//
 
