--- a/unittests/ServerLimit/LimitSimulation.h
+++ b/unittests/ServerLimit/LimitSimulation.h
@@ -98,7 +98,7 @@
       for (int I = 0; I < Given.DaemonsOfHall; ++I)
         this->Names.push_back(fmt::format("h{}-d{:02}", Hall, I));
     for (const std::string &Name : this->Names)
-      this->Daemons.emplace_back(this->makeNotices(Name), Given.Limited);
+      this->Daemons.emplace_back(this->makeNoticeTable(Name), Given.Limited);
     for (size_t I = 0; I < this->Daemons.size(); ++I)
       this->Daemons[I].Service = this->makeService(I);
   }
@@ -131,14 +131,14 @@
   };
 
   struct Daemon {
-    ServerNoticeTableRef Notices;
+    ServerNoticeTableRef NoticeTable;
     ServiceRuntimeRef Service;
     std::list<SentRequest> InFlight;
     /// Time at which each limited server first informed the daemon of its
     /// limit.
     std::vector<std::optional<TimePoint>> InformedAt;
-    Daemon(ServerNoticeTableRef Notices, int Limited)
-        : Notices(std::move(Notices)),
+    Daemon(ServerNoticeTableRef NoticeTable, int Limited)
+        : NoticeTable(std::move(NoticeTable)),
           InformedAt(static_cast<size_t>(Limited)) {}
   };
 
@@ -151,15 +151,15 @@
     return Daemon.substr(0, 2);
   }
 
-  ServerNoticeTableRef makeNotices(const std::string &Name) const {
+  ServerNoticeTableRef makeNoticeTable(const std::string &Name) const {
     FleetDaemons Fleet;
     Fleet.Self = Name;
     Fleet.All = this->Names;
     for (const std::string &Each : this->Names)
       Fleet.Halls[getHall(Each)].push_back(Each);
-    ServerNoticeTableRef Notices(new ServerNoticeTable);
-    Notices->with([&](ServerNotices &All) { All.setFleet(Fleet, Begin); });
-    return Notices;
+    ServerNoticeTableRef NoticeTable(new ServerNoticeTable);
+    NoticeTable->with([&](ServerNotices &All) { All.setFleet(Fleet, Begin); });
+    return NoticeTable;
   }
 
   ServiceRuntimeRef makeService(size_t Daemon) const {
@@ -180,7 +180,7 @@
     DaemonIdentity Identity;
     Identity.Name = Name;
     Identity.Hall = getHall(Name);
-    Identity.Notices = this->Daemons[Daemon].Notices;
+    Identity.Notices = this->Daemons[Daemon].NoticeTable;
     Identity.Daemons = this->Names;
     Identity.Source = SettingsSource::Platform;
     return new ServiceRuntime(Config, Identity, nullptr, Begin);
@@ -230,7 +230,7 @@
                         this->Now);
     Each.InFlight.clear();
     std::fill(Each.InformedAt.begin(), Each.InformedAt.end(), std::nullopt);
-    Each.Notices = this->makeNotices(this->Names[Index]);
+    Each.NoticeTable = this->makeNoticeTable(this->Names[Index]);
     Each.Service = this->makeService(Index);
   }
 
@@ -268,11 +268,11 @@
           this->hasFault(LimitFault::Dead, I))
         continue;
       const std::vector<LimitReport> ChangedReports =
-          this->Daemons[I].Notices->with([&](ServerNotices &All) {
+          this->Daemons[I].NoticeTable->with([&](ServerNotices &All) {
             return All.drainLimitReports(5, this->Now);
           });
       const std::vector<LimitReport> AllReports =
-          this->Daemons[I].Notices->with([&](const ServerNotices &All) {
+          this->Daemons[I].NoticeTable->with([&](const ServerNotices &All) {
             return All.listLimitReports(5, this->Now);
           });
       std::uniform_int_distribution<int> ReportDraw(
--- a/unittests/ServerRest/ServerRestTest.cpp
+++ b/unittests/ServerRest/ServerRestTest.cpp
@@ -102,11 +102,12 @@
   char Date[64];
   std::strftime(Date, sizeof(Date), "%a, %d %b %Y %H:%M:%S GMT",
                 std::gmtime(&Until));
-  for (const std::string &Rest : {std::string("30"), std::string(Date)}) {
+  for (const std::string &HeaderValue :
+       {std::string("30"), std::string(Date)}) {
     ProxyFixture Fixture;
     BackendFaults Shedding;
     Shedding.Shed = true;
-    Shedding.Rest = Rest;
+    Shedding.Rest = HeaderValue;
     Fixture.Backends[0]->setFaults(Shedding);
     for (int I = 0; I < 40; ++I)
       CHECK(Fixture.send("GET", "/read/1").Status == 200);
@@ -115,11 +116,11 @@
 }
 
 TEST_CASE("over real connections an invalid backoff is ignored") {
-  for (const char *Rest : {"soon", "-1", "1e99"}) {
+  for (const char *HeaderValue : {"soon", "-1", "1e99"}) {
     ProxyFixture Fixture;
     BackendFaults Shedding;
     Shedding.Shed = true;
-    Shedding.Rest = Rest;
+    Shedding.Rest = HeaderValue;
     Fixture.Backends[0]->setFaults(Shedding);
     for (int I = 0; I < 40; ++I)
       CHECK(Fixture.send("GET", "/read/1").Status == 200);
--- a/unittests/StoreRestore/FleetModelTest.cpp
+++ b/unittests/StoreRestore/FleetModelTest.cpp
@@ -199,10 +199,10 @@
 };
 
 std::ostream &operator<<(std::ostream &Out, const Step &Each) {
-  static constexpr std::array Names = {"write-rules", "write-server", "leave",
-                                       "end-server",  "keep-copy",    "return",
-                                       "write-again", "watch",        "fetch",
-                                       "cut",         "restart"};
+  static constexpr std::array Names = {
+      "write-settings", "write-server", "leave-server", "end-server",
+      "take-backup",    "restore",      "rewrite-all",  "watch",
+      "fetch",          "cut",          "restart"};
   return Out << Names.at(static_cast<size_t>(Each.Kind)) << ' ' << Each.Index
              << ' ' << Each.PeerIndex;
 }
--- a/unittests/StoreRestore/ViewRestoreTest.cpp
+++ b/unittests/StoreRestore/ViewRestoreTest.cpp
@@ -252,24 +252,26 @@
 
 TEST_CASE("a peer of an earlier epoch is never ahead and changes nothing") {
   RestoreFixture Fixture;
-  FleetView Peer({70}, fromSeconds(2));
-  Peer.replaceAll({makeItem("op/config", makeSettings(5), {1, 48}),
-                   makeItem("servers/i-9", makeServer(1, "ready"), {1, 90})},
-                  {1, 900}, Start);
+  FleetView EarlierPeer({70}, fromSeconds(2));
+  EarlierPeer.replaceAll(
+      {makeItem("op/config", makeSettings(5), {1, 48}),
+       makeItem("servers/i-9", makeServer(1, "ready"), {1, 90})},
+      {1, 900}, Start);
   Fixture.restore({makeItem("op/config", makeSettings(5), {2, 10})}, {2, 20});
-  CHECK(Fixture.View.getAsOf() > Peer.getAsOf());
-  const ItemChanges Sent = Peer.getChangesAfter(Fixture.View.getAsOf());
+  CHECK(Fixture.View.getAsOf() > EarlierPeer.getAsOf());
+  const ItemChanges Sent = EarlierPeer.getChangesAfter(Fixture.View.getAsOf());
   CHECK_FALSE(Fixture.View.applyChanges(Sent, Fixture.Now));
   CHECK(Fixture.View.getAsOf() == StorePosition(2, 20));
 }
 
 TEST_CASE("a peer of a later epoch sends all items, over the wire too") {
   RestoreFixture Fixture;
-  FleetView Peer({70}, fromSeconds(2));
-  Peer.replaceAll({makeItem("op/config", makeSettings(6), {2, 10}),
-                   makeItem("servers/i-1", makeServer(8, "draining"), {2, 11})},
-                  {2, 20}, Start);
-  const ItemChanges Sent = Peer.getChangesAfter(Fixture.View.getAsOf());
+  FleetView LaterPeer({70}, fromSeconds(2));
+  LaterPeer.replaceAll(
+      {makeItem("op/config", makeSettings(6), {2, 10}),
+       makeItem("servers/i-1", makeServer(8, "draining"), {2, 11})},
+      {2, 20}, Start);
+  const ItemChanges Sent = LaterPeer.getChangesAfter(Fixture.View.getAsOf());
   CHECK(Sent.IsFull);
   const Result<ItemChanges> Received = decodeChanges(encodeChanges(Sent));
   REQUIRE(Received);
