--- a/include/canvaswick/StandIn/BackendStandIn.h
+++ b/include/canvaswick/StandIn/BackendStandIn.h
@@ -56,7 +56,7 @@
   /// how long it wants rest, if it sheds. Empty: nothing.
   std::string Limit;
   bool SendsLeaving = false;
-  std::string Rest = "1";
+  std::string RetryAfter = "1";
   bool Drain = false;
   /// Answer health checks with red although all is well.
   bool HealthLiesRed = false;
