--- a/include/canvaswick/Bench/PolicyBench.h
+++ b/include/canvaswick/Bench/PolicyBench.h
@@ -48,7 +48,7 @@
 };
 
 /// Runs one policy on one scenario.
-BenchResult runPolicyBench(const Scenario &Under, PolicyKind Policy,
+BenchResult runPolicyBench(const Scenario &Spec, PolicyKind Policy,
                            uint64_t Seed);
 
 /// Returns the medians of the results of one scenario and policy over seeds,
--- a/include/canvaswick/Bench/AllowanceModel.h
+++ b/include/canvaswick/Bench/QuotaModel.h
@@ -1,4 +1,4 @@
-//===- AllowanceModel.h - A fleet's allowances in virtual time --*- C++ -*-===//
+//===- QuotaModel.h - A fleet's allowances in virtual time ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -14,8 +14,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_BENCH_ALLOWANCEMODEL_H
-#define CANVASWICK_BENCH_ALLOWANCEMODEL_H
+#ifndef CANVASWICK_BENCH_QUOTAMODEL_H
+#define CANVASWICK_BENCH_QUOTAMODEL_H
 
 #include "canvaswick/Settings/DaemonConfig.h"
 
@@ -26,21 +26,21 @@
 namespace canvaswick {
 
 /// How an allowance is kept.
-enum class AllowanceWay : uint8_t {
+enum class QuotaMethod : uint8_t {
   /// Each daemon has its part of the bucket.
   FixedParts,
   /// One daemon gives out the tokens, and each that does not reach it has its
   /// fixed part.
   OneOwner,
   /// FleetQuota.
-  ToldCounts,
+  SharedCounts,
 };
 
 /// Returns the name of a way.
-const char *getName(AllowanceWay Way);
+const char *getName(QuotaMethod Method);
 
 /// What happens to some daemons for a while.
-enum class AllowanceTrouble : uint8_t {
+enum class QuotaFault : uint8_t {
   /// They reach no other daemon; callers reach them.
   Cut,
   /// They are gone, and come back having forgotten everything.
@@ -50,8 +50,8 @@
 };
 
 /// One stretch of trouble, in milliseconds from the begin.
-struct AllowanceEvent {
-  AllowanceTrouble Kind = AllowanceTrouble::Cut;
+struct QuotaFaultEvent {
+  QuotaFault Kind = QuotaFault::Cut;
   int FromMs = 0;
   int ForMs = 0;
   /// Part of the daemons, from the first on; HallsApart has none.
@@ -59,7 +59,7 @@
 };
 
 /// One play.
-struct AllowanceScenario {
+struct QuotaScenario {
   int Halls = 3;
   int DaemonsOfHall = 38;
   /// Of the organisation, which saves up one second's requests.
@@ -68,34 +68,35 @@
   int Callers = 19;
   /// What is asked, as a part of the rate; from HotFromMs for HotForMs this
   /// many times as much.
-  double Usual = 0.62;
-  double HotTimes = 1;
+  double TypicalLoad = 0.62;
+  double HotFactor = 1;
   int HotFromMs = 0;
   int HotForMs = 0;
   /// At this time the rate becomes this part of what it was.
   int ChangeMs = 0;
-  double ChangeTimes = 1;
+  double ChangeFactor = 1;
   int LengthMs = 30000;
-  double LostPart = 0.02;
-  std::vector<AllowanceEvent> Events;
+  double LossRate = 0.02;
+  std::vector<QuotaFaultEvent> Events;
 };
 
 /// What came of a play.
-struct AllowanceOutcome {
+struct QuotaModelResult {
   uint64_t Asked = 0;
   uint64_t Admitted = 0;
   /// Requests that the allowance covers, by one bucket over the whole fleet,
   /// and how many of them were refused.
-  uint64_t Owed = 0;
-  uint64_t RefusedOwed = 0;
+  uint64_t WithinQuota = 0;
+  uint64_t RefusedWithinQuota = 0;
   /// The largest part of the bound that any window was filled to.
-  double WorstFill = 0;
+  double MaxWindowFill = 0;
   uint64_t Messages = 0;
 
-  double getRefusedPart() const {
-    return this->Owed == 0 ? 0
-                           : static_cast<double>(this->RefusedOwed) /
-                                 static_cast<double>(this->Owed);
+  double computeRefusedRatio() const {
+    return this->WithinQuota == 0
+               ? 0
+               : static_cast<double>(this->RefusedWithinQuota) /
+                     static_cast<double>(this->WithinQuota);
   }
 };
 
@@ -103,12 +104,12 @@
 QuotaBounds getModelBounds();
 
 /// Plays a scenario.
-AllowanceOutcome runAllowanceModel(const AllowanceScenario &Scenario,
-                                   AllowanceWay Way, uint64_t Seed);
+QuotaModelResult runQuotaModel(const QuotaScenario &Scenario,
+                               QuotaMethod Method, uint64_t Seed);
 
 /// Returns a table of the ways over scenarios at several sizes of a fleet.
-std::string compareAllowanceWays(uint64_t Seeds);
+std::string compareQuotaMethods(uint64_t Seeds);
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_BENCH_ALLOWANCEMODEL_H
+#endif // CANVASWICK_BENCH_QUOTAMODEL_H
--- a/include/canvaswick/Bench/Scenario.h
+++ b/include/canvaswick/Bench/Scenario.h
@@ -42,7 +42,7 @@
   /// Leaves: runs what it has, takes nothing new. No sickness.
   Drain,
   /// The daemon itself is sick: all its requests fail. No server is sick.
-  SickDaemon,
+  UnhealthyDaemon,
 };
 
 /// Returns the name of a kind as scenarios write it.
--- a/include/canvaswick/StandIn/BackendStandIn.h
+++ b/include/canvaswick/StandIn/BackendStandIn.h
@@ -55,7 +55,7 @@
   /// What it says of itself in its answers: its limit, whether it leaves, and
   /// how long it wants rest, if it sheds. Empty: nothing.
   std::string Limit;
-  bool SaysLeaving = false;
+  bool SendsLeaving = false;
   std::string Rest = "1";
   bool Drain = false;
   /// Answer health checks with red although all is well.
@@ -73,7 +73,7 @@
   int64_t ColdMs = 0;
   /// The whole process ends when it has run a request whose target begins with
   /// this. Empty: it never does.
-  std::string EndsUnder;
+  std::string ExitTargetPrefix;
 };
 
 /// Serves one address.
@@ -106,8 +106,8 @@
   void handleHealth(HttpExchange &Exchange);
   void run(HttpExchange &Exchange, const std::string &Body,
            const BackendFaults &Active);
-  bool takeSlot(TimePoint Deadline);
-  void giveSlot();
+  bool acquireSlot(TimePoint Deadline);
+  void releaseSlot();
   bool isHit(const httplib::Request &Request);
   bool work(HttpExchange &Exchange, Duration Length);
   void answer(HttpExchange &Exchange, const BackendFaults &Active);
--- a/lib/Bench/BenchExchange.cpp
+++ b/lib/Bench/BenchExchange.cpp
@@ -25,9 +25,9 @@
 void BenchRun::send(const Json::Value &Message, std::function<void()> Deliver) {
   this->ControlBytes += CallOverheadBytes + writeJson(Message).size();
   std::uniform_real_distribution<double> Draw(0, 1);
-  if (Draw(this->Network) < this->Under.ExchangeLoss)
+  if (Draw(this->Network) < this->Spec.ExchangeLoss)
     return;
-  const Duration Delay = fromSeconds(toSeconds(this->Under.ExchangeDelay) *
+  const Duration Delay = fromSeconds(toSeconds(this->Spec.ExchangeDelay) *
                                      (0.5 + Draw(this->Network)));
   this->schedule(this->Now + Delay, std::move(Deliver));
 }
@@ -62,16 +62,16 @@
   // The digest rides on the answer of the report.
   const EvidenceSummary Digest = Owner.Pool->buildSummary(Source.Hall);
   if (&Owner == &Source) {
-    this->deliverDigest(Source, Digest);
+    this->deliverSummary(Source, Digest);
     return;
   }
   this->ControlBytes -= CallOverheadBytes;
   this->send(encodeSummary(Digest),
-             [this, &Source, Digest] { this->deliverDigest(Source, Digest); });
+             [this, &Source, Digest] { this->deliverSummary(Source, Digest); });
 }
 
-void BenchRun::deliverDigest(BenchDaemon &Reader,
-                             const EvidenceSummary &Digest) {
+void BenchRun::deliverSummary(BenchDaemon &Reader,
+                              const EvidenceSummary &Digest) {
   std::get<PooledPolicy>(Reader.Policy).applySummary(Digest, this->Now);
 }
 
@@ -86,11 +86,11 @@
       if (Reader.Hall != Hall)
         continue;
       if (&Reader == &Owner) {
-        this->deliverDigest(Reader, Digest);
+        this->deliverSummary(Reader, Digest);
         continue;
       }
       this->send(encodeSummary(Digest), [this, &Reader, Digest] {
-        this->deliverDigest(Reader, Digest);
+        this->deliverSummary(Reader, Digest);
       });
     }
   }
--- a/lib/Bench/BenchObserver.cpp
+++ b/lib/Bench/BenchObserver.cpp
@@ -21,13 +21,12 @@
 /// A server below this share counts as removed.
 static constexpr double RemovedShare = 0.05;
 
-BenchObserver::BenchObserver(const Scenario &Under, const FakeServers &Servers)
-    : Under(Under), Servers(Servers),
-      Watches(static_cast<size_t>(Under.Servers)),
+BenchObserver::BenchObserver(const Scenario &Spec, const FakeServers &Servers)
+    : Spec(Spec), Servers(Servers), Watches(static_cast<size_t>(Spec.Servers)),
       Detection(Servers.getFaults().size(),
-                std::vector<double>(static_cast<size_t>(Under.Servers), -1)) {
+                std::vector<double>(static_cast<size_t>(Spec.Servers), -1)) {
   for (ServerWatch &Watch : this->Watches)
-    Watch.WasRemoved.assign(static_cast<size_t>(Under.Daemons), false);
+    Watch.WasRemoved.assign(static_cast<size_t>(Spec.Daemons), false);
 }
 
 /// Returns the mean share of a server over the daemons that are marked.
@@ -49,12 +48,12 @@
   if (this->Servers.isLeaving(Server, Now))
     return;
   ServerWatch &Watch = this->Watches[Server];
-  const bool IsSick = this->Servers.isSick(Server, Now);
+  const bool IsUnhealthy = this->Servers.isUnhealthy(Server, Now);
   bool IsRemovedAnywhere = false;
   for (size_t D = 0; D < Shares.size(); ++D) {
     const bool IsRemoved = Shares[D][Server] < RemovedShare;
     IsRemovedAnywhere = IsRemovedAnywhere || IsRemoved;
-    if (IsRemoved && !Watch.WasRemoved[D] && !IsSick &&
+    if (IsRemoved && !Watch.WasRemoved[D] && !IsUnhealthy &&
         !Watch.IsInFalseEpisode) {
       Watch.IsInFalseEpisode = true;
       ++this->FalseEjections;
@@ -63,7 +62,7 @@
   }
   if (!IsRemovedAnywhere)
     Watch.IsInFalseEpisode = false;
-  if (IsSick)
+  if (IsUnhealthy)
     return;
   const std::vector<bool> Everyone(Shares.size(), true);
   this->HealthySecondsLost +=
@@ -71,17 +70,17 @@
 }
 
 void BenchObserver::observeFloor(const ShareTable &Shares, TimePoint Now) {
-  const double All = this->Under.Servers * this->Under.Slots;
+  const double All = this->Spec.Servers * this->Spec.Slots;
   double NotLeaving = 0;
   for (size_t S = 0; S < this->Watches.size(); ++S)
     if (!this->Servers.isLeaving(S, Now))
-      NotLeaving += this->Under.Slots;
+      NotLeaving += this->Spec.Slots;
   const double Floor =
-      std::min(NotLeaving, All * this->Under.FloorPercent / 100);
+      std::min(NotLeaving, All * this->Spec.FloorPercent / 100);
   for (const std::vector<double> &Daemon : Shares) {
     double Usable = 0;
     for (const double Share : Daemon)
-      Usable += this->Under.Slots * Share;
+      Usable += this->Spec.Slots * Share;
     if (Usable < Floor - 1e-6)
       ++this->FloorViolations;
   }
@@ -90,7 +89,7 @@
 void BenchObserver::observeDetection(const ShareTable &Shares, TimePoint Now) {
   const std::vector<ActiveFault> &Faults = this->Servers.getFaults();
   for (size_t F = 0; F < Faults.size(); ++F) {
-    if (!Faults[F].isSickness() || !Faults[F].isActive(Now))
+    if (!Faults[F].isServerFault() || !Faults[F].isActive(Now))
       continue;
     for (size_t S = 0; S < this->Watches.size(); ++S) {
       if (!Faults[F].Servers[S] || this->Detection[F][S] >= 0)
@@ -113,7 +112,7 @@
 /// Returns whether a fault hits so few servers that removing them helps.
 static bool isRemovable(const ActiveFault &Each) {
   const auto Hit = std::count(Each.Servers.begin(), Each.Servers.end(), true);
-  return Each.isSickness() &&
+  return Each.isServerFault() &&
          static_cast<size_t>(Hit) * 2 < Each.Servers.size();
 }
 
--- a/lib/Bench/BenchObserver.h
+++ b/lib/Bench/BenchObserver.h
@@ -28,7 +28,7 @@
 /// Follows one run.
 class BenchObserver {
 public:
-  BenchObserver(const Scenario &Under, const FakeServers &Servers);
+  BenchObserver(const Scenario &Spec, const FakeServers &Servers);
 
   /// Looks once. Step is the time since the last look.
   void observe(const ShareTable &Shares, TimePoint Now, Duration Step);
@@ -48,7 +48,7 @@
   void observeFloor(const ShareTable &Shares, TimePoint Now);
   void observeDetection(const ShareTable &Shares, TimePoint Now);
 
-  const Scenario &Under;
+  const Scenario &Spec;
   const FakeServers &Servers;
   std::vector<ServerWatch> Watches;
   /// For each fault and server: seconds until detection, or negative.
--- a/lib/Bench/BenchRun.cpp
+++ b/lib/Bench/BenchRun.cpp
@@ -24,17 +24,17 @@
 static constexpr int64_t RetryPercent = 10;
 static constexpr int MaxTries = 2;
 
-static std::vector<ActiveFault> drawFaultsOf(const Scenario &Under,
+static std::vector<ActiveFault> drawFaultsOf(const Scenario &Spec,
                                              uint64_t Seed) {
   RandomSource Random(Seed * 4 + 3);
-  return drawFaults(Under, Random);
+  return drawFaults(Spec, Random);
 }
 
-BenchRun::BenchRun(const Scenario &Under, PolicyKind Kind, uint64_t Seed)
-    : Under(Under), Kind(Kind), Seed(Seed), Arrivals(Seed * 4),
+BenchRun::BenchRun(const Scenario &Spec, PolicyKind Kind, uint64_t Seed)
+    : Spec(Spec), Kind(Kind), Seed(Seed), Arrivals(Seed * 4),
       Service(Seed * 4 + 1), Choices(Seed * 4 + 2), Network(Seed * 4 + 5),
-      Servers(Under, drawFaultsOf(Under, Seed), this->Service),
-      Observer(Under, this->Servers) {
+      Servers(Spec, drawFaultsOf(Spec, Seed), this->Service),
+      Observer(Spec, this->Servers) {
   this->makeDaemons(Kind);
 }
 
@@ -45,20 +45,20 @@
 void BenchRun::makeDaemons(PolicyKind Kind) {
   std::vector<PolicyServer> PolicyServers;
   std::vector<PooledServer> Pooled;
-  for (int I = 0; I < this->Under.Servers; ++I) {
+  for (int I = 0; I < this->Spec.Servers; ++I) {
     const ServerId Id = getServerId("bench", fmt::format("s{}", I));
-    Pooled.push_back({Id, this->Under.Slots});
-    PolicyServers.push_back({Id, this->Under.Slots});
+    Pooled.push_back({Id, this->Spec.Slots});
+    PolicyServers.push_back({Id, this->Spec.Slots});
   }
-  const std::vector<std::string> &Halls = this->Under.Halls;
-  for (int D = 0; D < this->Under.Daemons; ++D) {
+  const std::vector<std::string> &Halls = this->Spec.Halls;
+  for (int D = 0; D < this->Spec.Daemons; ++D) {
     const std::string Name = fmt::format("d{:03}", D);
     const std::string &Hall = Halls[static_cast<size_t>(D) % Halls.size()];
     std::vector<SelectableServer> Selectable;
-    for (int I = 0; I < this->Under.Servers; ++I) {
+    for (int I = 0; I < this->Spec.Servers; ++I) {
       SelectableServer Server;
-      Server.Slots = this->Under.Slots;
-      Server.ConcurrencyLimit = this->Under.Slots;
+      Server.Slots = this->Spec.Slots;
+      Server.ConcurrencyLimit = this->Spec.Slots;
       Server.IsSameHall = Halls[static_cast<size_t>(I) % Halls.size()] == Hall;
       Server.FirstSeen = TimePoint{} - fromSeconds(3600);
       Selectable.push_back(Server);
@@ -66,8 +66,8 @@
     PolicySetup Setup{"bench",
                       Name,
                       Hall,
-                      this->Under.Preference,
-                      this->Under.FloorPercent,
+                      this->Spec.Preference,
+                      this->Spec.FloorPercent,
                       fromSeconds(20),
                       0,
                       PolicyServers,
@@ -78,7 +78,7 @@
          makeHealthPolicy(Kind, std::move(Setup)),
          ServerSelector(std::move(Selectable), fromSeconds(10)),
          LatencyTracker(Duration::zero()),
-         RetryBudget(this->Under.IsRepeatable ? RetryPercent : 0),
+         RetryBudget(this->Spec.IsRepeatable ? RetryPercent : 0),
          {},
          nullptr});
   }
@@ -86,21 +86,21 @@
     return;
   for (size_t D = 0; D < std::min(Owners, this->Daemons.size()); ++D)
     this->Daemons[D].Pool = std::make_unique<EvidencePool>(
-        "bench", this->Daemons[D].Name, getTuning(this->Under.Preference),
-        Pooled, this->Under.FloorPercent, 0);
+        "bench", this->Daemons[D].Name, getTuning(this->Spec.Preference),
+        Pooled, this->Spec.FloorPercent, 0);
   for (size_t D = 0; D < std::min(Owners, this->Daemons.size()); ++D)
     this->Daemons[D].Pool->setRank(static_cast<uint32_t>(D));
 }
 
 void BenchRun::arrive() {
-  std::exponential_distribution<double> Gap(this->Under.RequestsPerSecond);
+  std::exponential_distribution<double> Gap(this->Spec.RequestsPerSecond);
   this->schedule(this->Now + fromSeconds(Gap(this->Arrivals)),
                  [this] { this->arrive(); });
   std::uniform_int_distribution<size_t> Which(0, this->Daemons.size() - 1);
   auto Request = std::make_shared<BenchRequest>();
   Request->Daemon = Which(this->Arrivals);
   Request->Began = this->Now;
-  Request->Deadline = this->Now + this->Under.Deadline;
+  Request->Deadline = this->Now + this->Spec.Deadline;
   ++this->Result.Requests;
   this->Daemons[Request->Daemon].Retries.recordRequest(this->Now);
   this->tryRequest(std::move(Request));
@@ -144,7 +144,7 @@
     Evidence = RequestOutcome::Slow;
   if (Outcome == RequestOutcome::Good)
     Daemon.Latency.add(Took);
-  if (Evidence != RequestOutcome::Slow || !Attempt->IsNotedLate)
+  if (Evidence != RequestOutcome::Slow || !Attempt->IsRecordedSlow)
     recordOutcome(Daemon.Policy, Attempt->Server, Evidence, this->Now);
   if (Outcome == RequestOutcome::Good) {
     if (IsSlow)
@@ -155,7 +155,7 @@
   const bool MayRepeat =
       Request->Tries < MaxTries && this->Now < Request->Deadline &&
       (Outcome == RequestOutcome::Shed ||
-       (this->Under.IsRepeatable && Daemon.Retries.tryTake(this->Now)));
+       (this->Spec.IsRepeatable && Daemon.Retries.tryTake(this->Now)));
   if (MayRepeat)
     this->tryRequest(Request);
   else
@@ -167,13 +167,13 @@
                 [](const auto &Attempt) { return Attempt->IsEnded; });
   const Duration SlowAfter = Daemon.Latency.getSlowThreshold();
   for (const std::shared_ptr<BenchAttempt> &Attempt : Daemon.InFlight) {
-    if (Attempt->IsNotedLate || this->Now - Attempt->Began <= SlowAfter)
+    if (Attempt->IsRecordedSlow || this->Now - Attempt->Began <= SlowAfter)
       continue;
-    Attempt->IsNotedLate = true;
+    Attempt->IsRecordedSlow = true;
     recordOutcome(Daemon.Policy, Attempt->Server, RequestOutcome::Slow,
                   this->Now);
   }
-  for (int I = 0; I < this->Under.Servers; ++I) {
+  for (int I = 0; I < this->Spec.Servers; ++I) {
     const auto Server = static_cast<size_t>(I);
     setLeaving(Daemon.Policy, Server,
                this->Servers.isLeaving(Server, this->Now), this->Now);
@@ -199,15 +199,15 @@
 
 std::vector<double> BenchRun::getShares(const BenchDaemon &Daemon) const {
   std::vector<double> Shares;
-  Shares.reserve(static_cast<size_t>(this->Under.Servers));
-  for (int I = 0; I < this->Under.Servers; ++I)
+  Shares.reserve(static_cast<size_t>(this->Spec.Servers));
+  for (int I = 0; I < this->Spec.Servers; ++I)
     Shares.push_back(getShare(Daemon.Policy, static_cast<size_t>(I)));
   return Shares;
 }
 
 BenchResult BenchRun::summarize() const {
   BenchResult Out = this->Result;
-  Out.Scenario = this->Under.Name;
+  Out.Scenario = this->Spec.Name;
   Out.Policy = getName(this->Kind);
   Out.Seed = this->Seed;
   this->Observer.summarize(Out);
@@ -217,7 +217,7 @@
   Out.LateShare = static_cast<double>(this->Late) / Requests;
   // Each byte is sent by one daemon and received by another.
   Out.ControlBytesPerSecond = 2 * static_cast<double>(this->ControlBytes) /
-                              toSeconds(this->Under.Length) /
+                              toSeconds(this->Spec.Length) /
                               static_cast<double>(this->Daemons.size());
   return Out;
 }
@@ -225,7 +225,7 @@
 BenchResult BenchRun::run() {
   this->schedule(this->Now, [this] { this->arrive(); });
   this->schedule(this->Now, [this] { this->tick(); });
-  const TimePoint End = TimePoint{} + this->Under.Length;
+  const TimePoint End = TimePoint{} + this->Spec.Length;
   while (!this->Events.empty() && this->Events.top().At < End) {
     const Event Next = this->Events.top();
     this->Events.pop();
--- a/lib/Bench/BenchRun.h
+++ b/lib/Bench/BenchRun.h
@@ -55,7 +55,7 @@
 struct BenchAttempt {
   size_t Server = 0;
   TimePoint Began{};
-  bool IsNotedLate = false;
+  bool IsRecordedSlow = false;
   bool IsEnded = false;
 };
 
@@ -74,7 +74,7 @@
 /// One run of one policy.
 class BenchRun {
 public:
-  BenchRun(const Scenario &Under, PolicyKind Kind, uint64_t Seed);
+  BenchRun(const Scenario &Spec, PolicyKind Kind, uint64_t Seed);
   BenchResult run();
 
 private:
@@ -91,13 +91,13 @@
   void send(const Json::Value &Message, std::function<void()> Deliver);
   void deliverReport(BenchDaemon &Owner, BenchDaemon &Source,
                      const EvidenceReport &Report);
-  void deliverDigest(BenchDaemon &Reader, const EvidenceSummary &Digest);
+  void deliverSummary(BenchDaemon &Reader, const EvidenceSummary &Digest);
   void advancePool(BenchDaemon &Owner);
   void observe();
   std::vector<double> getShares(const BenchDaemon &Daemon) const;
   BenchResult summarize() const;
 
-  const Scenario &Under;
+  const Scenario &Spec;
   const PolicyKind Kind;
   const uint64_t Seed;
   RandomSource Arrivals;
--- a/lib/Bench/BenchServers.cpp
+++ b/lib/Bench/BenchServers.cpp
@@ -43,7 +43,7 @@
   return Into % this->Description.Period < this->Description.Period / 2;
 }
 
-bool ActiveFault::isSickness() const {
+bool ActiveFault::isServerFault() const {
   switch (this->Description.Kind) {
   case FaultKind::Fail:
   case FaultKind::Hang:
@@ -54,7 +54,7 @@
   case FaultKind::Shed:
   case FaultKind::Cold:
   case FaultKind::Drain:
-  case FaultKind::SickDaemon:
+  case FaultKind::UnhealthyDaemon:
     return false;
   }
   return false;
@@ -89,26 +89,26 @@
   return Set;
 }
 
-std::vector<ActiveFault> drawFaults(const Scenario &Under,
+std::vector<ActiveFault> drawFaults(const Scenario &Spec,
                                     RandomSource &Random) {
   std::vector<ActiveFault> Drawn;
-  for (const Fault &Each : Under.Faults) {
+  for (const Fault &Each : Spec.Faults) {
     ActiveFault Active;
     Active.Description = Each;
-    Active.Servers = drawSet(Each.Servers, static_cast<size_t>(Under.Servers),
-                             Under.Halls, Random);
-    Active.Daemons = drawSet(Each.Daemons, static_cast<size_t>(Under.Daemons),
-                             Under.Halls, Random);
+    Active.Servers = drawSet(Each.Servers, static_cast<size_t>(Spec.Servers),
+                             Spec.Halls, Random);
+    Active.Daemons = drawSet(Each.Daemons, static_cast<size_t>(Spec.Daemons),
+                             Spec.Halls, Random);
     Drawn.push_back(std::move(Active));
   }
   return Drawn;
 }
 
-FakeServers::FakeServers(const Scenario &Under, std::vector<ActiveFault> Faults,
+FakeServers::FakeServers(const Scenario &Spec, std::vector<ActiveFault> Faults,
                          RandomSource &Random)
-    : Under(Under), Faults(std::move(Faults)), Random(Random),
-      SlotFree(static_cast<size_t>(Under.Servers),
-               std::vector<TimePoint>(static_cast<size_t>(Under.Slots))) {}
+    : Spec(Spec), Faults(std::move(Faults)), Random(Random),
+      SlotFree(static_cast<size_t>(Spec.Servers),
+               std::vector<TimePoint>(static_cast<size_t>(Spec.Slots))) {}
 
 const ActiveFault *FakeServers::findFault(size_t Server, size_t Daemon,
                                           TimePoint Now) {
@@ -126,11 +126,11 @@
   const auto First = std::min_element(Slots.begin(), Slots.end());
   const TimePoint Begin = std::max(Now, *First);
   // The usual wait behind a full queue.
-  const Duration QueueLimit = this->Under.ServiceTime * QueuePerSlot;
+  const Duration QueueLimit = this->Spec.ServiceTime * QueuePerSlot;
   if (Begin - Now > QueueLimit)
     return {RequestOutcome::Shed, Now + QuickAnswer};
   std::lognormal_distribution<double> Draw(
-      std::log(toSeconds(this->Under.ServiceTime)), this->Under.Spread);
+      std::log(toSeconds(this->Spec.ServiceTime)), this->Spec.Spread);
   const TimePoint End = Begin + fromSeconds(Draw(this->Random) * Factor);
   // A request that is given up frees its slot.
   *First = std::min(End, Deadline);
@@ -141,7 +141,7 @@
                               TimePoint Deadline) {
   const ActiveFault *Active = this->findFault(Server, Daemon, Now);
   if (!Active) {
-    std::bernoulli_distribution Fails(this->Under.BackgroundFailures);
+    std::bernoulli_distribution Fails(this->Spec.BackgroundFailures);
     return this->work(Server, Now, Deadline, 1,
                       Fails(this->Random) ? RequestOutcome::Failed
                                           : RequestOutcome::Good);
@@ -150,7 +150,7 @@
   case FaultKind::Fail:
   case FaultKind::Refuse:
   case FaultKind::Flap:
-  case FaultKind::SickDaemon:
+  case FaultKind::UnhealthyDaemon:
     return {RequestOutcome::Failed, Now + QuickAnswer};
   case FaultKind::Hang:
     return {RequestOutcome::Failed, TimePoint::max()};
@@ -175,9 +175,9 @@
   return false;
 }
 
-bool FakeServers::isSick(size_t Server, TimePoint Now) const {
+bool FakeServers::isUnhealthy(size_t Server, TimePoint Now) const {
   for (const ActiveFault &Each : this->Faults)
-    if (Each.isSickness() && Each.Servers[Server] && Each.isActive(Now))
+    if (Each.isServerFault() && Each.Servers[Server] && Each.isActive(Now))
       return true;
   return false;
 }
--- a/lib/Bench/BenchServers.h
+++ b/lib/Bench/BenchServers.h
@@ -36,7 +36,7 @@
   bool isActive(TimePoint Now) const;
 
   /// Returns whether removing the server helps against it.
-  bool isSickness() const;
+  bool isServerFault() const;
 };
 
 /// How a fake server answers one request.
@@ -48,7 +48,7 @@
 /// All fake servers of a run.
 class FakeServers {
 public:
-  FakeServers(const Scenario &Under, std::vector<ActiveFault> Faults,
+  FakeServers(const Scenario &Spec, std::vector<ActiveFault> Faults,
               RandomSource &Random);
 
   /// Returns when and how a request that arrives now is answered. An answer
@@ -60,7 +60,7 @@
   bool isLeaving(size_t Server, TimePoint Now) const;
 
   /// Returns whether a sickness of the server is active for some caller.
-  bool isSick(size_t Server, TimePoint Now) const;
+  bool isUnhealthy(size_t Server, TimePoint Now) const;
 
   const std::vector<ActiveFault> &getFaults() const { return this->Faults; }
 
@@ -69,7 +69,7 @@
   FakeAnswer work(size_t Server, TimePoint Now, TimePoint Deadline,
                   double Factor, RequestOutcome Outcome);
 
-  const Scenario &Under;
+  const Scenario &Spec;
   std::vector<ActiveFault> Faults;
   RandomSource &Random;
   /// When each slot of each server is free again.
@@ -77,8 +77,7 @@
 };
 
 /// Draws the servers and daemons that each fault hits.
-std::vector<ActiveFault> drawFaults(const Scenario &Under,
-                                    RandomSource &Random);
+std::vector<ActiveFault> drawFaults(const Scenario &Spec, RandomSource &Random);
 
 } // namespace canvaswick
 
--- a/lib/Bench/CapacityBench.cpp
+++ b/lib/Bench/CapacityBench.cpp
@@ -227,22 +227,22 @@
   std::string Csv = "requests_a_second_a_daemon_and_server,"
                     "detection_p50_s,baseline_p50_s,control_bytes_per_s\n";
   for (const double Rate : {2.0, 8.0, 32.0, 128.0}) {
-    Scenario Under;
-    Under.Name = "slope";
-    Under.Servers = 10;
-    Under.Daemons = 40;
-    Under.Halls = {"a", "b", "c"};
-    Under.RequestsPerSecond = Rate;
-    Under.Length = fromSeconds(200);
+    Scenario Spec;
+    Spec.Name = "slope";
+    Spec.Servers = 10;
+    Spec.Daemons = 40;
+    Spec.Halls = {"a", "b", "c"};
+    Spec.RequestsPerSecond = Rate;
+    Spec.Length = fromSeconds(200);
     Fault Failing;
     Failing.Start = fromSeconds(60);
     Failing.End = fromSeconds(190);
-    Under.Faults = {Failing};
+    Spec.Faults = {Failing};
     std::vector<BenchResult> Ours;
     std::vector<BenchResult> Baseline;
     for (uint64_t Seed = 1; Seed <= 5; ++Seed) {
-      Ours.push_back(runPolicyBench(Under, PolicyKind::Pooled, Seed));
-      Baseline.push_back(runPolicyBench(Under, PolicyKind::Baseline, Seed));
+      Ours.push_back(runPolicyBench(Spec, PolicyKind::Pooled, Seed));
+      Baseline.push_back(runPolicyBench(Spec, PolicyKind::Baseline, Seed));
     }
     Csv += fmt::format("{:.4f},{:.1f},{:.1f},{:.0f}\n", Rate / 400,
                        computeMedians(Ours).DetectionP50,
--- a/lib/Bench/PolicyBench.cpp
+++ b/lib/Bench/PolicyBench.cpp
@@ -20,9 +20,9 @@
 
 namespace canvaswick {
 
-BenchResult runPolicyBench(const Scenario &Under, PolicyKind Policy,
+BenchResult runPolicyBench(const Scenario &Spec, PolicyKind Policy,
                            uint64_t Seed) {
-  BenchRun Run(Under, Policy, Seed);
+  BenchRun Run(Spec, Policy, Seed);
   return Run.run();
 }
 
--- a/lib/Bench/AllowanceWays.h
+++ b/lib/Bench/QuotaMethods.h
@@ -1,4 +1,4 @@
-//===- AllowanceWays.h - Ways to keep an allowance --------------*- C++ -*-===//
+//===- QuotaMethods.h - Ways to keep an allowance ---------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -13,12 +13,12 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef CANVASWICK_LIB_BENCH_ALLOWANCEWAYS_H
-#define CANVASWICK_LIB_BENCH_ALLOWANCEWAYS_H
+#ifndef CANVASWICK_LIB_BENCH_QUOTAMETHODS_H
+#define CANVASWICK_LIB_BENCH_QUOTAMETHODS_H
 
 #include "canvaswick/Admission/FleetQuota.h"
 #include "canvaswick/Admission/Limits.h"
-#include "canvaswick/Bench/AllowanceModel.h"
+#include "canvaswick/Bench/QuotaModel.h"
 
 #include <fmt/format.h>
 
@@ -43,7 +43,7 @@
 inline constexpr int AllIntervalMs = 1000;
 
 /// Longest way of a message, queueing for a tenth of a core included.
-inline constexpr int MostDelayMs = 40;
+inline constexpr int MaxDelayMs = 40;
 
 inline const char *const ModelOrganisation = "o";
 
@@ -79,9 +79,9 @@
 
 /// Each daemon with its part. Parts below one request are rounded up by as many
 /// daemons as the slack allows.
-class FixedPartsWay {
+class FixedPartsMethod {
 public:
-  FixedPartsWay(const ModelFleet &Fleet, uint64_t, TimePoint Now)
+  FixedPartsMethod(const ModelFleet &Fleet, uint64_t, TimePoint Now)
       : Buckets(Fleet.count(), TokenBucket(0, 0, Now)) {
     this->change(Fleet, Now);
   }
@@ -115,9 +115,9 @@
 /// One daemon gives out tokens. Whoever does not reach it has its fixed part,
 /// which the owner leaves to those it does not hear; the next owner begins with
 /// an empty bucket.
-class OneOwnerWay {
+class OneOwnerMethod {
 public:
-  OneOwnerWay(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now)
+  OneOwnerMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now)
       : Own(Fleet, Seed, Now), Central(Fleet.Rate, Fleet.Burst, Now),
         Owner(Seed % Fleet.count()) {}
 
@@ -162,7 +162,7 @@
   uint64_t countMessages() const { return this->Messages; }
 
 private:
-  FixedPartsWay Own;
+  FixedPartsMethod Own;
   TokenBucket Central;
   size_t Owner;
   std::optional<TimePoint> DownSince;
@@ -170,15 +170,15 @@
 };
 
 /// FleetQuota at every daemon, and what they tell each other.
-class ToldCountsWay {
+class SharedCountsMethod {
 public:
-  ToldCountsWay(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now,
-                double LostPart)
-      : Random(Seed), LostPart(LostPart) {
+  SharedCountsMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now,
+                     double LossRate)
+      : Random(Seed), LossRate(LossRate) {
     for (size_t I = 0; I < Fleet.count(); ++I)
       this->Daemons.push_back(this->make(Fleet, I, Now));
-    this->ToldAt.resize(Fleet.count());
-    this->AllToldAt.resize(Fleet.count());
+    this->HallSentAt.resize(Fleet.count());
+    this->AllSentAt.resize(Fleet.count());
   }
 
   void change(const ModelFleet &Fleet, TimePoint Now) {
@@ -197,12 +197,12 @@
       if (Fleet.IsDown[I])
         continue;
       if (Uniform(this->Random) < static_cast<double>(StepMs) / PeerIntervalMs)
-        this->tellHall(Fleet, I, Now);
+        this->sendUsageToHall(Fleet, I, Now);
       if (this->Daemons[I]->getLiveness().isHallReporter(nameDaemon(I), Now) &&
-          Now - this->ToldAt[I] >= fromMillis(this->Daemons[I]->isUrgent(Now)
-                                                  ? UrgentIntervalMs
-                                                  : HallIntervalMs))
-        this->tellOthers(Fleet, I, Now);
+          Now - this->HallSentAt[I] >=
+              fromMillis(this->Daemons[I]->isUrgent(Now) ? UrgentIntervalMs
+                                                         : HallIntervalMs))
+        this->sendUsageToOtherHalls(Fleet, I, Now);
     }
   }
 
@@ -252,17 +252,17 @@
             std::vector<QuotaUsage> Levels, TimePoint Now, int Hops) {
     std::uniform_real_distribution<double> Uniform;
     ++this->Messages;
-    if (!Fleet.reaches(From, To) || Uniform(this->Random) < this->LostPart)
+    if (!Fleet.reaches(From, To) || Uniform(this->Random) < this->LossRate)
       return;
-    const Duration Way =
-        fromSeconds(Uniform(this->Random) * MostDelayMs * Hops / 1000.0);
+    const Duration Delay =
+        fromSeconds(Uniform(this->Random) * MaxDelayMs * Hops / 1000.0);
     const std::string Hall =
         IsHall ? fmt::format("h{}", Fleet.getHall(From)) : "";
     this->Out.push_back(
-        {Now + Way, To, nameDaemon(From), Hall, std::move(Levels)});
+        {Now + Delay, To, nameDaemon(From), Hall, std::move(Levels)});
   }
 
-  void tellHall(const ModelFleet &Fleet, size_t From, TimePoint Now) {
+  void sendUsageToHall(const ModelFleet &Fleet, size_t From, TimePoint Now) {
     const std::vector<QuotaUsage> News =
         this->Daemons[From]->drainUsageChanges(8, Now);
     for (size_t To = 0; To < Fleet.count(); ++To)
@@ -271,12 +271,13 @@
   }
 
   /// One daemon of each other hall is told and passes it on.
-  void tellOthers(const ModelFleet &Fleet, size_t From, TimePoint Now) {
-    this->ToldAt[From] = Now;
+  void sendUsageToOtherHalls(const ModelFleet &Fleet, size_t From,
+                             TimePoint Now) {
+    this->HallSentAt[From] = Now;
     const bool WantsAll =
-        Now - this->AllToldAt[From] >= fromMillis(AllIntervalMs);
+        Now - this->AllSentAt[From] >= fromMillis(AllIntervalMs);
     if (WantsAll)
-      this->AllToldAt[From] = Now;
+      this->AllSentAt[From] = Now;
     const std::vector<QuotaUsage> Levels =
         this->Daemons[From]->getHallUsage(WantsAll, Now);
     std::uniform_real_distribution<double> Uniform;
@@ -286,7 +287,7 @@
       const size_t First = static_cast<size_t>(Hall * Fleet.DaemonsOfHall);
       const size_t Relay =
           First + this->Random() % static_cast<size_t>(Fleet.DaemonsOfHall);
-      if (!Fleet.reaches(From, Relay) || Uniform(this->Random) < this->LostPart)
+      if (!Fleet.reaches(From, Relay) || Uniform(this->Random) < this->LossRate)
         continue;
       for (size_t I = 0; I < static_cast<size_t>(Fleet.DaemonsOfHall); ++I)
         if (First + I == Relay || Fleet.reaches(Relay, First + I))
@@ -308,30 +309,32 @@
   }
 
   std::mt19937_64 Random;
-  const double LostPart;
+  const double LossRate;
   std::vector<std::unique_ptr<FleetQuota>> Daemons;
-  std::vector<TimePoint> ToldAt;
-  std::vector<TimePoint> AllToldAt;
+  std::vector<TimePoint> HallSentAt;
+  std::vector<TimePoint> AllSentAt;
   std::vector<Message> Out;
   uint64_t Messages = 0;
 };
 
-using Way = std::variant<FixedPartsWay, OneOwnerWay, ToldCountsWay>;
+using QuotaMethodVariant =
+    std::variant<FixedPartsMethod, OneOwnerMethod, SharedCountsMethod>;
 
-inline Way makeWay(AllowanceWay Which, const ModelFleet &Fleet,
-                   const AllowanceScenario &Scenario, uint64_t Seed,
-                   TimePoint Now) {
+inline QuotaMethodVariant makeQuotaMethod(QuotaMethod Which,
+                                          const ModelFleet &Fleet,
+                                          const QuotaScenario &Scenario,
+                                          uint64_t Seed, TimePoint Now) {
   switch (Which) {
-  case AllowanceWay::FixedParts:
-    return FixedPartsWay(Fleet, Seed, Now);
-  case AllowanceWay::OneOwner:
-    return OneOwnerWay(Fleet, Seed, Now);
-  case AllowanceWay::ToldCounts:
+  case QuotaMethod::FixedParts:
+    return FixedPartsMethod(Fleet, Seed, Now);
+  case QuotaMethod::OneOwner:
+    return OneOwnerMethod(Fleet, Seed, Now);
+  case QuotaMethod::SharedCounts:
     break;
   }
-  return ToldCountsWay(Fleet, Seed, Now, Scenario.LostPart);
+  return SharedCountsMethod(Fleet, Seed, Now, Scenario.LossRate);
 }
 
 } // namespace canvaswick
 
-#endif // CANVASWICK_LIB_BENCH_ALLOWANCEWAYS_H
+#endif // CANVASWICK_LIB_BENCH_QUOTAMETHODS_H
--- a/lib/Bench/AllowanceModel.cpp
+++ b/lib/Bench/QuotaModel.cpp
@@ -1,4 +1,4 @@
-//===- AllowanceModel.cpp - A fleet's allowances in virtual time ----------===//
+//===- QuotaModel.cpp - A fleet's allowances in virtual time --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "canvaswick/Bench/AllowanceModel.h"
-#include "AllowanceWays.h"
+#include "canvaswick/Bench/QuotaModel.h"
+#include "QuotaMethods.h"
 #include "canvaswick/Admission/Limits.h"
 #include "canvaswick/Support/EnumNames.h"
 
@@ -28,20 +28,22 @@
 
 namespace canvaswick {
 
-static constexpr EnumNames<AllowanceWay, 3> WayNames = {{
-    {AllowanceWay::FixedParts, "fixed-parts"},
-    {AllowanceWay::OneOwner, "one-owner"},
-    {AllowanceWay::ToldCounts, "told-counts"},
+static constexpr EnumNames<QuotaMethod, 3> QuotaMethodNames = {{
+    {QuotaMethod::FixedParts, "fixed-parts"},
+    {QuotaMethod::OneOwner, "one-owner"},
+    {QuotaMethod::SharedCounts, "told-counts"},
 }};
 
-const char *getName(AllowanceWay Way) { return getEnumName(WayNames, Way); }
+const char *getName(QuotaMethod Method) {
+  return getEnumName(QuotaMethodNames, Method);
+}
 
 QuotaBounds getModelBounds() { return {fromSeconds(5), 0.1, 20}; }
 
 namespace {
 
 /// Counts what is admitted in a sliding window against the bound.
-class WindowCheck {
+class QuotaWindowMonitor {
 public:
   /// A higher limit binds until one window after it was lowered.
   void note(TimePoint At, const ModelFleet &Fleet, double HighestRate) {
@@ -65,35 +67,37 @@
 };
 
 /// One play.
-class Play {
+class QuotaModelRun {
 public:
-  Play(const AllowanceScenario &Given, AllowanceWay Which, uint64_t Seed)
+  QuotaModelRun(const QuotaScenario &Given, QuotaMethod Which, uint64_t Seed)
       : Scenario(Given), Random(Seed), Fleet(makeFleet(Given)),
-        Allowance(makeWay(Which, this->Fleet, Given, Seed, this->Begin)),
-        Owed(Given.Rate, Given.Rate, this->Begin) {
+        ActiveMethod(
+            makeQuotaMethod(Which, this->Fleet, Given, Seed, this->Begin)),
+        WithinQuota(Given.Rate, Given.Rate, this->Begin) {
     std::uniform_int_distribution<size_t> AnyDaemon(0, this->Fleet.count() - 1);
     for (int I = 0; I < Given.Callers; ++I)
       this->DaemonOfCaller.push_back(AnyDaemon(this->Random));
   }
 
-  AllowanceOutcome run() {
+  QuotaModelResult run() {
     for (int Ms = 0; Ms < this->Scenario.LengthMs; Ms += StepMs) {
       const TimePoint Now = this->Begin + fromMillis(Ms);
       this->applyEvents(Ms, Now);
       this->applyChange(Ms, Now);
-      std::visit([&](auto &Own) { Own.step(this->Fleet, Now); },
-                 this->Allowance);
+      std::visit([&](auto &Chosen) { Chosen.step(this->Fleet, Now); },
+                 this->ActiveMethod);
       this->ask(Ms, Now);
     }
     this->endSecond();
-    this->Outcome.WorstFill = this->Window.getWorst();
-    this->Outcome.Messages = std::visit(
-        [](const auto &Own) { return Own.countMessages(); }, this->Allowance);
+    this->Outcome.MaxWindowFill = this->Window.getWorst();
+    this->Outcome.Messages =
+        std::visit([](const auto &Chosen) { return Chosen.countMessages(); },
+                   this->ActiveMethod);
     return this->Outcome;
   }
 
 private:
-  ModelFleet makeFleet(const AllowanceScenario &Given) const {
+  ModelFleet makeFleet(const QuotaScenario &Given) const {
     ModelFleet Made;
     Made.Halls = Given.Halls;
     Made.DaemonsOfHall = Given.DaemonsOfHall;
@@ -113,18 +117,17 @@
     std::vector<bool> IsCut(this->Fleet.count(), false);
     std::vector<bool> IsDown(this->Fleet.count(), false);
     this->Fleet.AreHallsApart = false;
-    for (const AllowanceEvent &Each : this->Scenario.Events) {
+    for (const QuotaFaultEvent &Each : this->Scenario.Events) {
       if (Ms < Each.FromMs || Ms >= Each.FromMs + Each.ForMs)
         continue;
-      if (Each.Kind == AllowanceTrouble::HallsApart)
+      if (Each.Kind == QuotaFault::HallsApart)
         this->Fleet.AreHallsApart = true;
-      std::vector<bool> &Hit =
-          Each.Kind == AllowanceTrouble::Killed ? IsDown : IsCut;
+      std::vector<bool> &Hit = Each.Kind == QuotaFault::Killed ? IsDown : IsCut;
       const auto OfHall =
           static_cast<size_t>(Each.Part * this->Scenario.DaemonsOfHall + 0.5);
       for (size_t I = 0; I < Hit.size(); ++I)
         if (I % static_cast<size_t>(this->Scenario.DaemonsOfHall) < OfHall &&
-            Each.Kind != AllowanceTrouble::HallsApart)
+            Each.Kind != QuotaFault::HallsApart)
           Hit[I] = true;
     }
     for (size_t I = 0; I < this->Fleet.count(); ++I) {
@@ -134,26 +137,26 @@
       if (!IsBack)
         continue;
       this->Fleet.StartedAt[I] = Now;
-      std::visit([&](auto &Own) { Own.restart(this->Fleet, I, Now); },
-                 this->Allowance);
+      std::visit([&](auto &Chosen) { Chosen.restart(this->Fleet, I, Now); },
+                 this->ActiveMethod);
     }
   }
 
   void applyChange(int Ms, TimePoint Now) {
     if (this->Scenario.ChangeMs == 0 || Ms != this->Scenario.ChangeMs)
       return;
-    this->Fleet.Rate *= this->Scenario.ChangeTimes;
-    this->Fleet.Burst *= this->Scenario.ChangeTimes;
-    this->Owed.reshape(this->Fleet.Rate, this->Fleet.Burst);
-    std::visit([&](auto &Own) { Own.change(this->Fleet, Now); },
-               this->Allowance);
+    this->Fleet.Rate *= this->Scenario.ChangeFactor;
+    this->Fleet.Burst *= this->Scenario.ChangeFactor;
+    this->WithinQuota.reshape(this->Fleet.Rate, this->Fleet.Burst);
+    std::visit([&](auto &Chosen) { Chosen.change(this->Fleet, Now); },
+               this->ActiveMethod);
   }
 
   double getAskedRate(int Ms) const {
     const bool IsHot = Ms >= this->Scenario.HotFromMs &&
                        Ms < this->Scenario.HotFromMs + this->Scenario.HotForMs;
-    return this->Scenario.Rate * this->Scenario.Usual *
-           (IsHot ? this->Scenario.HotTimes : 1);
+    return this->Scenario.Rate * this->Scenario.TypicalLoad *
+           (IsHot ? this->Scenario.HotFactor : 1);
   }
 
   /// The highest rate that binds at a moment.
@@ -167,18 +170,19 @@
   /// Which of an organisation's requests are refused does not matter, so each
   /// second's admitted ones make up for as many that were owed in it.
   void endSecond() {
-    if (this->OwedOfSecond > this->AdmittedOfSecond)
-      this->Outcome.RefusedOwed += this->OwedOfSecond - this->AdmittedOfSecond;
-    this->OwedOfSecond = 0;
-    this->AdmittedOfSecond = 0;
+    if (this->WithinQuotaThisSecond > this->AdmittedThisSecond)
+      this->Outcome.RefusedWithinQuota +=
+          this->WithinQuotaThisSecond - this->AdmittedThisSecond;
+    this->WithinQuotaThisSecond = 0;
+    this->AdmittedThisSecond = 0;
   }
 
-  void noteOwed(int Ms) {
+  void recordWithinQuota(int Ms) {
     if (Ms / 1000 != this->Second)
       this->endSecond();
     this->Second = Ms / 1000;
-    ++this->Outcome.Owed;
-    ++this->OwedOfSecond;
+    ++this->Outcome.WithinQuota;
+    ++this->WithinQuotaThisSecond;
   }
 
   void ask(int Ms, TimePoint Now) {
@@ -192,38 +196,38 @@
       if (this->Fleet.IsDown[Daemon])
         continue;
       ++this->Outcome.Asked;
-      if (this->Owed.tryTake(Now))
-        this->noteOwed(Ms);
+      if (this->WithinQuota.tryTake(Now))
+        this->recordWithinQuota(Ms);
       const bool IsAdmitted = std::visit(
-          [&](auto &Own) { return Own.admit(this->Fleet, Daemon, Now); },
-          this->Allowance);
+          [&](auto &Chosen) { return Chosen.admit(this->Fleet, Daemon, Now); },
+          this->ActiveMethod);
       if (!IsAdmitted)
         continue;
       ++this->Outcome.Admitted;
-      ++this->AdmittedOfSecond;
+      ++this->AdmittedThisSecond;
       this->Window.note(Now, this->Fleet, this->getBindingRate(Ms));
     }
   }
 
-  const AllowanceScenario &Scenario;
+  const QuotaScenario &Scenario;
   const TimePoint Begin = TimePoint{} + fromSeconds(1000);
   std::mt19937_64 Random;
   ModelFleet Fleet;
-  Way Allowance;
-  TokenBucket Owed;
-  WindowCheck Window;
+  QuotaMethodVariant ActiveMethod;
+  TokenBucket WithinQuota;
+  QuotaWindowMonitor Window;
   std::vector<size_t> DaemonOfCaller;
-  AllowanceOutcome Outcome;
+  QuotaModelResult Outcome;
   int Second = 0;
-  uint64_t OwedOfSecond = 0;
-  uint64_t AdmittedOfSecond = 0;
+  uint64_t WithinQuotaThisSecond = 0;
+  uint64_t AdmittedThisSecond = 0;
 };
 
 } // namespace
 
-AllowanceOutcome runAllowanceModel(const AllowanceScenario &Scenario,
-                                   AllowanceWay Which, uint64_t Seed) {
-  return Play(Scenario, Which, Seed).run();
+QuotaModelResult runQuotaModel(const QuotaScenario &Scenario, QuotaMethod Which,
+                               uint64_t Seed) {
+  return QuotaModelRun(Scenario, Which, Seed).run();
 }
 
 namespace {
@@ -231,34 +235,34 @@
 /// A scenario of the table.
 struct NamedScenario {
   const char *Name;
-  AllowanceScenario Scenario;
+  QuotaScenario Scenario;
 };
 
 std::vector<NamedScenario> listScenarios(int DaemonsOfHall, double Rate,
                                          int Callers) {
-  AllowanceScenario Calm;
+  QuotaScenario Calm;
   Calm.DaemonsOfHall = DaemonsOfHall;
   Calm.Rate = Rate;
   Calm.Callers = Callers;
-  AllowanceScenario Hot = Calm;
-  Hot.HotTimes = 10;
+  QuotaScenario Hot = Calm;
+  Hot.HotFactor = 10;
   Hot.HotFromMs = 8000;
   Hot.HotForMs = 8000;
-  AllowanceScenario Cut = Calm;
-  Cut.Events = {{AllowanceTrouble::Cut, 6000, 12000, 0.33}};
-  AllowanceScenario HotInCut = Hot;
+  QuotaScenario Cut = Calm;
+  Cut.Events = {{QuotaFault::Cut, 6000, 12000, 0.33}};
+  QuotaScenario HotInCut = Hot;
   HotInCut.Events = Cut.Events;
-  AllowanceScenario HotAtCut = Hot;
-  HotAtCut.Events = {{AllowanceTrouble::Cut, 8000, 8000, 0.33}};
-  AllowanceScenario Apart = Hot;
-  Apart.Events = {{AllowanceTrouble::HallsApart, 6000, 12000, 0}};
-  AllowanceScenario Killed = Calm;
-  Killed.Events = {{AllowanceTrouble::Killed, 10000, 1000, 1}};
-  AllowanceScenario HotKilled = Hot;
-  HotKilled.Events = {{AllowanceTrouble::Killed, 12000, 1000, 1}};
-  AllowanceScenario Lowered = Calm;
+  QuotaScenario HotAtCut = Hot;
+  HotAtCut.Events = {{QuotaFault::Cut, 8000, 8000, 0.33}};
+  QuotaScenario Apart = Hot;
+  Apart.Events = {{QuotaFault::HallsApart, 6000, 12000, 0}};
+  QuotaScenario Killed = Calm;
+  Killed.Events = {{QuotaFault::Killed, 10000, 1000, 1}};
+  QuotaScenario HotKilled = Hot;
+  HotKilled.Events = {{QuotaFault::Killed, 12000, 1000, 1}};
+  QuotaScenario Lowered = Calm;
   Lowered.ChangeMs = 10000;
-  Lowered.ChangeTimes = 0.1;
+  Lowered.ChangeFactor = 0.1;
   return {{"calm", Calm},
           {"hot", Hot},
           {"a third cut off", Cut},
@@ -272,7 +276,7 @@
 
 } // namespace
 
-std::string compareAllowanceWays(uint64_t Seeds) {
+std::string compareQuotaMethods(uint64_t Seeds) {
   std::string Table = "daemons,rate,scenario,way,owed,refused_owed_part,"
                       "worst_fill,messages\n";
   struct Size {
@@ -284,20 +288,20 @@
   for (const Size &Each : Sizes)
     for (const NamedScenario &Named :
          listScenarios(Each.DaemonsOfHall, Each.Rate, Each.Callers))
-      for (const EnumName<AllowanceWay> &Which : WayNames) {
-        AllowanceOutcome Sum;
+      for (const EnumName<QuotaMethod> &Which : QuotaMethodNames) {
+        QuotaModelResult Sum;
         for (uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-          const AllowanceOutcome One =
-              runAllowanceModel(Named.Scenario, Which.Value, Seed);
-          Sum.Owed += One.Owed;
-          Sum.RefusedOwed += One.RefusedOwed;
+          const QuotaModelResult One =
+              runQuotaModel(Named.Scenario, Which.Value, Seed);
+          Sum.WithinQuota += One.WithinQuota;
+          Sum.RefusedWithinQuota += One.RefusedWithinQuota;
           Sum.Messages += One.Messages;
-          Sum.WorstFill = std::max(Sum.WorstFill, One.WorstFill);
+          Sum.MaxWindowFill = std::max(Sum.MaxWindowFill, One.MaxWindowFill);
         }
-        Table += fmt::format("{},{},{},{},{},{:.4f},{:.3f},{}\n",
-                             Each.DaemonsOfHall * 3, Each.Rate, Named.Name,
-                             Which.Name, Sum.Owed / Seeds, Sum.getRefusedPart(),
-                             Sum.WorstFill, Sum.Messages / Seeds);
+        Table += fmt::format(
+            "{},{},{},{},{},{:.4f},{:.3f},{}\n", Each.DaemonsOfHall * 3,
+            Each.Rate, Named.Name, Which.Name, Sum.WithinQuota / Seeds,
+            Sum.computeRefusedRatio(), Sum.MaxWindowFill, Sum.Messages / Seeds);
       }
   return Table;
 }
--- a/lib/Bench/Scenario.cpp
+++ b/lib/Bench/Scenario.cpp
@@ -32,7 +32,7 @@
     {FaultKind::Shed, "shed"},
     {FaultKind::Cold, "cold"},
     {FaultKind::Drain, "drain"},
-    {FaultKind::SickDaemon, "sick-daemon"},
+    {FaultKind::UnhealthyDaemon, "sick-daemon"},
 }};
 
 static constexpr EnumNames<EjectionPreference, 3> WeighingNames = {{
@@ -48,8 +48,8 @@
 namespace {
 
 /// Takes one value. Returns false if it is not what the key expects.
-using ValueTaker = std::function<bool(const std::string &)>;
-using ValueTakers = std::map<std::string, ValueTaker>;
+using ValueParser = std::function<bool(const std::string &)>;
+using ValueParsers = std::map<std::string, ValueParser>;
 
 } // namespace
 
@@ -60,8 +60,8 @@
   return !Text.empty() && *End == '\0' && Value >= Min && Value <= Max;
 }
 
-static ValueTaker takeNumber(double Min, double Max,
-                             std::function<void(double)> Set) {
+static ValueParser makeNumberParser(double Min, double Max,
+                                    std::function<void(double)> Set) {
   return [=](const std::string &Text) {
     double Value = 0;
     if (!parseNumber(Text, Min, Max, Value))
@@ -80,41 +80,41 @@
   return Items;
 }
 
-static ValueTakers makeScenarioTakers(Scenario &Into) {
-  ValueTakers Takers;
+static ValueParsers makeScenarioParsers(Scenario &Into) {
+  ValueParsers Takers;
   Takers["name"] = [&Into](const std::string &Text) {
     Into.Name = Text;
     return !Text.empty();
   };
-  Takers["servers"] = takeNumber(1, 1000, [&Into](double Value) {
+  Takers["servers"] = makeNumberParser(1, 1000, [&Into](double Value) {
     Into.Servers = static_cast<int>(Value);
   });
-  Takers["slots"] = takeNumber(
+  Takers["slots"] = makeNumberParser(
       1, 100, [&Into](double Value) { Into.Slots = static_cast<int>(Value); });
   Takers["halls"] = [&Into](const std::string &Text) {
     Into.Halls = splitList(Text);
     return !Into.Halls.empty();
   };
-  Takers["daemons"] = takeNumber(1, 2000, [&Into](double Value) {
+  Takers["daemons"] = makeNumberParser(1, 2000, [&Into](double Value) {
     Into.Daemons = static_cast<int>(Value);
   });
-  Takers["requests-per-second"] = takeNumber(
+  Takers["requests-per-second"] = makeNumberParser(
       0.1, 1e6, [&Into](double Value) { Into.RequestsPerSecond = Value; });
-  Takers["service-ms"] = takeNumber(0.1, 60000, [&Into](double Value) {
+  Takers["service-ms"] = makeNumberParser(0.1, 60000, [&Into](double Value) {
     Into.ServiceTime = fromSeconds(Value / 1000);
   });
   Takers["spread"] =
-      takeNumber(0, 3, [&Into](double Value) { Into.Spread = Value; });
-  Takers["deadline-ms"] = takeNumber(1, 600000, [&Into](double Value) {
+      makeNumberParser(0, 3, [&Into](double Value) { Into.Spread = Value; });
+  Takers["deadline-ms"] = makeNumberParser(1, 600000, [&Into](double Value) {
     Into.Deadline = fromSeconds(Value / 1000);
   });
-  Takers["background-failures-percent"] = takeNumber(
+  Takers["background-failures-percent"] = makeNumberParser(
       0, 100, [&Into](double Value) { Into.BackgroundFailures = Value / 100; });
   Takers["repeatable"] = [&Into](const std::string &Text) {
     Into.IsRepeatable = Text == "yes";
     return Text == "yes" || Text == "no";
   };
-  Takers["floor-percent"] = takeNumber(0, 100, [&Into](double Value) {
+  Takers["floor-percent"] = makeNumberParser(0, 100, [&Into](double Value) {
     Into.FloorPercent = static_cast<int>(Value);
   });
   Takers["weighing"] = [&Into](const std::string &Text) {
@@ -122,18 +122,19 @@
     Into.Preference = Found.value_or(EjectionPreference::Balanced);
     return Found.has_value();
   };
-  Takers["exchange-delay-ms"] = takeNumber(0, 60000, [&Into](double Value) {
-    Into.ExchangeDelay = fromSeconds(Value / 1000);
-  });
-  Takers["exchange-loss-percent"] = takeNumber(
+  Takers["exchange-delay-ms"] =
+      makeNumberParser(0, 60000, [&Into](double Value) {
+        Into.ExchangeDelay = fromSeconds(Value / 1000);
+      });
+  Takers["exchange-loss-percent"] = makeNumberParser(
       0, 100, [&Into](double Value) { Into.ExchangeLoss = Value / 100; });
-  Takers["seconds"] = takeNumber(
+  Takers["seconds"] = makeNumberParser(
       1, 86400, [&Into](double Value) { Into.Length = fromSeconds(Value); });
   return Takers;
 }
 
-static ValueTakers makeFaultTakers(Fault &Into) {
-  ValueTakers Takers;
+static ValueParsers makeFaultParsers(Fault &Into) {
+  ValueParsers Takers;
   Takers["kind"] = [&Into](const std::string &Text) {
     const auto Found = findEnumValue(FaultKindNames, Text);
     Into.Kind = Found.value_or(FaultKind::Fail);
@@ -147,22 +148,22 @@
     Into.Daemons = Text;
     return !Text.empty();
   };
-  Takers["start"] = takeNumber(
+  Takers["start"] = makeNumberParser(
       0, 86400, [&Into](double Value) { Into.Start = fromSeconds(Value); });
-  Takers["end"] = takeNumber(
+  Takers["end"] = makeNumberParser(
       0, 86400, [&Into](double Value) { Into.End = fromSeconds(Value); });
-  Takers["share-percent"] =
-      takeNumber(0, 100, [&Into](double Value) { Into.Part = Value / 100; });
-  Takers["factor"] =
-      takeNumber(1, 10000, [&Into](double Value) { Into.Factor = Value; });
-  Takers["period-s"] = takeNumber(
+  Takers["share-percent"] = makeNumberParser(
+      0, 100, [&Into](double Value) { Into.Part = Value / 100; });
+  Takers["factor"] = makeNumberParser(
+      1, 10000, [&Into](double Value) { Into.Factor = Value; });
+  Takers["period-s"] = makeNumberParser(
       0.1, 3600, [&Into](double Value) { Into.Period = fromSeconds(Value); });
   return Takers;
 }
 
-static Result<void> takeSection(const IniSection &Section,
-                                const ValueTakers &Takers,
-                                const std::string &Path) {
+static Result<void> parseSection(const IniSection &Section,
+                                 const ValueParsers &Takers,
+                                 const std::string &Path) {
   for (const IniEntry &Entry : Section.Entries) {
     const auto Found = Takers.find(Entry.Key);
     if (Found != Takers.end() && Found->second(Entry.Value))
@@ -181,7 +182,8 @@
   Scenario Loaded;
   for (const IniSection &Section : Document.Sections) {
     if (Section.Name == "scenario") {
-      BOOST_OUTCOME_TRY(takeSection(Section, makeScenarioTakers(Loaded), Path));
+      BOOST_OUTCOME_TRY(
+          parseSection(Section, makeScenarioParsers(Loaded), Path));
       continue;
     }
     if (Section.Name.compare(0, 6, "fault ") != 0)
@@ -191,7 +193,7 @@
                                    Path, Section.Line, Section.Name));
     Fault Each;
     Each.Name = Section.Name.substr(6);
-    BOOST_OUTCOME_TRY(takeSection(Section, makeFaultTakers(Each), Path));
+    BOOST_OUTCOME_TRY(parseSection(Section, makeFaultParsers(Each), Path));
     if (Each.End <= Each.Start)
       return makeError(ErrorKind::InvalidArgument,
                        fmt::format("{}:{}: [{}]: end must be after start", Path,
--- a/lib/Bench/StartModel.cpp
+++ b/lib/Bench/StartModel.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 /// The ways for a daemon to learn what it needs.
-enum class StartWay : uint8_t { Pages, Copy, Seeds };
+enum class StartSource : uint8_t { Pages, Copy, Seeds };
 
 /// One daemon's download.
 struct Download {
@@ -41,13 +41,13 @@
 
 } // namespace
 
-static constexpr const char *getName(StartWay Way) {
-  switch (Way) {
-  case StartWay::Pages:
+static constexpr const char *getName(StartSource Source) {
+  switch (Source) {
+  case StartSource::Pages:
     return "pages";
-  case StartWay::Copy:
+  case StartSource::Copy:
     return "copy";
-  case StartWay::Seeds:
+  case StartSource::Seeds:
     return "seeds";
   }
   return "";
@@ -104,12 +104,13 @@
   return All;
 }
 
-static StartResult startFleet(size_t Daemons, StartWay Way) {
+static StartResult startFleet(size_t Daemons, StartSource Source) {
   const double Entries = static_cast<double>(Daemons) * (1 + ServersPerDaemon);
   const double Pages = std::max(1.0, Entries / EntriesPerPage);
-  const double Bytes = Entries * (Way == StartWay::Pages ? PageBytesPerEntry
-                                                         : CopyBytesPerEntry);
-  const bool IsFromSeeds = Way == StartWay::Seeds;
+  const double Bytes =
+      Entries *
+      (Source == StartSource::Pages ? PageBytesPerEntry : CopyBytesPerEntry);
+  const bool IsFromSeeds = Source == StartSource::Seeds;
   std::vector<int> Waits;
   for (const Download &Each :
        run(Daemons, Bytes, IsFromSeeds ? Seeds * DaemonLink : StoreLink))
@@ -120,7 +121,7 @@
   Result.LastMs = Waits.back();
   if (!IsFromSeeds) {
     Result.StoreMegabytes = Bytes * static_cast<double>(Daemons) / 1e6;
-    Result.CallsEach = Way == StartWay::Pages ? Pages : CheapRead;
+    Result.CallsEach = Source == StartSource::Pages ? Pages : CheapRead;
   }
   return Result;
 }
@@ -129,12 +130,12 @@
   std::string Csv = "daemons,way,median_wait_ms,last_wait_ms,store_mb,"
                     "reading_calls_a_start\n";
   for (const size_t Daemons : {36, 100, 443, 1000})
-    for (const StartWay Way :
-         {StartWay::Pages, StartWay::Copy, StartWay::Seeds}) {
-      const StartResult Result = startFleet(Daemons, Way);
-      Csv += fmt::format("{},{},{},{},{:.1f},{:.1f}\n", Daemons, getName(Way),
-                         Result.MedianMs, Result.LastMs, Result.StoreMegabytes,
-                         Result.CallsEach);
+    for (const StartSource Source :
+         {StartSource::Pages, StartSource::Copy, StartSource::Seeds}) {
+      const StartResult Result = startFleet(Daemons, Source);
+      Csv += fmt::format("{},{},{},{},{:.1f},{:.1f}\n", Daemons,
+                         getName(Source), Result.MedianMs, Result.LastMs,
+                         Result.StoreMegabytes, Result.CallsEach);
     }
   return Csv;
 }
--- a/lib/StandIn/BackendStandIn.cpp
+++ b/lib/StandIn/BackendStandIn.cpp
@@ -144,7 +144,7 @@
       "application/json");
 }
 
-bool BackendStandIn::takeSlot(TimePoint Deadline) {
+bool BackendStandIn::acquireSlot(TimePoint Deadline) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   if (this->Busy >= this->Setup.Slots &&
       this->Waiting >= this->Setup.QueueLimit)
@@ -160,7 +160,7 @@
   return true;
 }
 
-void BackendStandIn::giveSlot() {
+void BackendStandIn::releaseSlot() {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     --this->Busy;
@@ -196,17 +196,18 @@
 }
 
 /// Says what the stand-in is to say of itself.
-static void speakOfItself(HttpExchange &Exchange, const BackendFaults &Active) {
+static void setServerNotices(HttpExchange &Exchange,
+                             const BackendFaults &Active) {
   if (!Active.Limit.empty())
     Exchange.Response.set_header("Canvaswick-Request-Limit", Active.Limit);
-  if (Active.SaysLeaving)
+  if (Active.SendsLeaving)
     Exchange.Response.set_header("Canvaswick-Leaving", "1");
 }
 
 void BackendStandIn::run(HttpExchange &Exchange, const std::string &Body,
                          const BackendFaults &Active) {
   static constexpr Duration HangTime = fromSeconds(300);
-  speakOfItself(Exchange, Active);
+  setServerNotices(Exchange, Active);
   if (Active.Shed || Active.Drain) {
     refuseAsNotRun(Exchange, Active.Rest);
     return;
@@ -217,7 +218,7 @@
   if (!DeadlineText.empty())
     Deadline = readSteadyClock() +
                fromMillis(std::strtoll(DeadlineText.c_str(), nullptr, 10));
-  if (!this->takeSlot(Deadline)) {
+  if (!this->acquireSlot(Deadline)) {
     refuseAsNotRun(Exchange, "1");
     return;
   }
@@ -234,15 +235,15 @@
       ++this->Ledger[Key];
   }
   const bool IsStaying = this->work(Exchange, Active.Hang ? HangTime : Length);
-  this->giveSlot();
+  this->releaseSlot();
   if (!IsStaying) {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     ++this->Canceled;
     Exchange.MustClose = true;
     return;
   }
-  if (!this->Setup.EndsUnder.empty() &&
-      Exchange.Request.target.starts_with(this->Setup.EndsUnder))
+  if (!this->Setup.ExitTargetPrefix.empty() &&
+      Exchange.Request.target.starts_with(this->Setup.ExitTargetPrefix))
     ::_exit(EndedByRequest);
   if (Active.LoseAnswer) {
     Exchange.Stream.muteWrites(true);
@@ -355,7 +356,7 @@
     Set.Unframed = Wanted.get("unframed", false).asBool();
     Set.Shed = Wanted.get("shed", false).asBool();
     Set.Limit = Wanted.get("limit", "").asString();
-    Set.SaysLeaving = Wanted.get("says-leaving", false).asBool();
+    Set.SendsLeaving = Wanted.get("says-leaving", false).asBool();
     Set.Rest = Wanted.get("rest", "1").asString();
     Set.Drain = Wanted.get("drain", false).asBool();
     Set.HealthLiesRed = Wanted.get("health-lies-red", false).asBool();
--- a/tools/standin-backend/standin-backend.cpp
+++ b/tools/standin-backend/standin-backend.cpp
@@ -40,7 +40,7 @@
   Setup.ServiceMs = FLAGS_service_ms;
   Setup.ColdFactor = FLAGS_cold_factor;
   Setup.ColdMs = FLAGS_cold_ms;
-  Setup.EndsUnder = FLAGS_ends_under;
+  Setup.ExitTargetPrefix = FLAGS_ends_under;
   BackendStandIn Backend(Setup);
   Result<Endpoint> Address = parseEndpoint(FLAGS_address);
   if (!Address) {
--- a/unittests/AllowanceCoincidence/AllowanceCoincidenceTest.cpp
+++ b/unittests/AllowanceCoincidence/AllowanceCoincidenceTest.cpp
@@ -30,8 +30,8 @@
 TEST_CASE("killed a second after it began, a whole fleet keeps the bound") {
   for (const int DaemonsOfHall : {3, 12, 38})
     for (const double Rate : {8.0, 60.0, 173.0}) {
-      AllowanceScenario Killed = makeHot(DaemonsOfHall, Rate);
-      Killed.Events = {{AllowanceTrouble::Killed, RiseMs + 1000, 1000, 1}};
+      QuotaScenario Killed = makeHot(DaemonsOfHall, Rate);
+      Killed.Events = {{QuotaFault::Killed, RiseMs + 1000, 1000, 1}};
       CHECK(getWorstFill(Killed, 3) <= 1);
     }
 }
--- a/unittests/AllowanceCoincidence/HotPlay.h
+++ b/unittests/AllowanceCoincidence/HotPlay.h
@@ -14,7 +14,7 @@
 #ifndef CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_HOTPLAY_H
 #define CANVASWICK_UNITTESTS_ALLOWANCECOINCIDENCE_HOTPLAY_H
 
-#include "canvaswick/Bench/AllowanceModel.h"
+#include "canvaswick/Bench/QuotaModel.h"
 
 #include <algorithm>
 
@@ -24,32 +24,32 @@
 inline constexpr int RiseMs = 8000;
 
 /// Returns a play of three halls in which it does, for six seconds.
-inline AllowanceScenario makeHot(int DaemonsOfHall, double Rate) {
-  AllowanceScenario Hot;
+inline QuotaScenario makeHot(int DaemonsOfHall, double Rate) {
+  QuotaScenario Hot;
   Hot.DaemonsOfHall = DaemonsOfHall;
   Hot.Rate = Rate;
   Hot.Callers = Rate < 20 ? 19 : 200;
   Hot.LengthMs = 15000;
-  Hot.HotTimes = 10;
+  Hot.HotFactor = 10;
   Hot.HotFromMs = RiseMs;
   Hot.HotForMs = 6000;
   return Hot;
 }
 
 /// Returns the same where a third is cut off as it begins, for as long.
-inline AllowanceScenario makeHotAndCut(int DaemonsOfHall, double Rate) {
-  AllowanceScenario Cut = makeHot(DaemonsOfHall, Rate);
-  Cut.Events = {{AllowanceTrouble::Cut, RiseMs, 6000, 0.33}};
+inline QuotaScenario makeHotAndCut(int DaemonsOfHall, double Rate) {
+  QuotaScenario Cut = makeHot(DaemonsOfHall, Rate);
+  Cut.Events = {{QuotaFault::Cut, RiseMs, 6000, 0.33}};
   return Cut;
 }
 
 /// Returns the largest part of the bound that a window is filled to.
-inline double getWorstFill(const AllowanceScenario &Scenario, uint64_t Seeds) {
+inline double getWorstFill(const QuotaScenario &Scenario, uint64_t Seeds) {
   double Worst = 0;
   for (uint64_t Seed = 1; Seed <= Seeds; ++Seed)
     Worst = std::max(
         Worst,
-        runAllowanceModel(Scenario, AllowanceWay::ToldCounts, Seed).WorstFill);
+        runQuotaModel(Scenario, QuotaMethod::SharedCounts, Seed).MaxWindowFill);
   return Worst;
 }
 
--- a/unittests/Bench/StartModelTest.cpp
+++ b/unittests/Bench/StartModelTest.cpp
@@ -22,7 +22,7 @@
 using namespace canvaswick;
 
 /// Returns the last wait of a way to start Daemons, in ms.
-static int findLastWait(const std::string &Daemons, const std::string &Way) {
+static int findLastWait(const std::string &Daemons, const std::string &Source) {
   const std::vector<CapacityTable> &Tables = getCapacityTables();
   const auto Found =
       std::find_if(Tables.begin(), Tables.end(), [](const auto &Table) {
@@ -31,7 +31,7 @@
   REQUIRE(Found != Tables.end());
   std::istringstream Rows(Found->Run());
   std::string Row;
-  const std::string Begin = Daemons + "," + Way + ",";
+  const std::string Begin = Daemons + "," + Source + ",";
   while (std::getline(Rows, Row))
     if (Row.starts_with(Begin))
       return std::stoi(Row.substr(Row.find(',', Begin.size()) + 1));
--- a/unittests/Proxy/RequestNoticeTest.cpp
+++ b/unittests/Proxy/RequestNoticeTest.cpp
@@ -60,7 +60,7 @@
 /// one and also have other faults.
 static uint64_t countLeavingNotices(BackendFaults Faults) {
   ProxyFixture Fixture;
-  Faults.SaysLeaving = true;
+  Faults.SendsLeaving = true;
   Fixture.setFaults(Faults);
   (void)Fixture.send("GET", "/read/1?bytes=200000");
   return Fixture.Counters.get(Counter::LeavingNoticesReceived);
@@ -87,7 +87,7 @@
 TEST_CASE("a notice applies before the body of its response has arrived") {
   ProxyFixture Fixture;
   BackendFaults Stalling;
-  Stalling.SaysLeaving = true;
+  Stalling.SendsLeaving = true;
   Stalling.StallAfter = 10;
   Fixture.setFaults(Stalling);
   std::thread Caller([&Fixture] {
--- a/unittests/ServerLeaving/ServerLeavingTest.cpp
+++ b/unittests/ServerLeaving/ServerLeavingTest.cpp
@@ -105,7 +105,7 @@
 TEST_CASE("over real connections a server that says it leaves is left") {
   ProxyFixture Under;
   BackendFaults Leaving;
-  Leaving.SaysLeaving = true;
+  Leaving.SendsLeaving = true;
   Under.Backends[0]->setFaults(Leaving);
   for (int I = 0; I < 40; ++I)
     CHECK(Under.send("GET", "/read/1").Status == 200);
