--- a/include/canvaswick/StandIn/BackendStandIn.h
+++ b/include/canvaswick/StandIn/BackendStandIn.h
@@ -1,4 +1,4 @@
-//===- BackendStandIn.h - A small stand-in for a backend server -*- C++ -*-===//
+//===- BackendStandIn.h - Test double of a backend server -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Slots, a service time, drain, cold start, shedding, deadlines and
-/// cancellation, lying health and load, and the gray faults, each switched at
-/// run time. A ledger counts how often each keyed request was run.
+/// A configurable HTTP server that stands in for a backend server in tests. It
+/// models slots, service time, cold starts, draining, load shedding, deadlines
+/// and cancellation, and injects faults, including false health reports and
+/// partial (gray) failures. Faults are switched at run time. A ledger counts
+/// how often each keyed request was executed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,76 +30,94 @@
 
 namespace canvaswick {
 
-/// What the stand-in does wrong, and to which part of the requests.
+/// The faults that the stand-in injects, and the requests that they affect.
 struct BackendFaults {
-  /// Requests hit, in percent. Health and load answers are never hit.
+  /// Percentage of requests that are affected. Requests for /health and /load
+  /// never are.
   int Percent = 100;
-  /// Only targets that begin with this are hit. Empty: all.
+  /// If not empty, only requests whose target begins with this are affected.
   std::string OnlyTarget;
-  /// Only requests that came through this daemon are hit. Empty: all.
+  /// If not empty, only requests whose Via header names this daemon are
+  /// affected.
   std::string OnlyDaemon;
+  /// Executes the request for 300 s before it answers.
   bool Hang = false;
+  /// Answers with status 500 after the request has been executed.
   bool Fail = false;
+  /// Milliseconds that are added to the service time.
   int64_t SlowMs = 0;
-  /// Cut the body after this many bytes; -1: not.
+  /// Closes the connection after this many bytes of the body; -1 disables it.
   int64_t CutAfter = -1;
-  /// Stop sending after this many bytes; -1: not.
+  /// Stops sending after this many bytes of the body, with the connection open;
+  /// -1 disables it.
   int64_t StallAfter = -1;
-  /// Send bytes after the end of the answer.
+  /// Sends extra bytes after the end of the answer.
   bool Overlong = false;
-  /// Answer with the request id of another request.
+  /// Answers with the request id of another request.
   bool ForeignAnswer = false;
-  /// Run the request, then close without an answer.
+  /// Executes the request, then closes the connection without an answer.
   bool LoseAnswer = false;
-  /// Answer without saying how long the body is.
+  /// Answers without a Content-Length header.
   bool Unframed = false;
+  /// Refuses requests with status 503 without executing them.
   bool Shed = false;
-  /// What it says of itself in its answers: its limit, whether it leaves, and
-  /// how long it wants rest, if it sheds. Empty: nothing.
+  /// Value of the Canvaswick-Request-Limit header. Empty: not sent.
   std::string Limit;
+  /// Sends the Canvaswick-Leaving header.
   bool SendsLeaving = false;
+  /// Value of the Retry-After header of refusals that Shed or Drain causes.
+  /// Empty: not sent.
   std::string Rest = "1";
+  /// Refuses requests like Shed, and reports the state "leaving" in health
+  /// checks, whichever requests the other faults affect.
   bool Drain = false;
-  /// Answer health checks with red although all is well.
+  /// Fails health checks with status 503 although requests succeed.
   bool HealthLiesRed = false;
 };
 
-/// How the stand-in is made.
+/// Static parameters of the stand-in.
 struct BackendSetup {
   std::string Name;
+  /// Requests that are executed at the same time.
   int Slots = 3;
+  /// Requests that wait for a slot before further ones are refused.
   int QueueLimit = 8;
   int64_t ServiceMs = 5;
-  /// The first requests after the start are this many times slower.
+  /// The service time is multiplied by this for ColdMs after the start.
   int ColdFactor = 1;
   int64_t ColdMs = 0;
-  /// The whole process ends when it has run a request whose target begins with
+  /// The process exits after it has executed a request whose target begins with
   /// this. Empty: it never does.
   std::string ExitTargetPrefix;
 };
 
-/// Serves one address.
+/// Serves the stand-in on one address. Thread-safe.
 class BackendStandIn {
 public:
   explicit BackendStandIn(BackendSetup Setup);
   ~BackendStandIn();
 
+  /// Binds the address and starts to serve. A port of 0 picks a free one.
   Result<void> start(const Endpoint &Address);
+  /// Clears the faults and waits up to 5 s for open requests.
   void stop();
+  /// Returns the port that is served.
   uint16_t getPort() const;
 
+  /// Replaces all faults.
   void setFaults(const BackendFaults &Faults);
 
-  /// Returns how often each Idempotency-Key was run.
+  /// Returns how often requests with each Idempotency-Key were executed.
   std::map<std::string, int> getLedger() const;
 
-  /// Returns how many requests were run in all.
+  /// Returns the number of requests that were executed.
   uint64_t countRuns() const;
 
-  /// Returns the headers of the request that was run last.
+  /// Returns the headers of the request that was executed last.
   httplib::Headers getLastHeaders() const;
 
-  /// Returns how many requests were given up because the peer had left.
+  /// Returns the number of requests that were abandoned because the client had
+  /// closed the connection.
   uint64_t countCanceled() const;
 
 private:
--- a/include/canvaswick/StandIn/PlatformStandIn.h
+++ b/include/canvaswick/StandIn/PlatformStandIn.h
@@ -1,4 +1,4 @@
-//===- PlatformStandIn.h - A small stand-in for the platform ----*- C++ -*-===//
+//===- PlatformStandIn.h - Test double of the platform ----------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Keys with revisions, compare-and-swap, leases, waiting reads, a lagging list
-/// of VMs, a rate limit and a count of calls. Faults are switched at run time:
-/// an outage, slow answers, and answers lost after the write took effect.
+/// An in-memory key-value store that stands in for the platform in tests. It
+/// implements revisions, compare-and-swap, leases, long-poll watches, a list of
+/// VMs that can lag behind, a rate limit and call counters. Faults are switched
+/// at run time: outages, slow answers, and answers that are lost after the
+/// write took effect.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,21 +29,24 @@
 
 namespace canvaswick {
 
-/// The faults and limits that a test switches.
+/// The faults and limits in force. A write is a PUT.
 struct PlatformFaults {
+  /// Every call is answered with status 503.
   bool IsDown = false;
+  /// Delay before each call is handled.
   int64_t SlowMs = 0;
-  /// How many of the next writes take effect without an answer.
+  /// Number of coming writes that take effect but are not answered.
   int LoseAnswers = 0;
-  /// How many of the next writes fail before they take effect.
+  /// Number of coming writes that neither take effect nor are answered.
   int LoseWrites = 0;
-  /// Calls a second that are answered; 0: all.
+  /// Calls per second that are answered; others get status 429. 0: no limit.
   int64_t CallsPerSecond = 0;
-  /// How far the list of VMs lags behind.
+  /// Age of the list of VMs that is returned.
   int64_t VmLagMs = 0;
 };
 
-/// Calls the stand-in has served.
+/// Numbers of calls since the start. Refused ones count as neither reads,
+/// writes nor watches.
 struct PlatformCallCounts {
   uint64_t Reads = 0;
   uint64_t Writes = 0;
@@ -49,27 +54,32 @@
   uint64_t Refused = 0;
 };
 
-/// Serves the platform's protocol on one address.
+/// Serves the platform's protocol on one address. Thread-safe.
 class PlatformStandIn {
 public:
   PlatformStandIn();
   ~PlatformStandIn();
 
-  /// Starts to serve.
+  /// Binds the address and starts to serve. A port of 0 picks a free one.
   Result<void> start(const Endpoint &Address);
+  /// Ends the watches and waits up to 2 s for open calls.
   void stop();
+  /// Returns the port that is served.
   uint16_t getPort() const;
 
+  /// Replaces all faults.
   void setFaults(const PlatformFaults &Faults);
+  /// Returns the call counters.
   PlatformCallCounts getCounts() const;
 
-  /// Sets the list of VMs: a JSON array of {name, address, state}.
+  /// Sets the list of VMs, a JSON array of {name, address, state}.
   void setVms(const Json::Value &List);
 
-  /// Writes a key without a condition, as a platform operator would.
+  /// Writes a key whatever its revision, as an operator of the platform would.
+  /// Returns the new revision.
   uint64_t force(const std::string &Key, const std::string &Value);
 
-  /// Returns a key's value, or an empty text.
+  /// Returns a key's value, or an empty string if it does not exist.
   std::string peek(const std::string &Key) const;
 
 private:
--- a/include/canvaswick/StandIn/RelayStandIn.h
+++ b/include/canvaswick/StandIn/RelayStandIn.h
@@ -1,5 +1,4 @@
-//===- RelayStandIn.h - A small TCP relay that can be cut or slowed, each way by
-// itself -*- C++ -*-===//
+//===- RelayStandIn.h - TCP relay with faults per direction -----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Stands between two processes in tests, to bring about one-way cuts and
-/// delays without touching the machine's network.
+/// Forwards TCP connections between two processes in tests. It simulates
+/// one-way network partitions and delays without changes to the network of the
+/// host.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,42 +27,48 @@
 
 namespace canvaswick {
 
-/// What the relay does to the bytes of one direction.
+/// The faults that the relay injects.
 struct RelayFaults {
+  /// Bytes from the client to the target are held back.
   std::atomic<bool> CutForward{false};
+  /// Bytes from the target to the client are held back.
   std::atomic<bool> CutBackward{false};
+  /// Delay before each read is forwarded, in either direction.
   std::atomic<int64_t> DelayMs{0};
 };
 
-/// Relays one address to another.
+/// Relays the connections of one address to another. Thread-safe after start().
 class RelayStandIn {
 public:
   explicit RelayStandIn(Endpoint Target);
   ~RelayStandIn();
 
+  /// Binds the address and starts to accept. A port of 0 picks a free one.
   Result<void> start(const Endpoint &Address);
+  /// Closes all connections and waits for the threads.
   void stop();
+  /// Returns the port that is served.
   uint16_t getPort() const { return this->Port; }
 
-  /// Lets the connections that are open now carry nothing more, without an end;
-  /// later ones work.
+  /// Stops forwarding on the connections that are open now, without closing
+  /// them. Later connections work.
   void silenceOpenConnections();
 
-  /// The faults in force; change them at any time.
+  /// Returns the faults in force, which may be changed at any time.
   RelayFaults &getFaults() { return this->Faults; }
 
 private:
   struct Connection {
-    int Near = -1;
-    int Far = -1;
+    int Client = -1;
+    int Upstream = -1;
     std::atomic<bool> IsSilent{false};
     std::thread Forward;
     std::thread Backward;
   };
 
   void acceptLoop();
-  void pump(int From, int To, const std::atomic<bool> &Cut,
-            const std::atomic<bool> &IsSilent);
+  void forwardBytes(int From, int To, const std::atomic<bool> &Cut,
+                    const std::atomic<bool> &IsSilent);
 
   const Endpoint Target;
   RelayFaults Faults;
--- a/lib/StandIn/BackendStandIn.cpp
+++ b/lib/StandIn/BackendStandIn.cpp
@@ -1,4 +1,4 @@
-//===- BackendStandIn.cpp - A small stand-in for a backend server ---------===//
+//===- BackendStandIn.cpp - Test double of a backend server ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Writes its answers to the stream itself, so that it can also write them
-/// wrongly: cut, stalled, over-long, unframed or for another request.
+/// Answers are written to the stream directly instead of through the HTTP
+/// library, so that they can be malformed: truncated, stalled, too long,
+/// without a length, or with the id of another request.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +30,7 @@
 static constexpr size_t StandInWorkers = 96;
 static constexpr size_t PieceBytes = 64 * 1024;
 
-/// Exit code of a process that a request has ended.
+/// Exit code of the process after a request that matches ExitTargetPrefix.
 static constexpr int EndedByRequest = 70;
 
 BackendStandIn::BackendStandIn(BackendSetup Setup)
@@ -88,7 +89,7 @@
   if (!Exchange.Body || (!Exchange.Request.has_header("Content-Length") &&
                          !Exchange.Request.has_header("Transfer-Encoding")))
     return true;
-  // Long uploads are counted, not kept.
+  // Of a long upload, all is read but only the beginning is kept.
   return (*Exchange.Body)([&Body](const char *Data, size_t Size) {
     if (Body.size() < PieceBytes)
       Body.append(Data, Size);
@@ -169,11 +170,13 @@
 }
 
 static bool hasPeerLeft(SocketStream &Stream) {
-  // An idle peer that waits for its answer sends nothing.
+  // A client that waits for its answer sends nothing, so readable input means
+  // that it closed the connection.
   return Stream.hasUnexpectedInput();
 }
 
-/// Works for a time. Returns false if the peer left meanwhile.
+/// Simulates execution for Length. Returns false if the client closed the
+/// connection meanwhile.
 bool BackendStandIn::work(HttpExchange &Exchange, Duration Length) {
   const TimePoint End = readSteadyClock() + Length;
   while (readSteadyClock() < End) {
@@ -195,7 +198,7 @@
     Exchange.Response.set_header("Retry-After", Rest);
 }
 
-/// Says what the stand-in is to say of itself.
+/// Sets the headers by which a server reports its limit and that it is leaving.
 static void setServerNotices(HttpExchange &Exchange,
                              const BackendFaults &Active) {
   if (!Active.Limit.empty())
@@ -266,7 +269,8 @@
   return std::strtoll(Target.c_str() + At + 6, nullptr, 10);
 }
 
-/// Returns the byte at a place of the body, the same on every server.
+/// Returns the byte at an offset of the body, which is the same on every
+/// server, so that a download can be resumed elsewhere.
 static char getBodyByte(int64_t At) { return static_cast<char>('a' + At % 23); }
 
 static std::string makePiece(int64_t From, int64_t Length) {
@@ -276,7 +280,7 @@
   return Piece;
 }
 
-/// Writes the whole answer to the stream, with whatever is wrong with it.
+/// Writes the answer to the stream with the faults applied.
 void BackendStandIn::answer(HttpExchange &Exchange,
                             const BackendFaults &Active) {
   const httplib::Request &Request = Exchange.Request;
--- a/lib/StandIn/PlatformStandIn.cpp
+++ b/lib/StandIn/PlatformStandIn.cpp
@@ -1,4 +1,4 @@
-//===- PlatformStandIn.cpp - A small stand-in for the platform ------------===//
+//===- PlatformStandIn.cpp - Test double of the platform ------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// One mutex over one map; waiting reads sleep on a condition.
+/// One mutex guards all state. Watches wait on a condition variable that every
+/// change notifies.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -116,7 +117,8 @@
   });
 }
 
-/// Applies the faults and limits. Returns whether the call is served.
+/// Applies the outage, the rate limit and the delay. Returns whether the call
+/// is served.
 bool PlatformStandIn::admit(HttpExchange &Exchange) {
   int64_t SlowMs = 0;
   {
@@ -208,7 +210,7 @@
   answerValue(Exchange, Found->second.Value, Found->second.Revision);
 }
 
-/// Breaks the connection without an answer.
+/// Closes the connection without an answer.
 static void loseAnswer(HttpExchange &Exchange) {
   Exchange.Stream.muteWrites(true);
   Exchange.MustClose = true;
--- a/lib/StandIn/RelayStandIn.cpp
+++ b/lib/StandIn/RelayStandIn.cpp
@@ -1,5 +1,4 @@
-//===- RelayStandIn.cpp - A small TCP relay that can be cut or slowed, each way
-// by itself -===//
+//===- RelayStandIn.cpp - TCP relay with faults per direction -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Two threads a connection. A cut direction reads nothing: bytes wait as they
-/// would behind a firewall that drops packets.
+/// Each connection has one thread per direction. A direction that is cut is not
+/// read, so its bytes wait as they do behind a firewall that drops packets.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -54,31 +53,34 @@
     pollfd Poll{this->Listener, POLLIN, 0};
     if (::poll(&Poll, 1, PollMillis) <= 0)
       continue;
-    const int Near = ::accept(this->Listener, nullptr, nullptr);
-    if (Near < 0)
+    const int Client = ::accept(this->Listener, nullptr, nullptr);
+    if (Client < 0)
       continue;
-    const int Far = connectTcp(this->Target.Host, this->Target.Port,
-                               readSteadyClock() + fromSeconds(2));
-    if (Far < 0) {
-      ::close(Near);
+    const int Upstream = connectTcp(this->Target.Host, this->Target.Port,
+                                    readSteadyClock() + fromSeconds(2));
+    if (Upstream < 0) {
+      ::close(Client);
       continue;
     }
     std::lock_guard<std::mutex> Lock(this->Mutex);
     Connection &Added = this->Connections.emplace_back();
-    Added.Near = Near;
-    Added.Far = Far;
-    Added.Forward = std::thread([this, Near, Far, &Added] {
-      this->pump(Near, Far, this->Faults.CutForward, Added.IsSilent);
+    Added.Client = Client;
+    Added.Upstream = Upstream;
+    Added.Forward = std::thread([this, Client, Upstream, &Added] {
+      this->forwardBytes(Client, Upstream, this->Faults.CutForward,
+                         Added.IsSilent);
     });
-    Added.Backward = std::thread([this, Near, Far, &Added] {
-      this->pump(Far, Near, this->Faults.CutBackward, Added.IsSilent);
+    Added.Backward = std::thread([this, Client, Upstream, &Added] {
+      this->forwardBytes(Upstream, Client, this->Faults.CutBackward,
+                         Added.IsSilent);
     });
   }
 }
 
-/// Moves bytes one way until either side ends.
-void RelayStandIn::pump(int From, int To, const std::atomic<bool> &Cut,
-                        const std::atomic<bool> &IsSilent) {
+/// Forwards bytes in one direction until From reaches its end or the relay
+/// stops, then shuts down the sending side of To.
+void RelayStandIn::forwardBytes(int From, int To, const std::atomic<bool> &Cut,
+                                const std::atomic<bool> &IsSilent) {
   char Data[16384];
   while (!this->Stopping) {
     if (Cut || IsSilent) {
@@ -125,8 +127,8 @@
   for (Connection &Each : this->Connections) {
     Each.Forward.join();
     Each.Backward.join();
-    ::close(Each.Near);
-    ::close(Each.Far);
+    ::close(Each.Client);
+    ::close(Each.Upstream);
   }
   this->Connections.clear();
   if (this->Listener >= 0)
