--- a/include/canvaswick/Load/LoadRun.h
+++ b/include/canvaswick/Load/LoadRun.h
@@ -1,5 +1,4 @@
-//===- LoadRun.h - Open-loop load against a daemon or a backend server -*- C++
-//-*-===//
+//===- LoadRun.h - Open-loop load generator ---------------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,9 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Requests start by a schedule that does not wait for answers, so that waiting
-/// is counted as the caller feels it. Each request can go through the daemon
-/// and directly to a server in turn, which gives the time the daemon adds.
+/// Requests are sent on a schedule that does not depend on answers, so that
+/// latencies include the time a request waits to be sent (no coordinated
+/// omission). Requests can alternate between the daemon and a direct connection
+/// to a backend server; the difference is the latency that the daemon adds.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 
 namespace canvaswick {
 
-/// One kind of request in the mix.
+/// One kind of request in the mix of a run.
 struct LoadTarget {
   std::string Method = "GET";
   std::string Target = "/";
@@ -35,37 +35,44 @@
   bool IsKeyed = false;
 };
 
-/// What to run.
+/// The parameters of a run.
 struct LoadPlan {
+  /// The caller address of a daemon.
   Endpoint Proxy;
-  /// Where the same requests go directly. No port: nowhere.
+  /// Backend server that receives every second request directly. Port 0: none.
   Endpoint Direct;
   std::string Host = "localhost";
-  /// What callers show to the proxy. Empty: nothing.
+  /// Key that is sent as a bearer token. Empty: none.
   std::string CallerKey;
+  /// Used in turn; must not be empty.
   std::vector<LoadTarget> Targets;
+  /// Mean rate of both sides together.
   double RequestsPerSecond = 100;
   double Seconds = 10;
+  /// Number of sending threads, which bounds the requests in flight.
   size_t Threads = 32;
   uint64_t Seed = 1;
   int64_t DeadlineMs = 10000;
-  /// Process whose processor time is measured; 0: none.
+  /// Process whose CPU time is measured. 0: none.
   int64_t DaemonPid = 0;
 };
 
-/// What came of it, one side.
+/// The counters and latencies of one side, proxy or direct.
 struct LoadSide {
   LoadSide();
   LatencyHistogram Latencies;
   std::atomic<uint64_t> Sent{0};
+  /// Complete answers with a status below 400.
   std::atomic<uint64_t> Served{0};
+  /// Complete answers with status 429 or 503.
   std::atomic<uint64_t> Refused{0};
+  /// All other requests.
   std::atomic<uint64_t> Failed{0};
-  /// Of those that failed: how many had no answer in time, and how many
-  /// connections broke. The others were answered with an error.
+  /// Failed requests without an answer within the deadline, and failed requests
+  /// whose connection broke. The other failed ones got an error status.
   std::atomic<uint64_t> Timeouts{0};
   std::atomic<uint64_t> Broken{0};
-  /// Starts that were later than planned by more than a millisecond.
+  /// Requests that were sent more than a millisecond behind schedule.
   std::atomic<uint64_t> LateStarts{0};
 };
 
@@ -73,15 +80,16 @@
 struct LoadResult {
   LoadSide Proxy;
   LoadSide Direct;
+  /// From the start of the schedule until the last request ended.
   double TookSeconds = 0;
-  /// Processor time the daemon spent meanwhile.
+  /// CPU time that the daemon used during the run.
   double DaemonCpuSeconds = 0;
 };
 
-/// Runs the plan and fills Result. Blocks until all requests have ended.
+/// Runs the plan and adds to Result. Blocks until all requests have ended.
 void runLoad(const LoadPlan &Plan, LoadResult &Result);
 
-/// Writes the result for people.
+/// Returns the result as human-readable text.
 std::string formatLoadResult(const LoadPlan &Plan, const LoadResult &Result);
 
 } // namespace canvaswick
--- a/lib/Load/LoadRun.cpp
+++ b/lib/Load/LoadRun.cpp
@@ -1,4 +1,4 @@
-//===- LoadRun.cpp - Open-loop load against a daemon or a backend server --===//
+//===- LoadRun.cpp - Open-loop load generator -----------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A schedule of Poisson arrivals is drawn before the run; threads take the
-/// next arrival, wait for its time and send. A latency counts from the planned
-/// start, not from when a thread was free.
+/// The schedule of Poisson arrivals is drawn before the run. Each thread takes
+/// the next arrival, waits for its time and sends the request. Latency is
+/// measured from the scheduled time, not from when a thread became free.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -55,7 +55,8 @@
     if (At >= Plan.Seconds)
       return Schedule;
     const bool IsDirect = HasDirect && Number % 2 == 1;
-    // Both sides of a pair ask for the same thing.
+    // A request through the proxy and the direct one after it have the same
+    // target.
     const uint64_t Pair = HasDirect ? Number / 2 : Number;
     Schedule.push_back({Start + fromSeconds(At), Pair % Plan.Targets.size(),
                         IsDirect, Random()});
@@ -81,7 +82,7 @@
     ++Side.Timeouts;
   else if (Answer.End != ExchangeEnd::Complete)
     ++Side.Broken;
-  // Only good answers say how long an answer takes.
+  // The time until a refusal or an error says nothing about good answers.
   if (Kind == AnswerKind::Good)
     Side.Latencies(toSeconds(Latency) * 1000, static_cast<int>(Kind));
 }
@@ -111,12 +112,12 @@
   count(Side, Answer, readSteadyClock() - Each.At);
 }
 
-/// Returns the processor time that a process has spent, 0 if it is not there.
+/// Returns the CPU time that a process has used, or 0 if it does not exist.
 static double readCpuSeconds(int64_t Pid) {
   std::ifstream File(fmt::format("/proc/{}/stat", Pid));
   std::string Text;
   std::getline(File, Text);
-  // The name in brackets may hold spaces; the numbers follow it.
+  // The second field, the name in parentheses, may contain spaces.
   std::istringstream Fields(Text.substr(Text.rfind(')') + 1));
   std::string Skipped;
   static constexpr int FieldsBeforeUserTime = 11;
--- a/tools/canvaswick-capacity-bench/canvaswick-capacity-bench.cpp
+++ b/tools/canvaswick-capacity-bench/canvaswick-capacity-bench.cpp
@@ -1,4 +1,4 @@
-//===- canvaswick-capacity-bench.cpp - The capacity bench's program -------===//
+//===- canvaswick-capacity-bench.cpp - Capacity benchmark -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Runs the tables that were asked for and prints them.
+/// Runs the measurement that --table selects, or all, and prints each as CSV.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/tools/canvaswick-load/canvaswick-load.cpp
+++ b/tools/canvaswick-load/canvaswick-load.cpp
@@ -1,4 +1,4 @@
-//===- canvaswick-load.cpp - The load tool --------------------------------===//
+//===- canvaswick-load.cpp - Open-loop load generator program -------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reads the command line, runs the plan and prints the figures.
+/// Parses the command line, runs the load and prints the results. Exits with 0
+/// only if all requests were served.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/tools/canvaswick-policy-bench/canvaswick-policy-bench.cpp
+++ b/tools/canvaswick-policy-bench/canvaswick-policy-bench.cpp
@@ -1,4 +1,4 @@
-//===- canvaswick-policy-bench.cpp - The policy bench's program -----------===//
+//===- canvaswick-policy-bench.cpp - Health policy benchmark --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Runs policies on scenarios over seeds and prints CSV.
+/// Runs one or all health policies on a scenario with consecutive seeds and
+/// prints the results as CSV.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/tools/standin-backend/standin-backend.cpp
+++ b/tools/standin-backend/standin-backend.cpp
@@ -1,4 +1,4 @@
-//===- standin-backend.cpp - A backend server's stand-in as a program -----===//
+//===- standin-backend.cpp - Test double of a backend server --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Serves slots and faults until it is told to stop.
+/// Runs a BackendStandIn until a stop signal arrives.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/tools/standin-platform/standin-platform.cpp
+++ b/tools/standin-platform/standin-platform.cpp
@@ -1,4 +1,4 @@
-//===- standin-platform.cpp - The platform's stand-in as a program --------===//
+//===- standin-platform.cpp - Test double of the platform -----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Serves keys, leases, watches and the list of VMs until it is told to stop.
+/// Runs a PlatformStandIn until a stop signal arrives.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/tools/standin-relay/standin-relay.cpp
+++ b/tools/standin-relay/standin-relay.cpp
@@ -1,4 +1,4 @@
-//===- standin-relay.cpp - The TCP relay as a program ---------------------===//
+//===- standin-relay.cpp - TCP relay with faults per direction ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Relays one address to another; a small control address sets the faults.
+/// Runs a RelayStandIn until a stop signal arrives. HTTP requests to the
+/// control address set its faults.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,8 +25,8 @@
 
 using namespace canvaswick;
 
-/// Sets the faults by the request's path: /cut-forward, /cut-backward, /cut or
-/// /heal.
+/// Sets the faults that the path of the request names: /cut-forward,
+/// /cut-backward, /cut (both directions) or /heal (no fault).
 static void handleControl(RelayFaults &Faults, HttpExchange &Exchange) {
   const std::string &Target = Exchange.Request.target;
   const bool IsHeal = Target == "/heal";
