--- a/include/canvaswick/Bench/CapacityBench.h
+++ b/include/canvaswick/Bench/CapacityBench.h
@@ -1,5 +1,4 @@
-//===- CapacityBench.h - Measures the slopes that docs/CAPACITY.md is worked out
-// from -*- C++ -*-===//
+//===- CapacityBench.h - Cost per unit of load for sizing -------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,10 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Each table measures one thing over several sizes and prints CSV. Figures of
-/// one machine: slopes, not promises.
+/// Measures how the costs of a daemon grow with the size of the fleet, as the
+/// input of docs/CAPACITY.md. Each table covers one cost at several sizes. The
+/// figures hold for the host they were taken on; what carries over is the
+/// growth, not the absolute values.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,11 +22,12 @@
 
 namespace canvaswick {
 
-/// One table of the capacity bench.
+/// One table of the capacity benchmark.
 struct CapacityTable {
   const char *Name;
+  /// One line that says what is measured.
   const char *Measures;
-  /// Runs it and returns CSV with a header.
+  /// Runs the measurement and returns CSV with a header.
   std::string (*Run)();
 };
 
--- a/include/canvaswick/Bench/QuotaModel.h
+++ b/include/canvaswick/Bench/QuotaModel.h
@@ -1,4 +1,4 @@
-//===- QuotaModel.h - A fleet's allowances in virtual time ------*- C++ -*-===//
+//===- QuotaModel.h - Simulation of fleet quotas ----------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,10 +7,11 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plays one organisation's requests against a fleet of daemons, with messages
-/// that are late or lost, cuts and kills, and counts what is admitted beyond
-/// the bound and what is refused within the allowance. Several ways to keep an
-/// allowance can be compared on the same requests.
+/// Simulates the requests of one organisation to a fleet of daemons in virtual
+/// time, with message delay and loss, network partitions and restarts. It
+/// measures how close admissions come to the bound of the quota and how many
+/// requests within the quota are refused, so that enforcement methods can be
+/// compared on the same requests.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,73 +26,82 @@
 
 namespace canvaswick {
 
-/// How an allowance is kept.
+/// A method of enforcing a quota across a fleet.
 enum class QuotaMethod : uint8_t {
-  /// Each daemon has its part of the bucket.
+  /// Each daemon has an equal, fixed part of the bucket.
   FixedParts,
-  /// One daemon gives out the tokens, and each that does not reach it has its
-  /// fixed part.
+  /// One daemon hands out the tokens. A daemon that cannot reach it falls back
+  /// to
+  /// its fixed part.
   OneOwner,
-  /// FleetQuota.
+  /// Daemons exchange their usage (FleetQuota).
   SharedCounts,
 };
 
-/// Returns the name of a way.
+/// Returns the name of a method as the CSV has it.
 const char *getName(QuotaMethod Method);
 
-/// What happens to some daemons for a while.
+/// A fault that affects some daemons for a limited time.
 enum class QuotaFault : uint8_t {
-  /// They reach no other daemon; callers reach them.
+  /// The daemons cannot reach any other daemon, but callers reach them.
   Cut,
-  /// They are gone, and come back having forgotten everything.
+  /// The daemons are down and restart without state.
   Killed,
-  /// Halls do not reach each other.
+  /// Daemons of different halls cannot reach each other.
   HallsApart,
 };
 
-/// One stretch of trouble, in milliseconds from the begin.
+/// A fault with its begin and length, in milliseconds from the start of the
+/// run.
 struct QuotaFaultEvent {
   QuotaFault Kind = QuotaFault::Cut;
   int FromMs = 0;
   int ForMs = 0;
-  /// Part of the daemons, from the first on; HallsApart has none.
+  /// Fraction of the daemons of each hall that is affected, counted from the
+  /// first. Not used by HallsApart.
   double Part = 0;
 };
 
-/// One play.
+/// The parameters of a simulation.
 struct QuotaScenario {
   int Halls = 3;
   int DaemonsOfHall = 38;
-  /// Of the organisation, which saves up one second's requests.
+  /// Requests per second of the organisation. Its burst is the requests of one
+  /// second.
   double Rate = 8;
-  /// Callers, each at one daemon drawn for it.
+  /// Number of callers. Each sends to one daemon that is drawn at random.
   int Callers = 19;
-  /// What is asked, as a part of the rate; from HotFromMs for HotForMs this
-  /// many times as much.
+  /// Offered load divided by Rate. For HotForMs from HotFromMs on, the load is
+  /// multiplied by HotFactor.
   double TypicalLoad = 0.62;
   double HotFactor = 1;
   int HotFromMs = 0;
   int HotForMs = 0;
-  /// At this time the rate becomes this part of what it was.
+  /// At ChangeMs the rate is multiplied by ChangeFactor. 0: never.
   int ChangeMs = 0;
   double ChangeFactor = 1;
   int LengthMs = 30000;
+  /// Probability that a message is lost.
   double LossRate = 0.02;
   std::vector<QuotaFaultEvent> Events;
 };
 
-/// What came of a play.
+/// The result of a simulation.
 struct QuotaModelResult {
+  /// Requests that reached a daemon.
   uint64_t Asked = 0;
   uint64_t Admitted = 0;
-  /// Requests that the allowance covers, by one bucket over the whole fleet,
-  /// and how many of them were refused.
+  /// Requests within the quota, that is, those that a single token bucket of
+  /// the whole fleet would admit, and how many of them were refused.
   uint64_t WithinQuota = 0;
   uint64_t RefusedWithinQuota = 0;
-  /// The largest part of the bound that any window was filled to.
+  /// Largest number of admissions in any window, divided by the bound. Above 1
+  /// the bound is violated.
   double MaxWindowFill = 0;
+  /// Messages between daemons.
   uint64_t Messages = 0;
 
+  /// Returns the fraction of the requests within the quota that was refused.
   double computeRefusedRatio() const {
     return this->WithinQuota == 0
                ? 0
@@ -100,14 +110,15 @@
   }
 };
 
-/// The bound that the users set.
+/// Returns the required bounds: 10 % and 20 requests above the limit in 5 s.
 QuotaBounds getModelBounds();
 
-/// Plays a scenario.
+/// Runs a simulation. The result depends on the arguments alone.
 QuotaModelResult runQuotaModel(const QuotaScenario &Scenario,
                                QuotaMethod Method, uint64_t Seed);
 
-/// Returns a table of the ways over scenarios at several sizes of a fleet.
+/// Returns a CSV table that compares the methods in several scenarios and fleet
+/// sizes, each over Seeds seeds.
 std::string compareQuotaMethods(uint64_t Seeds);
 
 } // namespace canvaswick
--- a/include/canvaswick/Bench/Scenario.h
+++ b/include/canvaswick/Bench/Scenario.h
@@ -1,4 +1,4 @@
-//===- Scenario.h - A scenario of the policy bench --------------*- C++ -*-===//
+//===- Scenario.h - Scenario of the policy benchmark ------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The shape of one service, the exchange between daemons, and a timed list of
-/// faults, read from an INI file. docs/POLICY-BENCH.md documents the format.
+/// Describes one service, the network between daemons and a list of timed
+/// faults. Scenarios are read from INI files; docs/POLICY-BENCH.md documents
+/// the format.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,50 +24,52 @@
 
 namespace canvaswick {
 
-/// What goes wrong.
+/// The kinds of faults.
 enum class FaultKind : uint8_t {
-  /// Answers with an error at once.
+  /// Servers answer with an error at once.
   Fail,
-  /// Never answers; probes stay green.
+  /// Servers never answer requests, although probes succeed.
   Hang,
-  /// Answers, but many times slower.
+  /// The service time is multiplied by Factor.
   Slow,
-  /// Refuses connections.
+  /// Servers refuse connections.
   Refuse,
-  /// Fails and recovers every few seconds.
+  /// Servers alternate between failing and healthy, half a Period each.
   Flap,
-  /// Says it is overloaded and runs nothing. No sickness.
+  /// Servers shed requests without executing them. The servers are healthy.
   Shed,
-  /// Has started anew and is slow for a while. No sickness.
+  /// Servers have restarted and are slow for a while. The servers are healthy.
   Cold,
-  /// Leaves: runs what it has, takes nothing new. No sickness.
+  /// Servers drain: they complete requests and accept no new ones. The servers
+  /// are healthy.
   Drain,
-  /// The daemon itself is sick: all its requests fail. No server is sick.
+  /// All requests of the affected daemons fail. The servers are healthy.
   UnhealthyDaemon,
 };
 
-/// Returns the name of a kind as scenarios write it.
+/// Returns the name of a kind as scenario files have it.
 const char *getName(FaultKind Kind);
 
-/// One fault.
+/// A fault of a scenario.
 struct Fault {
   std::string Name;
   FaultKind Kind = FaultKind::Fail;
-  /// "all", "hall:NAME", "random:N" or a list of numbers.
+  /// Affected servers: "all", "hall:NAME", "random:N" (N drawn at random) or a
+  /// list of indexes separated by spaces.
   std::string Servers = "random:1";
-  /// Which daemons see it, in the same form.
+  /// Daemons whose requests are affected, in the same form.
   std::string Daemons = "all";
   Duration Start{};
   Duration End{};
-  /// Part of the requests that are hit.
+  /// Fraction of the requests that is affected.
   double Part = 1;
-  /// How many times slower, for Slow and Cold.
+  /// Factor of the service time, for Slow and Cold.
   double Factor = 10;
-  /// Length of a whole good and bad spell, for Flap.
+  /// Length of a cycle of failing and healthy, for Flap.
   Duration Period = fromSeconds(4);
 };
 
-/// A whole scenario.
+/// The parameters of a run.
 struct Scenario {
   std::string Name;
   int Servers = 10;
@@ -75,21 +78,25 @@
   int Daemons = 40;
   double RequestsPerSecond = 100;
   Duration ServiceTime = fromMillis(50);
-  /// Standard deviation of the logarithm of the service time.
+  /// Standard deviation of the natural logarithm of the service time.
   double Spread = 0.5;
   Duration Deadline = fromSeconds(2);
-  /// Requests that fail on a healthy server.
+  /// Fraction of the requests that fail on a healthy server.
   double BackgroundFailures = 0.001;
+  /// Whether failed requests may be retried.
   bool IsRepeatable = true;
   int FloorPercent = 50;
   EjectionPreference Preference = EjectionPreference::Balanced;
+  /// Delay of messages between daemons, which varies by 50 % either way.
   Duration ExchangeDelay = fromMillis(5);
+  /// Probability that a message between daemons is lost.
   double ExchangeLoss = 0.01;
   Duration Length = fromSeconds(300);
   std::vector<Fault> Faults;
 };
 
-/// Reads and checks a scenario. Errors name file, line, section and key.
+/// Loads and validates a scenario. Errors name the file, the line, the section
+/// and the key.
 Result<Scenario> loadScenario(const std::string &Path);
 
 } // namespace canvaswick
--- a/lib/Bench/BenchExchange.cpp
+++ b/lib/Bench/BenchExchange.cpp
@@ -1,4 +1,4 @@
-//===- BenchExchange.cpp - What daemons of a run tell each other ----------===//
+//===- BenchExchange.cpp - Evidence exchange of the policy benchmark ------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Reports and digests, with their bytes, delays and losses.
+/// Simulates the exchange of evidence reports and summaries between daemons,
+/// with delay and loss, and counts the bytes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,11 +18,11 @@
 
 namespace canvaswick {
 
-/// HTTP heads, signature and JSON-RPC frame of a call and its answer, measured
-/// between two daemons; see docs/CAPACITY.md.
+/// Size of the HTTP headers, the signature and the JSON-RPC envelopes of a call
+/// and its answer between two daemons; see docs/CAPACITY.md.
 static constexpr size_t CallOverheadBytes = 430;
 
-/// Sends a message, which may be lost on its way.
+/// Sends a message. Runs Deliver when it arrives, unless it is lost.
 void BenchRun::send(const Json::Value &Message, std::function<void()> Deliver) {
   this->ControlBytes += CallOverheadBytes + writeJson(Message).size();
   std::uniform_real_distribution<double> Draw(0, 1);
@@ -59,7 +60,7 @@
   Owner.Pool->advance(this->Now);
   if (!Owner.Pool->hasSuspects())
     return;
-  // The digest rides on the answer of the report.
+  // The summary is part of the answer to the report and adds no call overhead.
   const EvidenceSummary Digest = Owner.Pool->buildSummary(Source.Hall);
   if (&Owner == &Source) {
     this->deliverSummary(Source, Digest);
--- a/lib/Bench/BenchObserver.cpp
+++ b/lib/Bench/BenchObserver.cpp
@@ -1,4 +1,4 @@
-//===- BenchObserver.cpp - What a run of the policy bench shows -----------===//
+//===- BenchObserver.cpp - Metrics of a policy benchmark run --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The definitions of the bench's columns, as docs/POLICY-BENCH.md states them.
+/// Implements the metrics as docs/POLICY-BENCH.md defines them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 namespace canvaswick {
 
-/// A server below this share counts as removed.
+/// A server with a lower share counts as removed.
 static constexpr double RemovedShare = 0.05;
 
 BenchObserver::BenchObserver(const Scenario &Spec, const FakeServers &Servers)
@@ -29,7 +29,8 @@
     Watch.WasRemoved.assign(static_cast<size_t>(Spec.Daemons), false);
 }
 
-/// Returns the mean share of a server over the daemons that are marked.
+/// Returns the mean share of a server over the marked daemons, or 1 if there
+/// are none.
 static double getMeanShare(const ShareTable &Shares, size_t Server,
                            const std::vector<bool> &Marked) {
   double Sum = 0;
@@ -109,7 +110,8 @@
   this->observeDetection(Shares, Now);
 }
 
-/// Returns whether a fault hits so few servers that removing them helps.
+/// Returns whether the removal of the affected servers mitigates the fault,
+/// which requires that they are fewer than half of the servers.
 static bool isRemovable(const ActiveFault &Each) {
   const auto Hit = std::count(Each.Servers.begin(), Each.Servers.end(), true);
   return Each.isServerFault() &&
--- a/lib/Bench/BenchObserver.h
+++ b/lib/Bench/BenchObserver.h
@@ -1,4 +1,4 @@
-//===- BenchObserver.h - What a run of the policy bench shows ---*- C++ -*-===//
+//===- BenchObserver.h - Metrics of a policy benchmark run ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Looks at the shares of all daemons at every tick and keeps the figures of
-/// the result: detection, false ejections, lost seconds, violations.
+/// Samples the shares at all daemons on every tick and accumulates the metrics
+/// of the result: detection times, false ejections, lost seconds of healthy
+/// servers and violations of the floor. Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,21 +26,24 @@
 /// The share of each server at each daemon: Shares[Daemon][Server].
 using ShareTable = std::vector<std::vector<double>>;
 
-/// Follows one run.
+/// Accumulates the metrics of one run.
 class BenchObserver {
 public:
   BenchObserver(const Scenario &Spec, const FakeServers &Servers);
 
-  /// Looks once. Step is the time since the last look.
+  /// Takes a sample. Step is the time since the last one.
   void observe(const ShareTable &Shares, TimePoint Now, Duration Step);
 
-  /// Fills the columns that come from looking.
+  /// Sets the columns of a result that are computed from samples.
   void summarize(BenchResult &Into) const;
 
 private:
-  /// What is followed of one server.
+  /// The removals of one server.
   struct ServerWatch {
+    /// By daemon: whether it had removed the server in the last sample.
     std::vector<bool> WasRemoved;
+    /// Whether a removal has been counted as a false ejection that still lasts
+    /// at some daemon.
     bool IsInFalseEpisode = false;
   };
 
@@ -51,7 +55,7 @@
   const Scenario &Spec;
   const FakeServers &Servers;
   std::vector<ServerWatch> Watches;
-  /// For each fault and server: seconds until detection, or negative.
+  /// By fault and server: seconds until detection, or negative if undetected.
   std::vector<std::vector<double>> Detection;
   int FalseEjections = 0;
   int FloorViolations = 0;
--- a/lib/Bench/BenchRun.cpp
+++ b/lib/Bench/BenchRun.cpp
@@ -1,4 +1,4 @@
-//===- BenchRun.cpp - One run of the policy bench -------------------------===//
+//===- BenchRun.cpp - Event simulation of the policy benchmark ------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Requests come, are tried and end, one event after the other.
+/// Processes arrivals, attempts, answers and ticks as events in order of time.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -151,7 +151,8 @@
       ++this->Late;
     return;
   }
-  // A shed request was not run: it may go elsewhere whatever its class.
+  // A shed request was not executed, so it may be retried even if the service
+  // is not repeatable.
   const bool MayRepeat =
       Request->Tries < MaxTries && this->Now < Request->Deadline &&
       (Outcome == RequestOutcome::Shed ||
@@ -215,7 +216,7 @@
       static_cast<double>(std::max<uint64_t>(1, Out.Requests));
   Out.FailedShare = static_cast<double>(this->Failed) / Requests;
   Out.LateShare = static_cast<double>(this->Late) / Requests;
-  // Each byte is sent by one daemon and received by another.
+  // Each byte counts twice: at the daemon that sends it and at the receiver.
   Out.ControlBytesPerSecond = 2 * static_cast<double>(this->ControlBytes) /
                               toSeconds(this->Spec.Length) /
                               static_cast<double>(this->Daemons.size());
--- a/lib/Bench/BenchRun.h
+++ b/lib/Bench/BenchRun.h
@@ -1,4 +1,4 @@
-//===- BenchRun.h - One run of the policy bench -----------------*- C++ -*-===//
+//===- BenchRun.h - Event simulation of the policy benchmark ----*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Daemons, servers and their messages in virtual time. Private to this
-/// library.
+/// Simulates daemons, servers and messages as discrete events in virtual time.
+/// Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,13 +28,15 @@
 
 namespace canvaswick {
 
-/// A thing that happens at an instant.
+/// An event. Order makes events of the same time run in the order in which they
+/// were scheduled.
 struct Event {
   TimePoint At;
   uint64_t Order;
   std::function<void()> Run;
 };
 
+/// Orders events so that a priority queue has the earliest on top.
 struct IsLater {
   bool operator()(const Event &Left, const Event &Right) const {
     if (Left.At != Right.At)
@@ -43,7 +45,7 @@
   }
 };
 
-/// One request as a daemon sees it.
+/// A request at the daemon that received it.
 struct BenchRequest {
   size_t Daemon = 0;
   TimePoint Began{};
@@ -51,15 +53,16 @@
   int Tries = 0;
 };
 
-/// One try, while it is in flight.
+/// An attempt to send a request to a server, while it is in flight.
 struct BenchAttempt {
   size_t Server = 0;
   TimePoint Began{};
+  /// Whether the attempt was recorded as slow before it ended.
   bool IsRecordedSlow = false;
   bool IsEnded = false;
 };
 
-/// One daemon's decision objects.
+/// A simulated daemon.
 struct BenchDaemon {
   std::string Name;
   std::string Hall;
@@ -68,10 +71,11 @@
   LatencyTracker Latency;
   RetryBudget Retries;
   std::vector<std::shared_ptr<BenchAttempt>> InFlight;
+  /// Null unless this daemon owns the pool.
   std::unique_ptr<EvidencePool> Pool;
 };
 
-/// One run of one policy.
+/// A run of one policy on one scenario with one seed.
 class BenchRun {
 public:
   BenchRun(const Scenario &Spec, PolicyKind Kind, uint64_t Seed);
--- a/lib/Bench/BenchServers.cpp
+++ b/lib/Bench/BenchServers.cpp
@@ -1,4 +1,4 @@
-//===- BenchServers.cpp - Small fakes of one service's backend servers ----===//
+//===- BenchServers.cpp - Simulated backend servers -----------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A request takes the slot that is free first; a queue that is too long sheds.
+/// A request takes the slot that becomes free first. If the wait for it is too
+/// long, the request is shed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,13 +21,14 @@
 
 namespace canvaswick {
 
-/// Requests that wait for a slot before a server sheds, for each slot.
+/// Requests per slot that may wait before the server sheds requests.
 static constexpr int QueuePerSlot = 4;
 
-/// A refused connection, an error at once, a shed request.
+/// Time until a refused connection, an immediate error or a shed request is
+/// answered.
 static constexpr Duration QuickAnswer = fromMillis(2);
 
-/// How long after it began to leave a server is known to leave.
+/// Delay until the daemons know that a server is leaving.
 static constexpr Duration LeavingLag = fromSeconds(2);
 
 bool ActiveFault::isActive(TimePoint Now) const {
@@ -60,7 +62,8 @@
   return false;
 }
 
-/// Draws a set out of Count things from its description.
+/// Returns the set that Text describes (see Fault::Servers) of Count servers or
+/// daemons.
 static std::vector<bool> drawSet(const std::string &Text, size_t Count,
                                  const std::vector<std::string> &Halls,
                                  RandomSource &Random) {
@@ -125,14 +128,14 @@
   std::vector<TimePoint> &Slots = this->SlotFree[Server];
   const auto First = std::min_element(Slots.begin(), Slots.end());
   const TimePoint Begin = std::max(Now, *First);
-  // The usual wait behind a full queue.
+  // Typical wait behind a full queue.
   const Duration QueueLimit = this->Spec.ServiceTime * QueuePerSlot;
   if (Begin - Now > QueueLimit)
     return {RequestOutcome::Shed, Now + QuickAnswer};
   std::lognormal_distribution<double> Draw(
       std::log(toSeconds(this->Spec.ServiceTime)), this->Spec.Spread);
   const TimePoint End = Begin + fromSeconds(Draw(this->Random) * Factor);
-  // A request that is given up frees its slot.
+  // A request that reaches its deadline is canceled and frees its slot.
   *First = std::min(End, Deadline);
   return {Outcome, End};
 }
--- a/lib/Bench/BenchServers.h
+++ b/lib/Bench/BenchServers.h
@@ -1,5 +1,4 @@
-//===- BenchServers.h - Small fakes of one service's backend servers -*- C++
-//-*-===//
+//===- BenchServers.h - Simulated backend servers ---------------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Slots, a queue, a service time and the faults of a scenario.
+/// Simulates the backend servers of one service with slots, a queue, random
+/// service times and the faults of a scenario. Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,43 +23,45 @@
 
 namespace canvaswick {
 
-/// A fault with the servers and daemons that it hits in this run.
+/// A fault with the servers and daemons that it affects in this run.
 struct ActiveFault {
   Fault Description;
   std::vector<bool> Servers;
   std::vector<bool> Daemons;
 
-  /// Returns whether it is on at Now, spells of a flapping one included.
+  /// Returns whether requests fail at Now. Unlike isActive, this is false in
+  /// the healthy phases of a flapping server.
   bool isOn(TimePoint Now) const;
 
-  /// Returns whether Now is between its start and its end.
+  /// Returns whether Now is between the start and the end of the fault.
   bool isActive(TimePoint Now) const;
 
-  /// Returns whether removing the server helps against it.
+  /// Returns whether the affected servers are unhealthy, so that their removal
+  /// is the right reaction.
   bool isServerFault() const;
 };
 
-/// How a fake server answers one request.
+/// The outcome of a request and the time of the answer.
 struct FakeAnswer {
   RequestOutcome Outcome = RequestOutcome::Good;
   TimePoint At{};
 };
 
-/// All fake servers of a run.
+/// All simulated servers of a run.
 class FakeServers {
 public:
   FakeServers(const Scenario &Spec, std::vector<ActiveFault> Faults,
               RandomSource &Random);
 
-  /// Returns when and how a request that arrives now is answered. An answer
-  /// after Deadline never reaches the daemon.
+  /// Returns how and when a request that arrives at Now is answered. The daemon
+  /// does not see an answer after Deadline.
   FakeAnswer serve(size_t Server, size_t Daemon, TimePoint Now,
                    TimePoint Deadline);
 
-  /// Returns whether the platform and the server say that it is leaving.
+  /// Returns whether the server is leaving and the daemons know it.
   bool isLeaving(size_t Server, TimePoint Now) const;
 
-  /// Returns whether a sickness of the server is active for some caller.
+  /// Returns whether the server is unhealthy for requests of some daemon.
   bool isUnhealthy(size_t Server, TimePoint Now) const;
 
   const std::vector<ActiveFault> &getFaults() const { return this->Faults; }
@@ -72,11 +74,11 @@
   const Scenario &Spec;
   std::vector<ActiveFault> Faults;
   RandomSource &Random;
-  /// When each slot of each server is free again.
+  /// By server and slot: the time at which the slot becomes free.
   std::vector<std::vector<TimePoint>> SlotFree;
 };
 
-/// Draws the servers and daemons that each fault hits.
+/// Draws the servers and daemons that each fault affects.
 std::vector<ActiveFault> drawFaults(const Scenario &Spec, RandomSource &Random);
 
 } // namespace canvaswick
--- a/lib/Bench/CapacityBench.cpp
+++ b/lib/Bench/CapacityBench.cpp
@@ -1,5 +1,4 @@
-//===- CapacityBench.cpp - Measures the slopes that docs/CAPACITY.md is worked
-// out from -===//
+//===- CapacityBench.cpp - Cost per unit of load for sizing ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plain loops over the decision objects and small stand-ins.
+/// Measures settings, decisions, routes, subsets and detection within one
+/// process, and lists all tables.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,6 +27,7 @@
 
 namespace canvaswick {
 
+/// Size of the fleet that the capacity is planned for.
 static constexpr int TargetServices = 210;
 static constexpr int TargetServers = 12000;
 
--- a/lib/Bench/CapacityTables.h
+++ b/lib/Bench/CapacityTables.h
@@ -1,5 +1,4 @@
-//===- CapacityTables.h - What the files of the capacity bench share -*- C++
-//-*-===//
+//===- CapacityTables.h - Tables of the capacity benchmark ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Timers, sizes and the tables that live in a file of their own. Private to
-/// this library.
+/// Declares the helpers that the sources of the capacity benchmark share and
+/// the tables that have a source of their own. Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +25,7 @@
 
 namespace canvaswick {
 
-/// Processor time of this process between two points.
+/// Measures the CPU time of this process, user and system, since construction.
 class CpuTimer {
 public:
   CpuTimer() : Start(read()) {}
@@ -51,13 +50,13 @@
 /// Returns the names of Count daemons.
 std::vector<std::string> makeNames(size_t Count);
 
-/// The tables about what daemons send each other and the platform.
+/// Measure calls, evidence pools, claims and membership. Each returns CSV.
 std::string measureCalls();
 std::string measurePool();
 std::string measureClaims();
 std::string measureMembers();
 
-/// The table about a fleet that starts at once, from a model.
+/// Computes the start of a whole fleet from a model. Returns CSV.
 std::string measureStarts();
 
 } // namespace canvaswick
--- a/lib/Bench/CapacityWire.cpp
+++ b/lib/Bench/CapacityWire.cpp
@@ -1,4 +1,4 @@
-//===- CapacityWire.cpp - Capacity tables about what travels --------------===//
+//===- CapacityWire.cpp - Capacity tables of control traffic --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Calls, membership, pools of evidence and claims.
+/// Measures calls, membership, evidence pools and claims.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,8 @@
 
 namespace canvaswick {
 
-/// Makes calls over loopback and returns a line of bytes and times a call.
+/// Makes calls over the loopback interface. Returns a CSV line with the bytes
+/// and the CPU time per call.
 static std::string measureCall(const char *Name, const Json::Value &Params,
                                const Json::Value &Answer) {
   const CallKey Key{"bench", "a-key-for-this-bench-only"};
@@ -141,7 +142,7 @@
   return Csv;
 }
 
-/// Lets Askers threads claim keys of one shard for some seconds.
+/// Claims keys of one shard from Askers threads for 2 s. Returns a CSV line.
 static std::string measureClaimsWith(size_t Askers, Duration Gap) {
   PlatformStandIn Stand;
   if (!Stand.start({"127.0.0.1", 0}))
@@ -186,10 +187,11 @@
   return Csv;
 }
 
-/// More than a table passes on any one change.
+/// Exceeds the number of times that a table announces a change.
 static constexpr int FirstAnnouncements = 40;
 
-/// Lets a whole fleet of tables talk for a while and counts bytes and time.
+/// Lets the member tables of a whole fleet exchange one change until all know
+/// it. Measures rounds, bytes and CPU time.
 std::string measureMembers() {
   std::string Csv = "members,changes_a_second,bytes_a_ping,us_a_ping_to_handle,"
                     "rounds_until_all_know,table_kb\n";
@@ -215,7 +217,8 @@
     }
     const double TableKb =
         (readResidentMegabytes() - Before) * 1000 / static_cast<double>(Count);
-    // Spend the first announcements, then let one member change.
+    // The announcements of the initial members are used up first, so that only
+    // the change of one member is measured.
     std::mt19937_64 Random(1);
     const auto Talk = [&](size_t From, uint64_t &Bytes) {
       const size_t To = Random() % Count;
--- a/lib/Bench/PolicyBench.cpp
+++ b/lib/Bench/PolicyBench.cpp
@@ -1,4 +1,4 @@
-//===- PolicyBench.cpp - Measures a policy on a scenario ------------------===//
+//===- PolicyBench.cpp - Benchmark of health policies ---------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Runs a scenario, and says what several runs show together.
+/// Runs a scenario, computes medians over runs and formats the CSV.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Bench/QuotaMethods.h
+++ b/lib/Bench/QuotaMethods.h
@@ -1,4 +1,4 @@
-//===- QuotaMethods.h - Ways to keep an allowance ---------------*- C++ -*-===//
+//===- QuotaMethods.h - Methods of enforcing a fleet quota ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The ways that the model of allowances compares, each for a whole fleet: what
-/// its daemons do in a step, and whether one of them admits a request. Private
-/// to this library.
+/// The methods that QuotaModel compares. Each object simulates all daemons of a
+/// fleet: what they do in a step and whether one of them admits a request.
+/// Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -34,26 +34,33 @@
 
 inline constexpr int StepMs = 10;
 
-/// Time between two messages of a daemon of a hall of 38, by the product's
-/// bound on what a daemon receives, and of a hall's teller to others: usually,
-/// and while an organisation asks much.
+/// Mean time between two messages of a daemon to its hall. It follows from the
+/// product's bound on the messages that a daemon receives, for a hall of 38.
 inline constexpr int PeerIntervalMs = 150;
+
+/// Time between two messages of a hall reporter to other halls: normally, and
+/// while the demand of an organisation is high.
 inline constexpr int HallIntervalMs = 200;
 inline constexpr int UrgentIntervalMs = 50;
+
+/// Time between two messages of a hall reporter that hold the usage of all
+/// organisations.
 inline constexpr int AllIntervalMs = 1000;
 
-/// Longest way of a message, queueing for a tenth of a core included.
+/// Maximum delay of a message per hop, including the queueing of a daemon that
+/// has a tenth of a core.
 inline constexpr int MaxDelayMs = 40;
 
 inline const char *const ModelOrganisation = "o";
 
-/// A fleet as the ways see it.
+/// The state of a fleet that the methods use.
 struct ModelFleet {
   int Halls = 0;
   int DaemonsOfHall = 0;
   double Rate = 0;
   double Burst = 0;
-  /// Which daemons are cut off, and which are down.
+  /// By daemon: whether it is partitioned from all others, and whether it is
+  /// down.
   std::vector<bool> IsCut;
   std::vector<bool> IsDown;
   bool AreHallsApart = false;
@@ -70,15 +77,17 @@
   }
 };
 
-/// The part of a bucket that may be given out besides its burst.
+/// Returns the requests above the rate and the burst that the bounds tolerate
+/// in a window.
 inline double getModelSlack(const ModelFleet &Fleet) {
   const QuotaBounds Bounds = getModelBounds();
   return Bounds.Slack +
          Bounds.Excess * (Fleet.Rate * toSeconds(Bounds.Window) + Fleet.Burst);
 }
 
-/// Each daemon with its part. Parts below one request are rounded up by as many
-/// daemons as the slack allows.
+/// Gives each daemon an equal part of the rate and the burst. If a part is
+/// below one request, as many daemons as the slack permits get a bucket of one
+/// request and the others get none.
 class FixedPartsMethod {
 public:
   FixedPartsMethod(const ModelFleet &Fleet, uint64_t, TimePoint Now)
@@ -112,9 +121,9 @@
   std::vector<TokenBucket> Buckets;
 };
 
-/// One daemon gives out tokens. Whoever does not reach it has its fixed part,
-/// which the owner leaves to those it does not hear; the next owner begins with
-/// an empty bucket.
+/// Lets one daemon, the owner, hand out the tokens. Daemons that cannot reach
+/// it use their fixed parts, by which the owner reduces its own bucket. If the
+/// owner is down for a second, the next daemon takes over with an empty bucket.
 class OneOwnerMethod {
 public:
   OneOwnerMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now)
@@ -169,7 +178,7 @@
   uint64_t Messages = 0;
 };
 
-/// FleetQuota at every daemon, and what they tell each other.
+/// Runs a FleetQuota per daemon and the usage messages between them.
 class SharedCountsMethod {
 public:
   SharedCountsMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now,
@@ -217,7 +226,7 @@
     TimePoint At{};
     size_t To = 0;
     std::string From;
-    /// Whose hall From is, or empty.
+    /// Hall of From if the message reports the usage of a hall, else empty.
     std::string Hall;
     std::vector<QuotaUsage> Levels;
   };
@@ -270,7 +279,8 @@
         this->send(Fleet, From, To, false, News, Now, 1);
   }
 
-  /// One daemon of each other hall is told and passes it on.
+  /// Sends the usage of the hall to one daemon of each other hall, which relays
+  /// it to the rest of its hall.
   void sendUsageToOtherHalls(const ModelFleet &Fleet, size_t From,
                              TimePoint Now) {
     this->HallSentAt[From] = Now;
--- a/lib/Bench/QuotaModel.cpp
+++ b/lib/Bench/QuotaModel.cpp
@@ -1,4 +1,4 @@
-//===- QuotaModel.cpp - A fleet's allowances in virtual time --------------===//
+//===- QuotaModel.cpp - Simulation of fleet quotas ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Steps of ten milliseconds. In each, messages arrive, daemons speak whose
-/// turn it is, and callers ask.
+/// The simulation advances in steps of 10 ms. In each step due messages are
+/// delivered, daemons send the messages that are due, and callers send
+/// requests.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -42,10 +43,11 @@
 
 namespace {
 
-/// Counts what is admitted in a sliding window against the bound.
+/// Tracks the admissions in a sliding window in relation to the bound.
 class QuotaWindowMonitor {
 public:
-  /// A higher limit binds until one window after it was lowered.
+  /// Records an admission. HighestRate is the highest rate that was in force
+  /// within the last window, because a lower limit binds only after one window.
   void note(TimePoint At, const ModelFleet &Fleet, double HighestRate) {
     this->Instants.push_back(At);
     const QuotaBounds Bounds = getModelBounds();
@@ -66,7 +68,7 @@
   double Worst = 0;
 };
 
-/// One play.
+/// One run of the simulation.
 class QuotaModelRun {
 public:
   QuotaModelRun(const QuotaScenario &Given, QuotaMethod Which, uint64_t Seed)
@@ -106,13 +108,14 @@
     const auto Count = static_cast<size_t>(Given.Halls * Given.DaemonsOfHall);
     Made.IsCut.assign(Count, false);
     Made.IsDown.assign(Count, false);
-    // The fleet has run for long, but for those that are killed.
+    // Start times are long past, so that no daemon is in its start-up phase.
+    // Daemons that are killed get a new one when they restart.
     Made.StartedAt.assign(Count, this->Begin - fromSeconds(100));
     return Made;
   }
 
-  /// Cuts, kills and brings back. The daemons that are hit are spread over the
-  /// halls.
+  /// Applies the partitions and outages of this time, and restarts daemons that
+  /// are up again. The affected daemons are spread evenly over the halls.
   void applyEvents(int Ms, TimePoint Now) {
     std::vector<bool> IsCut(this->Fleet.count(), false);
     std::vector<bool> IsDown(this->Fleet.count(), false);
@@ -159,7 +162,7 @@
            (IsHot ? this->Scenario.HotFactor : 1);
   }
 
-  /// The highest rate that binds at a moment.
+  /// Returns the highest rate that was in force within the last window.
   double getBindingRate(int Ms) const {
     const int Settled = this->Scenario.ChangeMs +
                         static_cast<int>(toMillis(getModelBounds().Window));
@@ -167,8 +170,9 @@
                         : this->Fleet.Rate;
   }
 
-  /// Which of an organisation's requests are refused does not matter, so each
-  /// second's admitted ones make up for as many that were owed in it.
+  /// Compares the admissions of a second with the requests within the quota in
+  /// that second by number only, because it does not matter which of the
+  /// requests of an organisation are refused.
   void endSecond() {
     if (this->WithinQuotaThisSecond > this->AdmittedThisSecond)
       this->Outcome.RefusedWithinQuota +=
@@ -232,7 +236,7 @@
 
 namespace {
 
-/// A scenario of the table.
+/// A scenario with its name in the table.
 struct NamedScenario {
   const char *Name;
   QuotaScenario Scenario;
--- a/lib/Bench/Scenario.cpp
+++ b/lib/Bench/Scenario.cpp
@@ -1,4 +1,4 @@
-//===- Scenario.cpp - A scenario of the policy bench ----------------------===//
+//===- Scenario.cpp - Scenario of the policy benchmark --------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// A small table of keys a section kind, checked like the settings are.
+/// Each kind of section has a table of its keys with their parsers. Unknown
+/// keys and values out of range are errors, as in the settings.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -47,7 +48,7 @@
 
 namespace {
 
-/// Takes one value. Returns false if it is not what the key expects.
+/// Parses and stores a value. Returns false if it is not valid for the key.
 using ValueParser = std::function<bool(const std::string &)>;
 using ValueParsers = std::map<std::string, ValueParser>;
 
--- a/lib/Bench/StartModel.cpp
+++ b/lib/Bench/StartModel.cpp
@@ -1,4 +1,4 @@
-//===- StartModel.cpp - A whole fleet that starts at once, as a model -----===//
+//===- StartModel.cpp - Model of a fleet that starts at once --------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Links as fluids in steps of a millisecond: what a source sends is shared
-/// evenly by those who read from it, and none gets more than its own link
-/// takes. Processor time is left out.
+/// A fluid model of network links in steps of 1 ms. The bandwidth of a source
+/// is shared evenly by its readers, and no reader exceeds the bandwidth of its
+/// own link. CPU time is not modeled.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,17 +21,20 @@
 
 namespace {
 
-/// The ways for a daemon to learn what it needs.
+/// Where a daemon that starts reads its state from: pages of the store, the
+/// snapshot in the store, or seed daemons.
 enum class StartSource : uint8_t { Pages, Copy, Seeds };
 
-/// One daemon's download.
+/// The download of one daemon.
 struct Download {
   int BeganMs = 0;
+  /// Bytes that are still to be received.
   double Left = 0;
+  /// Negative while the download is not complete.
   int DoneMs = -1;
 };
 
-/// What came of one start of a fleet.
+/// The result of one start of a fleet.
 struct StartResult {
   int MedianMs = 0;
   int LastMs = 0;
@@ -53,33 +56,36 @@
   return "";
 }
 
-/// A store's link of 1,000 Mbit/s and a daemon's of 20, in bytes a millisecond.
+/// Bandwidth of the store's link (1,000 Mbit/s) and of a daemon's link
+/// (20 Mbit/s), in bytes per millisecond.
 static constexpr double StoreLink = 125000;
 static constexpr double DaemonLink = 2500;
 
-/// All machines start within this time.
+/// All daemons start within this time.
 static constexpr int SpreadMs = 300;
 
-/// What the store takes for an answer.
+/// Response time of the store.
 static constexpr int AnswerMs = 4;
 
-/// Servers a daemon, as 720 before 443.
+/// Number of servers per daemon, as with 720 servers and 443 daemons.
 static constexpr double ServersPerDaemon = 1.625;
 
-/// Bytes of an entry as an item of a page, in base64 and with its fields, and
-/// in a packed copy: by a copy of 1,163 entries (unit tests DirectoryCalls).
+/// Bytes per entry in a page of the store, which has it as base64 with its
+/// fields, and in a packed snapshot, taken from a snapshot of 1,163 entries
+/// (unit test DirectoryCalls).
 static constexpr double PageBytesPerEntry = 330;
 static constexpr double CopyBytesPerEntry = 26;
 
 static constexpr double EntriesPerPage = 500;
 
-/// Daemons that all know by their settings.
+/// Number of seed daemons, whose addresses are in the settings.
 static constexpr double Seeds = 3;
 
-/// What a read that may be old costs of a call.
+/// Cost of a read that accepts a stale value, in calls.
 static constexpr double CheapRead = 0.1;
 
-/// Lets downloads of Bytes each run from a source of Link bytes a millisecond.
+/// Simulates Daemons downloads of Bytes each from a source with a bandwidth of
+/// Link bytes per millisecond.
 static std::vector<Download> run(size_t Daemons, double Bytes, double Link) {
   std::vector<Download> All(Daemons);
   for (size_t I = 0; I < Daemons; ++I)
--- a/unittests/Bench/PolicyBenchTest.cpp
+++ b/unittests/Bench/PolicyBenchTest.cpp
@@ -1,4 +1,4 @@
-//===- PolicyBenchTest.cpp - Tests of the policy bench --------------------===//
+//===- PolicyBenchTest.cpp - Tests of the policy benchmark ----------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Runs are repeatable, the shipped scenarios are good, and the goals hold on a
-/// short one.
+/// Checks that runs are reproducible, that the shipped scenarios load, and that
+/// the pooled policy meets its goals in one scenario.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,7 @@
   CHECK(Count >= 90);
 }
 
-TEST_CASE("a seed gives the same run every time, and policies differ") {
+TEST_CASE("runs with the same seed are identical, and pooling detects sooner") {
   Result<Scenario> Loaded =
       loadScenario(getScenarioDirectory() + "/guild-commissions-fail.ini");
   REQUIRE(Loaded);
@@ -53,7 +53,7 @@
   CHECK(Pooled.FloorViolations == 0);
 }
 
-TEST_CASE("a scenario that is wrong names the line") {
+TEST_CASE("a missing scenario file is an error") {
   Result<Scenario> Missing = loadScenario("/no/such/file.ini");
   CHECK(!Missing);
 }
--- a/unittests/Bench/QuotaModelTest.cpp
+++ b/unittests/Bench/QuotaModelTest.cpp
@@ -1,4 +1,4 @@
-//===- QuotaModelTest.cpp - Fleets keep allowances ------------------------===//
+//===- QuotaModelTest.cpp - Tests of fleet quotas in simulation -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Whole fleets in virtual time: what is admitted stays within the users' bound
-/// whatever happens, and what is owed is served.
+/// Simulates whole fleets in virtual time. Admissions must stay within the
+/// required bound under faults, and requests within the quota must be admitted.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,7 @@
   return Calm;
 }
 
-/// The bound is 1: all that a window may hold.
+/// Returns the largest fill of a window over the seeds, where 1 is the bound.
 static double getWorstFill(const QuotaScenario &Scenario, int Seeds) {
   double Worst = 0;
   for (int Seed = 1; Seed <= Seeds; ++Seed)
@@ -45,7 +45,8 @@
   return Worst;
 }
 
-TEST_CASE("within the allowance fewer than 1 in 1,000 is refused when calm") {
+TEST_CASE("fewer than 1 in 1,000 requests within the quota is refused in "
+          "normal load") {
   for (const double Rate : {1.0, 8.0, 60.0, 200.0}) {
     const QuotaScenario Calm = makeCalm(Rate, Rate < 20 ? 19 : 200);
     QuotaModelResult Sum;
@@ -61,18 +62,18 @@
   }
 }
 
-TEST_CASE("fixed parts refuse most of what a small organisation is owed") {
+TEST_CASE("fixed parts refuse most requests within a small quota") {
   const QuotaModelResult Fixed =
       runQuotaModel(makeCalm(8, 19), QuotaMethod::FixedParts, 1);
   CHECK(Fixed.computeRefusedRatio() > 0.5);
 }
 
-TEST_CASE("ten times the usual at once stays within the bound") {
+TEST_CASE("a sudden tenfold load stays within the bound") {
   for (const double Rate : {1.0, 8.0, 60.0, 173.0})
     CHECK(getWorstFill(makeHot(makeCalm(Rate, Rate < 20 ? 19 : 200)), 3) <= 1);
 }
 
-TEST_CASE("halls that do not reach each other keep the bound together") {
+TEST_CASE("partitioned halls stay within the bound together") {
   for (const double Rate : {8.0, 60.0}) {
     QuotaScenario Apart = makeHot(makeCalm(Rate, 60));
     Apart.Events = {{QuotaFault::HallsApart, 4000, 10000, 0}};
@@ -80,7 +81,7 @@
   }
 }
 
-TEST_CASE("a third that is cut off and the rest keep the bound together") {
+TEST_CASE("a partitioned third and the rest stay within the bound together") {
   for (const double Rate : {8.0, 60.0}) {
     QuotaScenario Cut = makeHot(makeCalm(Rate, 60));
     Cut.Events = {{QuotaFault::Cut, 4000, 10000, 0.33}};
@@ -88,7 +89,8 @@
   }
 }
 
-TEST_CASE("a fleet that is killed and back in a window keeps the bound") {
+TEST_CASE(
+    "a restart of the whole fleet within a window stays within the bound") {
   for (const double Rate : {8.0, 60.0, 173.0}) {
     QuotaScenario Killed = makeHot(makeCalm(Rate, 100));
     Killed.Events = {{QuotaFault::Killed, 10000, 1000, 1}};
@@ -96,7 +98,7 @@
   }
 }
 
-TEST_CASE("an allowance that is cut to a tenth binds after a window") {
+TEST_CASE("a quota lowered to a tenth binds after one window") {
   for (const double Rate : {8.0, 173.0}) {
     QuotaScenario Lowered = makeCalm(Rate, 60);
     Lowered.ChangeMs = 6000;
@@ -105,7 +107,8 @@
   }
 }
 
-TEST_CASE("a restart of the whole fleet refuses nothing that is owed") {
+TEST_CASE(
+    "a restart of the whole fleet refuses few requests within the quota") {
   QuotaScenario Killed = makeCalm(8, 19);
   Killed.Events = {{QuotaFault::Killed, 6000, 1000, 1}};
   const QuotaModelResult Outcome =
@@ -113,7 +116,7 @@
   CHECK(Outcome.computeRefusedRatio() < 0.02);
 }
 
-TEST_CASE("one trouble at a time, whenever it comes, keeps the bound") {
+TEST_CASE("a load spike at any time with message loss stays within the bound") {
   CHECK(rc::check([] {
     const auto Rate = *rc::gen::element(2.0, 8.0, 30.0, 90.0);
     QuotaScenario Scenario = makeCalm(Rate, *rc::gen::inRange(5, 150));
--- a/unittests/Bench/StartModelTest.cpp
+++ b/unittests/Bench/StartModelTest.cpp
@@ -1,4 +1,4 @@
-//===- StartModelTest.cpp - Tests of the model of a fleet's start ---------===//
+//===- StartModelTest.cpp - Tests of the model of a fleet start -----------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The model agrees with what a fleet of 443 daemons showed before it kept a
-/// copy for starts: the last one waited 1.08 s for its settings.
+/// Compares the model with the start of a fleet of 443 daemons that read pages
+/// of the store: the last daemon waited 1.08 s for its settings.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 using namespace canvaswick;
 
-/// Returns the last wait of a way to start Daemons, in ms.
+/// Returns the longest wait in ms when Daemons start from a source.
 static int findLastWait(const std::string &Daemons, const std::string &Source) {
   const std::vector<CapacityTable> &Tables = getCapacityTables();
   const auto Found =
@@ -39,8 +39,7 @@
   return 0;
 }
 
-TEST_CASE(
-    "a start from the fleet's copy is bounded by no link at 443 daemons") {
+TEST_CASE("443 daemons that start from the snapshot do not saturate any link") {
   CHECK(findLastWait("443", "pages") > 1000);
   CHECK(findLastWait("443", "pages") < 1300);
   CHECK(findLastWait("443", "copy") < 50);
