--- a/lib/Bench/BenchExchange.cpp
+++ b/lib/Bench/BenchExchange.cpp
@@ -61,19 +61,20 @@
   if (!Owner.Pool->hasSuspects())
     return;
   // The summary is part of the answer to the report and adds no call overhead.
-  const EvidenceSummary Digest = Owner.Pool->buildSummary(Source.Hall);
+  const EvidenceSummary Summary = Owner.Pool->buildSummary(Source.Hall);
   if (&Owner == &Source) {
-    this->deliverSummary(Source, Digest);
+    this->deliverSummary(Source, Summary);
     return;
   }
   this->ControlBytes -= CallOverheadBytes;
-  this->send(encodeSummary(Digest),
-             [this, &Source, Digest] { this->deliverSummary(Source, Digest); });
+  this->send(encodeSummary(Summary), [this, &Source, Summary] {
+    this->deliverSummary(Source, Summary);
+  });
 }
 
 void BenchRun::deliverSummary(BenchDaemon &Reader,
-                              const EvidenceSummary &Digest) {
-  std::get<PooledPolicy>(Reader.Policy).applySummary(Digest, this->Now);
+                              const EvidenceSummary &Summary) {
+  std::get<PooledPolicy>(Reader.Policy).applySummary(Summary, this->Now);
 }
 
 void BenchRun::advancePool(BenchDaemon &Owner) {
@@ -81,17 +82,17 @@
   for (const std::string &Hall : Owner.Pool->getHalls()) {
     if (!Owner.Pool->hasUpdates(Hall))
       continue;
-    const EvidenceSummary Digest = Owner.Pool->buildSummary(Hall);
+    const EvidenceSummary Summary = Owner.Pool->buildSummary(Hall);
     Owner.Pool->recordSent(Hall);
     for (BenchDaemon &Reader : this->Daemons) {
       if (Reader.Hall != Hall)
         continue;
       if (&Reader == &Owner) {
-        this->deliverSummary(Reader, Digest);
+        this->deliverSummary(Reader, Summary);
         continue;
       }
-      this->send(encodeSummary(Digest), [this, &Reader, Digest] {
-        this->deliverSummary(Reader, Digest);
+      this->send(encodeSummary(Summary), [this, &Reader, Summary] {
+        this->deliverSummary(Reader, Summary);
       });
     }
   }
--- a/lib/Bench/BenchRun.cpp
+++ b/lib/Bench/BenchRun.cpp
@@ -22,7 +22,7 @@
 static constexpr Duration TickInterval = fromMillis(100);
 static constexpr size_t Owners = 2;
 static constexpr int64_t RetryPercent = 10;
-static constexpr int MaxTries = 2;
+static constexpr int MaxAttempts = 2;
 
 static std::vector<ActiveFault> drawFaultsOf(const Scenario &Spec,
                                              uint64_t Seed) {
@@ -153,11 +153,11 @@
   }
   // A shed request was not executed, so it may be retried even if the service
   // is not repeatable.
-  const bool MayRepeat =
-      Request->Tries < MaxTries && this->Now < Request->Deadline &&
+  const bool MayRetry =
+      Request->Tries < MaxAttempts && this->Now < Request->Deadline &&
       (Outcome == RequestOutcome::Shed ||
        (this->Spec.IsRepeatable && Daemon.Retries.tryTake(this->Now)));
-  if (MayRepeat)
+  if (MayRetry)
     this->tryRequest(Request);
   else
     ++this->Failed;
--- a/lib/Bench/BenchRun.h
+++ b/lib/Bench/BenchRun.h
@@ -95,7 +95,7 @@
   void send(const Json::Value &Message, std::function<void()> Deliver);
   void deliverReport(BenchDaemon &Owner, BenchDaemon &Source,
                      const EvidenceReport &Report);
-  void deliverSummary(BenchDaemon &Reader, const EvidenceSummary &Digest);
+  void deliverSummary(BenchDaemon &Reader, const EvidenceSummary &Summary);
   void advancePool(BenchDaemon &Owner);
   void observe();
   std::vector<double> getShares(const BenchDaemon &Daemon) const;
--- a/lib/Bench/CapacityBench.cpp
+++ b/lib/Bench/CapacityBench.cpp
@@ -239,16 +239,16 @@
     Failing.Start = fromSeconds(60);
     Failing.End = fromSeconds(190);
     Spec.Faults = {Failing};
-    std::vector<BenchResult> Ours;
+    std::vector<BenchResult> PooledResults;
     std::vector<BenchResult> Baseline;
     for (uint64_t Seed = 1; Seed <= 5; ++Seed) {
-      Ours.push_back(runPolicyBench(Spec, PolicyKind::Pooled, Seed));
+      PooledResults.push_back(runPolicyBench(Spec, PolicyKind::Pooled, Seed));
       Baseline.push_back(runPolicyBench(Spec, PolicyKind::Baseline, Seed));
     }
     Csv += fmt::format("{:.4f},{:.1f},{:.1f},{:.0f}\n", Rate / 400,
-                       computeMedians(Ours).DetectionP50,
+                       computeMedians(PooledResults).DetectionP50,
                        computeMedians(Baseline).DetectionP50,
-                       computeMedians(Ours).ControlBytesPerSecond);
+                       computeMedians(PooledResults).ControlBytesPerSecond);
   }
   return Csv;
 }
--- a/lib/Bench/CapacityWire.cpp
+++ b/lib/Bench/CapacityWire.cpp
@@ -144,13 +144,13 @@
 
 /// Claims keys of one shard from Askers threads for 2 s. Returns a CSV line.
 static std::string measureClaimsWith(size_t Askers, Duration Gap) {
-  PlatformStandIn Stand;
-  if (!Stand.start({"127.0.0.1", 0}))
+  PlatformStandIn Platform;
+  if (!Platform.start({"127.0.0.1", 0}))
     return "";
   PlatformFaults Slow;
   Slow.SlowMs = 2;
-  Stand.setFaults(Slow);
-  PlatformClient Client({"127.0.0.1", Stand.getPort()}, nullptr);
+  Platform.setFaults(Slow);
+  PlatformClient Client({"127.0.0.1", Platform.getPort()}, nullptr);
   ClaimWriter Writer(Client, 0, fromSeconds(3600), Gap);
   std::atomic<uint64_t> Claims{0};
   const TimePoint Start = readSteadyClock();
@@ -220,7 +220,7 @@
     // The announcements of the initial members are used up first, so that only
     // the change of one member is measured.
     std::mt19937_64 Random(1);
-    const auto Talk = [&](size_t From, uint64_t &Bytes) {
+    const auto ExchangeChanges = [&](size_t From, uint64_t &Bytes) {
       const size_t To = Random() % Count;
       Json::Value Message;
       for (const MemberRecord &Record :
@@ -247,7 +247,7 @@
     while (!std::all_of(Tables.begin(), Tables.end(), Knows) && Rounds < 60) {
       ++Rounds;
       for (size_t From = 1; From < Count; ++From)
-        Talk(From, Bytes);
+        ExchangeChanges(From, Bytes);
     }
     const double Pings =
         static_cast<double>(Rounds) * static_cast<double>(Count);
--- a/lib/Bench/QuotaMethods.h
+++ b/lib/Bench/QuotaMethods.h
@@ -102,10 +102,10 @@
 
   void restart(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
     const auto Count = static_cast<double>(Fleet.count());
-    const double Saved = Fleet.Burst + getModelSlack(Fleet) / 2;
-    const double Size = Saved / Count >= 1                    ? Saved / Count
-                        : static_cast<double>(Daemon) < Saved ? 1
-                                                              : 0;
+    const double Capacity = Fleet.Burst + getModelSlack(Fleet) / 2;
+    const double Size = Capacity / Count >= 1 ? Capacity / Count
+                        : static_cast<double>(Daemon) < Capacity ? 1
+                                                                 : 0;
     this->Buckets[Daemon] = TokenBucket(Fleet.Rate / Count, Size, Now);
   }
 
@@ -127,26 +127,26 @@
 class OneOwnerMethod {
 public:
   OneOwnerMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now)
-      : Own(Fleet, Seed, Now), Central(Fleet.Rate, Fleet.Burst, Now),
+      : Fallback(Fleet, Seed, Now), Central(Fleet.Rate, Fleet.Burst, Now),
         Owner(Seed % Fleet.count()) {}
 
   void change(const ModelFleet &Fleet, TimePoint Now) {
-    this->Own.change(Fleet, Now);
+    this->Fallback.change(Fleet, Now);
     this->Central.reshape(Fleet.Rate, Fleet.Burst);
   }
 
   void restart(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
-    this->Own.restart(Fleet, Daemon, Now);
+    this->Fallback.restart(Fleet, Daemon, Now);
     if (Daemon == this->Owner)
       this->Central = TokenBucket(Fleet.Rate, 0, Now);
   }
 
   void step(const ModelFleet &Fleet, TimePoint Now) {
-    size_t Heard = 0;
+    size_t Reachable = 0;
     for (size_t I = 0; I < Fleet.count(); ++I)
-      Heard += I == this->Owner || Fleet.reaches(this->Owner, I) ? 1 : 0;
+      Reachable += I == this->Owner || Fleet.reaches(this->Owner, I) ? 1 : 0;
     const double Part =
-        static_cast<double>(Heard) / static_cast<double>(Fleet.count());
+        static_cast<double>(Reachable) / static_cast<double>(Fleet.count());
     this->Central.reshape(Fleet.Rate * Part, Fleet.Burst * Part);
     if (!Fleet.IsDown[this->Owner]) {
       this->DownSince.reset();
@@ -163,7 +163,7 @@
 
   bool admit(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
     if (Daemon != this->Owner && !Fleet.reaches(Daemon, this->Owner))
-      return this->Own.admit(Fleet, Daemon, Now);
+      return this->Fallback.admit(Fleet, Daemon, Now);
     this->Messages += 2;
     return this->Central.tryTake(Now);
   }
@@ -171,7 +171,7 @@
   uint64_t countMessages() const { return this->Messages; }
 
 private:
-  FixedPartsMethod Own;
+  FixedPartsMethod Fallback;
   TokenBucket Central;
   size_t Owner;
   std::optional<TimePoint> DownSince;
@@ -185,7 +185,7 @@
                      double LossRate)
       : Random(Seed), LossRate(LossRate) {
     for (size_t I = 0; I < Fleet.count(); ++I)
-      this->Daemons.push_back(this->make(Fleet, I, Now));
+      this->Daemons.push_back(this->makeDaemon(Fleet, I, Now));
     this->HallSentAt.resize(Fleet.count());
     this->AllSentAt.resize(Fleet.count());
   }
@@ -196,7 +196,7 @@
   }
 
   void restart(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
-    this->Daemons[Daemon] = this->make(Fleet, Daemon, Now);
+    this->Daemons[Daemon] = this->makeDaemon(Fleet, Daemon, Now);
   }
 
   void step(const ModelFleet &Fleet, TimePoint Now) {
@@ -228,7 +228,7 @@
     std::string From;
     /// Hall of From if the message reports the usage of a hall, else empty.
     std::string Hall;
-    std::vector<QuotaUsage> Levels;
+    std::vector<QuotaUsage> Usage;
   };
 
   static std::string nameDaemon(size_t Daemon) {
@@ -240,25 +240,25 @@
         {{ModelOrganisation, Fleet.Rate, Fleet.Burst, {}, {}}}, true);
   }
 
-  std::unique_ptr<FleetQuota> make(const ModelFleet &Fleet, size_t Daemon,
-                                   TimePoint Now) {
+  std::unique_ptr<FleetQuota> makeDaemon(const ModelFleet &Fleet, size_t Daemon,
+                                         TimePoint Now) {
     std::uniform_real_distribution<double> Uniform;
     auto Made = std::make_unique<FleetQuota>(
         getModelBounds(), Fleet.StartedAt[Daemon], Uniform(this->Random));
-    std::vector<std::string> Near;
-    std::map<std::string, size_t> Far;
+    std::vector<std::string> SameHall;
+    std::map<std::string, size_t> OtherHalls;
     for (size_t I = 0; I < Fleet.count(); ++I)
       if (Fleet.getHall(I) != Fleet.getHall(Daemon))
-        ++Far[fmt::format("h{}", Fleet.getHall(I))];
+        ++OtherHalls[fmt::format("h{}", Fleet.getHall(I))];
       else if (I != Daemon)
-        Near.push_back(nameDaemon(I));
-    Made->getLiveness().setFleet(Near, Far, Now);
+        SameHall.push_back(nameDaemon(I));
+    Made->getLiveness().setFleet(SameHall, OtherHalls, Now);
     Made->configure(makeDirectory(Fleet), Now);
     return Made;
   }
 
   void send(const ModelFleet &Fleet, size_t From, size_t To, bool IsHall,
-            std::vector<QuotaUsage> Levels, TimePoint Now, int Hops) {
+            std::vector<QuotaUsage> Usage, TimePoint Now, int Hops) {
     std::uniform_real_distribution<double> Uniform;
     ++this->Messages;
     if (!Fleet.reaches(From, To) || Uniform(this->Random) < this->LossRate)
@@ -268,15 +268,15 @@
     const std::string Hall =
         IsHall ? fmt::format("h{}", Fleet.getHall(From)) : "";
     this->Out.push_back(
-        {Now + Delay, To, nameDaemon(From), Hall, std::move(Levels)});
+        {Now + Delay, To, nameDaemon(From), Hall, std::move(Usage)});
   }
 
   void sendUsageToHall(const ModelFleet &Fleet, size_t From, TimePoint Now) {
-    const std::vector<QuotaUsage> News =
+    const std::vector<QuotaUsage> Usage =
         this->Daemons[From]->drainUsageChanges(8, Now);
     for (size_t To = 0; To < Fleet.count(); ++To)
       if (To != From && Fleet.getHall(To) == Fleet.getHall(From))
-        this->send(Fleet, From, To, false, News, Now, 1);
+        this->send(Fleet, From, To, false, Usage, Now, 1);
   }
 
   /// Sends the usage of the hall to one daemon of each other hall, which relays
@@ -288,7 +288,7 @@
         Now - this->AllSentAt[From] >= fromMillis(AllIntervalMs);
     if (WantsAll)
       this->AllSentAt[From] = Now;
-    const std::vector<QuotaUsage> Levels =
+    const std::vector<QuotaUsage> Usage =
         this->Daemons[From]->getHallUsage(WantsAll, Now);
     std::uniform_real_distribution<double> Uniform;
     for (int Hall = 0; Hall < Fleet.Halls; ++Hall) {
@@ -301,7 +301,7 @@
         continue;
       for (size_t I = 0; I < static_cast<size_t>(Fleet.DaemonsOfHall); ++I)
         if (First + I == Relay || Fleet.reaches(Relay, First + I))
-          this->send(Fleet, From, First + I, true, Levels, Now, 2);
+          this->send(Fleet, From, First + I, true, Usage, Now, 2);
     }
   }
 
@@ -310,10 +310,10 @@
       if (Each.At > Now)
         return false;
       if (!Each.Hall.empty())
-        this->Daemons[Each.To]->applyHallUsage(Each.Hall, Each.From,
-                                               Each.Levels, Now);
+        this->Daemons[Each.To]->applyHallUsage(Each.Hall, Each.From, Each.Usage,
+                                               Now);
       else
-        this->Daemons[Each.To]->applyPeerUsage(Each.From, Each.Levels, Now);
+        this->Daemons[Each.To]->applyPeerUsage(Each.From, Each.Usage, Now);
       return true;
     });
   }
--- a/lib/Bench/QuotaModel.cpp
+++ b/lib/Bench/QuotaModel.cpp
@@ -48,24 +48,25 @@
 public:
   /// Records an admission. HighestRate is the highest rate that was in force
   /// within the last window, because a lower limit binds only after one window.
-  void note(TimePoint At, const ModelFleet &Fleet, double HighestRate) {
-    this->Instants.push_back(At);
+  void recordAdmission(TimePoint At, const ModelFleet &Fleet,
+                       double HighestRate) {
+    this->AdmittedAt.push_back(At);
     const QuotaBounds Bounds = getModelBounds();
-    while (this->Instants.front() <= At - Bounds.Window)
-      this->Instants.pop_front();
+    while (this->AdmittedAt.front() <= At - Bounds.Window)
+      this->AdmittedAt.pop_front();
     const double Burst = Fleet.Burst / Fleet.Rate * HighestRate;
     const double Bound =
         (HighestRate * toSeconds(Bounds.Window) + Burst) * (1 + Bounds.Excess) +
         Bounds.Slack;
-    this->Worst = std::max(this->Worst,
-                           static_cast<double>(this->Instants.size()) / Bound);
+    this->MaxFill = std::max(
+        this->MaxFill, static_cast<double>(this->AdmittedAt.size()) / Bound);
   }
 
-  double getWorst() const { return this->Worst; }
+  double getMaxFill() const { return this->MaxFill; }
 
 private:
-  std::deque<TimePoint> Instants;
-  double Worst = 0;
+  std::deque<TimePoint> AdmittedAt;
+  double MaxFill = 0;
 };
 
 /// One run of the simulation.
@@ -88,10 +89,10 @@
       this->applyChange(Ms, Now);
       std::visit([&](auto &Chosen) { Chosen.step(this->Fleet, Now); },
                  this->ActiveMethod);
-      this->ask(Ms, Now);
+      this->sendRequests(Ms, Now);
     }
     this->endSecond();
-    this->Outcome.MaxWindowFill = this->Window.getWorst();
+    this->Outcome.MaxWindowFill = this->Window.getMaxFill();
     this->Outcome.Messages =
         std::visit([](const auto &Chosen) { return Chosen.countMessages(); },
                    this->ActiveMethod);
@@ -155,7 +156,7 @@
                this->ActiveMethod);
   }
 
-  double getAskedRate(int Ms) const {
+  double computeOfferedRate(int Ms) const {
     const bool IsHot = Ms >= this->Scenario.HotFromMs &&
                        Ms < this->Scenario.HotFromMs + this->Scenario.HotForMs;
     return this->Scenario.Rate * this->Scenario.TypicalLoad *
@@ -163,11 +164,11 @@
   }
 
   /// Returns the highest rate that was in force within the last window.
-  double getBindingRate(int Ms) const {
-    const int Settled = this->Scenario.ChangeMs +
-                        static_cast<int>(toMillis(getModelBounds().Window));
-    return Ms < Settled ? std::max(this->Scenario.Rate, this->Fleet.Rate)
-                        : this->Fleet.Rate;
+  double computeBindingRate(int Ms) const {
+    const int BindingAtMs = this->Scenario.ChangeMs +
+                            static_cast<int>(toMillis(getModelBounds().Window));
+    return Ms < BindingAtMs ? std::max(this->Scenario.Rate, this->Fleet.Rate)
+                            : this->Fleet.Rate;
   }
 
   /// Compares the admissions of a second with the requests within the quota in
@@ -189,9 +190,9 @@
     ++this->WithinQuotaThisSecond;
   }
 
-  void ask(int Ms, TimePoint Now) {
-    std::poisson_distribution<int> Arrivals(this->getAskedRate(Ms) * StepMs /
-                                            1000);
+  void sendRequests(int Ms, TimePoint Now) {
+    std::poisson_distribution<int> Arrivals(this->computeOfferedRate(Ms) *
+                                            StepMs / 1000);
     std::uniform_int_distribution<size_t> AnyCaller(
         0, this->DaemonOfCaller.size() - 1);
     const int Count = Arrivals(this->Random);
@@ -209,7 +210,8 @@
         continue;
       ++this->Outcome.Admitted;
       ++this->AdmittedThisSecond;
-      this->Window.note(Now, this->Fleet, this->getBindingRate(Ms));
+      this->Window.recordAdmission(Now, this->Fleet,
+                                   this->computeBindingRate(Ms));
     }
   }
 
@@ -244,15 +246,15 @@
 
 std::vector<NamedScenario> listScenarios(int DaemonsOfHall, double Rate,
                                          int Callers) {
-  QuotaScenario Calm;
-  Calm.DaemonsOfHall = DaemonsOfHall;
-  Calm.Rate = Rate;
-  Calm.Callers = Callers;
-  QuotaScenario Hot = Calm;
+  QuotaScenario Normal;
+  Normal.DaemonsOfHall = DaemonsOfHall;
+  Normal.Rate = Rate;
+  Normal.Callers = Callers;
+  QuotaScenario Hot = Normal;
   Hot.HotFactor = 10;
   Hot.HotFromMs = 8000;
   Hot.HotForMs = 8000;
-  QuotaScenario Cut = Calm;
+  QuotaScenario Cut = Normal;
   Cut.Events = {{QuotaFault::Cut, 6000, 12000, 0.33}};
   QuotaScenario HotInCut = Hot;
   HotInCut.Events = Cut.Events;
@@ -260,14 +262,14 @@
   HotAtCut.Events = {{QuotaFault::Cut, 8000, 8000, 0.33}};
   QuotaScenario Apart = Hot;
   Apart.Events = {{QuotaFault::HallsApart, 6000, 12000, 0}};
-  QuotaScenario Killed = Calm;
+  QuotaScenario Killed = Normal;
   Killed.Events = {{QuotaFault::Killed, 10000, 1000, 1}};
   QuotaScenario HotKilled = Hot;
   HotKilled.Events = {{QuotaFault::Killed, 12000, 1000, 1}};
-  QuotaScenario Lowered = Calm;
+  QuotaScenario Lowered = Normal;
   Lowered.ChangeMs = 10000;
   Lowered.ChangeFactor = 0.1;
-  return {{"calm", Calm},
+  return {{"calm", Normal},
           {"hot", Hot},
           {"a third cut off", Cut},
           {"hot while cut", HotInCut},
