--- a/include/canvaswick/StandIn/BackendStandIn.h
+++ b/include/canvaswick/StandIn/BackendStandIn.h
@@ -67,7 +67,7 @@
   bool SendsLeaving = false;
   /// Value of the Retry-After header of refusals that Shed or Drain causes.
   /// Empty: not sent.
-  std::string Rest = "1";
+  std::string RetryAfter = "1";
   /// Refuses requests like Shed, and reports the state "leaving" in health
   /// checks, whichever requests the other faults affect.
   bool Drain = false;
--- a/lib/StandIn/BackendStandIn.cpp
+++ b/lib/StandIn/BackendStandIn.cpp
@@ -191,11 +191,12 @@
   return true;
 }
 
-static void refuseAsNotRun(HttpExchange &Exchange, const std::string &Rest) {
+static void refuseAsNotRun(HttpExchange &Exchange,
+                           const std::string &RetryAfter) {
   Exchange.Response.status = 503;
   Exchange.Response.set_header("Canvaswick-Outcome", "not-run");
-  if (!Rest.empty())
-    Exchange.Response.set_header("Retry-After", Rest);
+  if (!RetryAfter.empty())
+    Exchange.Response.set_header("Retry-After", RetryAfter);
 }
 
 /// Sets the headers by which a server reports its limit and that it is leaving.
@@ -212,7 +213,7 @@
   static constexpr Duration HangTime = fromSeconds(300);
   setServerNotices(Exchange, Active);
   if (Active.Shed || Active.Drain) {
-    refuseAsNotRun(Exchange, Active.Rest);
+    refuseAsNotRun(Exchange, Active.RetryAfter);
     return;
   }
   const std::string DeadlineText =
@@ -361,7 +362,7 @@
     Set.Shed = Wanted.get("shed", false).asBool();
     Set.Limit = Wanted.get("limit", "").asString();
     Set.SendsLeaving = Wanted.get("says-leaving", false).asBool();
-    Set.Rest = Wanted.get("rest", "1").asString();
+    Set.RetryAfter = Wanted.get("rest", "1").asString();
     Set.Drain = Wanted.get("drain", false).asBool();
     Set.HealthLiesRed = Wanted.get("health-lies-red", false).asBool();
     this->setFaults(Set);
--- a/unittests/Proxy/RequestProxyTest.cpp
+++ b/unittests/Proxy/RequestProxyTest.cpp
@@ -138,7 +138,7 @@
   ProxyFixture Fixture;
   BackendFaults Shed;
   Shed.Shed = true;
-  Shed.Rest = "";
+  Shed.RetryAfter = "";
   Fixture.Backends[0]->setFaults(Shed);
   for (int I = 0; I < 10; ++I)
     CHECK(Fixture.send("POST", "/pay/1", {}, "order").Status == 200);
@@ -158,7 +158,7 @@
   ProxyFixture Fixture;
   BackendFaults Shed;
   Shed.Shed = true;
-  Shed.Rest = "2";
+  Shed.RetryAfter = "2";
   Fixture.setFaults(Shed);
   const ExchangeResult Result = Fixture.send("POST", "/pay/1", {}, "order");
   CHECK(Result.Status == 502);
--- a/unittests/ServerRest/ServerRestTest.cpp
+++ b/unittests/ServerRest/ServerRestTest.cpp
@@ -94,11 +94,11 @@
   char Date[64];
   std::strftime(Date, sizeof(Date), "%a, %d %b %Y %H:%M:%S GMT",
                 std::gmtime(&Until));
-  for (const std::string &Rest : {std::string("30"), std::string(Date)}) {
+  for (const std::string &RetryAfter : {std::string("30"), std::string(Date)}) {
     ProxyFixture Under;
     BackendFaults Resting;
     Resting.Shed = true;
-    Resting.Rest = Rest;
+    Resting.RetryAfter = RetryAfter;
     Under.Backends[0]->setFaults(Resting);
     for (int I = 0; I < 40; ++I)
       CHECK(Under.send("GET", "/read/1").Status == 200);
@@ -107,11 +107,11 @@
 }
 
 TEST_CASE("over real connections words that are no time are no rest") {
-  for (const char *Rest : {"soon", "-1", "1e99"}) {
+  for (const char *RetryAfter : {"soon", "-1", "1e99"}) {
     ProxyFixture Under;
     BackendFaults Resting;
     Resting.Shed = true;
-    Resting.Rest = Rest;
+    Resting.RetryAfter = RetryAfter;
     Under.Backends[0]->setFaults(Resting);
     for (int I = 0; I < 40; ++I)
       CHECK(Under.send("GET", "/read/1").Status == 200);
