--- a/lib/Bench/CapacityBench.cpp
+++ b/lib/Bench/CapacityBench.cpp
@@ -1,5 +1,4 @@
-//===- CapacityBench.cpp - Measures the slopes that docs/CAPACITY.md is worked
-// out from -===//
+//===- CapacityBench.cpp - Cost per unit of load for sizing ---------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -8,7 +7,8 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Plain loops over the decision objects and small stand-ins.
+/// Measures settings, decisions, routes, subsets and detection within one
+/// process, and lists all tables.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,6 +27,7 @@
 
 namespace canvaswick {
 
+/// Size of the fleet that the capacity is planned for.
 static constexpr int TargetServices = 210;
 static constexpr int TargetServers = 12000;
 
@@ -238,16 +239,16 @@
     Failing.Start = fromSeconds(60);
     Failing.End = fromSeconds(190);
     Spec.Faults = {Failing};
-    std::vector<BenchResult> Ours;
+    std::vector<BenchResult> PooledResults;
     std::vector<BenchResult> Baseline;
     for (uint64_t Seed = 1; Seed <= 5; ++Seed) {
-      Ours.push_back(runPolicyBench(Spec, PolicyKind::Pooled, Seed));
+      PooledResults.push_back(runPolicyBench(Spec, PolicyKind::Pooled, Seed));
       Baseline.push_back(runPolicyBench(Spec, PolicyKind::Baseline, Seed));
     }
     Csv += fmt::format("{:.4f},{:.1f},{:.1f},{:.0f}\n", Rate / 400,
-                       computeMedians(Ours).DetectionP50,
+                       computeMedians(PooledResults).DetectionP50,
                        computeMedians(Baseline).DetectionP50,
-                       computeMedians(Ours).ControlBytesPerSecond);
+                       computeMedians(PooledResults).ControlBytesPerSecond);
   }
   return Csv;
 }
--- a/lib/Bench/QuotaMethods.h
+++ b/lib/Bench/QuotaMethods.h
@@ -1,4 +1,4 @@
-//===- QuotaMethods.h - Ways to keep an allowance ---------------*- C++ -*-===//
+//===- QuotaMethods.h - Methods of enforcing a fleet quota ------*- C++ -*-===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,9 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// The ways that the model of allowances compares, each for a whole fleet: what
-/// its daemons do in a step, and whether one of them admits a request. Private
-/// to this library.
+/// The methods that QuotaModel compares. Each object simulates all daemons of a
+/// fleet: what they do in a step and whether one of them admits a request.
+/// Private to this library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -34,26 +34,33 @@
 
 inline constexpr int StepMs = 10;
 
-/// Time between two messages of a daemon of a hall of 38, by the product's
-/// bound on what a daemon receives, and of a hall's teller to others: usually,
-/// and while an organisation asks much.
+/// Mean time between two messages of a daemon to its hall. It follows from the
+/// product's bound on the messages that a daemon receives, for a hall of 38.
 inline constexpr int PeerIntervalMs = 150;
+
+/// Time between two messages of a hall reporter to other halls: normally, and
+/// while the demand of an organisation is high.
 inline constexpr int HallIntervalMs = 200;
 inline constexpr int UrgentIntervalMs = 50;
+
+/// Time between two messages of a hall reporter that hold the usage of all
+/// organisations.
 inline constexpr int AllIntervalMs = 1000;
 
-/// Longest way of a message, queueing for a tenth of a core included.
+/// Maximum delay of a message per hop, including the queueing of a daemon that
+/// has a tenth of a core.
 inline constexpr int MaxDelayMs = 40;
 
 inline const char *const ModelOrganisation = "o";
 
-/// A fleet as the ways see it.
+/// The state of a fleet that the methods use.
 struct ModelFleet {
   int Halls = 0;
   int DaemonsOfHall = 0;
   double Rate = 0;
   double Burst = 0;
-  /// Which daemons are cut off, and which are down.
+  /// By daemon: whether it is partitioned from all others, and whether it is
+  /// down.
   std::vector<bool> IsCut;
   std::vector<bool> IsDown;
   bool AreHallsApart = false;
@@ -70,15 +77,17 @@
   }
 };
 
-/// The part of a bucket that may be given out besides its burst.
+/// Returns the requests above the rate and the burst that the bounds tolerate
+/// in a window.
 inline double getModelSlack(const ModelFleet &Fleet) {
   const QuotaBounds Bounds = getModelBounds();
   return Bounds.Slack +
          Bounds.Excess * (Fleet.Rate * toSeconds(Bounds.Window) + Fleet.Burst);
 }
 
-/// Each daemon with its part. Parts below one request are rounded up by as many
-/// daemons as the slack allows.
+/// Gives each daemon an equal part of the rate and the burst. If a part is
+/// below one request, as many daemons as the slack permits get a bucket of one
+/// request and the others get none.
 class FixedPartsMethod {
 public:
   FixedPartsMethod(const ModelFleet &Fleet, uint64_t, TimePoint Now)
@@ -93,10 +102,10 @@
 
   void restart(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
     const auto Count = static_cast<double>(Fleet.count());
-    const double Saved = Fleet.Burst + getModelSlack(Fleet) / 2;
-    const double Size = Saved / Count >= 1                    ? Saved / Count
-                        : static_cast<double>(Daemon) < Saved ? 1
-                                                              : 0;
+    const double Capacity = Fleet.Burst + getModelSlack(Fleet) / 2;
+    const double Size = Capacity / Count >= 1 ? Capacity / Count
+                        : static_cast<double>(Daemon) < Capacity ? 1
+                                                                 : 0;
     this->Buckets[Daemon] = TokenBucket(Fleet.Rate / Count, Size, Now);
   }
 
@@ -112,32 +121,32 @@
   std::vector<TokenBucket> Buckets;
 };
 
-/// One daemon gives out tokens. Whoever does not reach it has its fixed part,
-/// which the owner leaves to those it does not hear; the next owner begins with
-/// an empty bucket.
+/// Lets one daemon, the owner, hand out the tokens. Daemons that cannot reach
+/// it use their fixed parts, by which the owner reduces its own bucket. If the
+/// owner is down for a second, the next daemon takes over with an empty bucket.
 class OneOwnerMethod {
 public:
   OneOwnerMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now)
-      : Own(Fleet, Seed, Now), Central(Fleet.Rate, Fleet.Burst, Now),
+      : Fallback(Fleet, Seed, Now), Central(Fleet.Rate, Fleet.Burst, Now),
         Owner(Seed % Fleet.count()) {}
 
   void change(const ModelFleet &Fleet, TimePoint Now) {
-    this->Own.change(Fleet, Now);
+    this->Fallback.change(Fleet, Now);
     this->Central.reshape(Fleet.Rate, Fleet.Burst);
   }
 
   void restart(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
-    this->Own.restart(Fleet, Daemon, Now);
+    this->Fallback.restart(Fleet, Daemon, Now);
     if (Daemon == this->Owner)
       this->Central = TokenBucket(Fleet.Rate, 0, Now);
   }
 
   void step(const ModelFleet &Fleet, TimePoint Now) {
-    size_t Heard = 0;
+    size_t Reachable = 0;
     for (size_t I = 0; I < Fleet.count(); ++I)
-      Heard += I == this->Owner || Fleet.reaches(this->Owner, I) ? 1 : 0;
+      Reachable += I == this->Owner || Fleet.reaches(this->Owner, I) ? 1 : 0;
     const double Part =
-        static_cast<double>(Heard) / static_cast<double>(Fleet.count());
+        static_cast<double>(Reachable) / static_cast<double>(Fleet.count());
     this->Central.reshape(Fleet.Rate * Part, Fleet.Burst * Part);
     if (!Fleet.IsDown[this->Owner]) {
       this->DownSince.reset();
@@ -154,7 +163,7 @@
 
   bool admit(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
     if (Daemon != this->Owner && !Fleet.reaches(Daemon, this->Owner))
-      return this->Own.admit(Fleet, Daemon, Now);
+      return this->Fallback.admit(Fleet, Daemon, Now);
     this->Messages += 2;
     return this->Central.tryTake(Now);
   }
@@ -162,21 +171,21 @@
   uint64_t countMessages() const { return this->Messages; }
 
 private:
-  FixedPartsMethod Own;
+  FixedPartsMethod Fallback;
   TokenBucket Central;
   size_t Owner;
   std::optional<TimePoint> DownSince;
   uint64_t Messages = 0;
 };
 
-/// FleetQuota at every daemon, and what they tell each other.
+/// Runs a FleetQuota per daemon and the usage messages between them.
 class SharedCountsMethod {
 public:
   SharedCountsMethod(const ModelFleet &Fleet, uint64_t Seed, TimePoint Now,
                      double LossRate)
       : Random(Seed), LossRate(LossRate) {
     for (size_t I = 0; I < Fleet.count(); ++I)
-      this->Daemons.push_back(this->make(Fleet, I, Now));
+      this->Daemons.push_back(this->makeDaemon(Fleet, I, Now));
     this->HallSentAt.resize(Fleet.count());
     this->AllSentAt.resize(Fleet.count());
   }
@@ -187,7 +196,7 @@
   }
 
   void restart(const ModelFleet &Fleet, size_t Daemon, TimePoint Now) {
-    this->Daemons[Daemon] = this->make(Fleet, Daemon, Now);
+    this->Daemons[Daemon] = this->makeDaemon(Fleet, Daemon, Now);
   }
 
   void step(const ModelFleet &Fleet, TimePoint Now) {
@@ -217,9 +226,9 @@
     TimePoint At{};
     size_t To = 0;
     std::string From;
-    /// Whose hall From is, or empty.
+    /// Hall of From if the message reports the usage of a hall, else empty.
     std::string Hall;
-    std::vector<QuotaUsage> Levels;
+    std::vector<QuotaUsage> Usage;
   };
 
   static std::string nameDaemon(size_t Daemon) {
@@ -231,46 +240,47 @@
         {{ModelOrganisation, Fleet.Rate, Fleet.Burst, {}, {}}}, true);
   }
 
-  std::unique_ptr<FleetQuota> make(const ModelFleet &Fleet, size_t Daemon,
-                                   TimePoint Now) {
+  std::unique_ptr<FleetQuota> makeDaemon(const ModelFleet &Fleet, size_t Daemon,
+                                         TimePoint Now) {
     std::uniform_real_distribution<double> Uniform;
     auto Made = std::make_unique<FleetQuota>(
         getModelBounds(), Fleet.StartedAt[Daemon], Uniform(this->Random));
-    std::vector<std::string> Near;
-    std::map<std::string, size_t> Far;
+    std::vector<std::string> SameHall;
+    std::map<std::string, size_t> OtherHalls;
     for (size_t I = 0; I < Fleet.count(); ++I)
       if (Fleet.getHall(I) != Fleet.getHall(Daemon))
-        ++Far[fmt::format("h{}", Fleet.getHall(I))];
+        ++OtherHalls[fmt::format("h{}", Fleet.getHall(I))];
       else if (I != Daemon)
-        Near.push_back(nameDaemon(I));
-    Made->getLiveness().setFleet(Near, Far, Now);
+        SameHall.push_back(nameDaemon(I));
+    Made->getLiveness().setFleet(SameHall, OtherHalls, Now);
     Made->configure(makeDirectory(Fleet), Now);
     return Made;
   }
 
   void send(const ModelFleet &Fleet, size_t From, size_t To, bool IsHall,
-            std::vector<QuotaUsage> Levels, TimePoint Now, int Hops) {
+            std::vector<QuotaUsage> Usage, TimePoint Now, int Hops) {
     std::uniform_real_distribution<double> Uniform;
     ++this->Messages;
     if (!Fleet.reaches(From, To) || Uniform(this->Random) < this->LossRate)
       return;
-    const Duration Way =
+    const Duration Delay =
         fromSeconds(Uniform(this->Random) * MaxDelayMs * Hops / 1000.0);
     const std::string Hall =
         IsHall ? fmt::format("h{}", Fleet.getHall(From)) : "";
     this->Out.push_back(
-        {Now + Way, To, nameDaemon(From), Hall, std::move(Levels)});
+        {Now + Delay, To, nameDaemon(From), Hall, std::move(Usage)});
   }
 
   void sendUsageToHall(const ModelFleet &Fleet, size_t From, TimePoint Now) {
-    const std::vector<QuotaUsage> News =
+    const std::vector<QuotaUsage> Usage =
         this->Daemons[From]->drainUsageChanges(8, Now);
     for (size_t To = 0; To < Fleet.count(); ++To)
       if (To != From && Fleet.getHall(To) == Fleet.getHall(From))
-        this->send(Fleet, From, To, false, News, Now, 1);
+        this->send(Fleet, From, To, false, Usage, Now, 1);
   }
 
-  /// One daemon of each other hall is told and passes it on.
+  /// Sends the usage of the hall to one daemon of each other hall, which relays
+  /// it to the rest of its hall.
   void sendUsageToOtherHalls(const ModelFleet &Fleet, size_t From,
                              TimePoint Now) {
     this->HallSentAt[From] = Now;
@@ -278,7 +288,7 @@
         Now - this->AllSentAt[From] >= fromMillis(AllIntervalMs);
     if (WantsAll)
       this->AllSentAt[From] = Now;
-    const std::vector<QuotaUsage> Levels =
+    const std::vector<QuotaUsage> Usage =
         this->Daemons[From]->getHallUsage(WantsAll, Now);
     std::uniform_real_distribution<double> Uniform;
     for (int Hall = 0; Hall < Fleet.Halls; ++Hall) {
@@ -291,7 +301,7 @@
         continue;
       for (size_t I = 0; I < static_cast<size_t>(Fleet.DaemonsOfHall); ++I)
         if (First + I == Relay || Fleet.reaches(Relay, First + I))
-          this->send(Fleet, From, First + I, true, Levels, Now, 2);
+          this->send(Fleet, From, First + I, true, Usage, Now, 2);
     }
   }
 
@@ -300,10 +310,10 @@
       if (Each.At > Now)
         return false;
       if (!Each.Hall.empty())
-        this->Daemons[Each.To]->applyHallUsage(Each.Hall, Each.From,
-                                               Each.Levels, Now);
+        this->Daemons[Each.To]->applyHallUsage(Each.Hall, Each.From, Each.Usage,
+                                               Now);
       else
-        this->Daemons[Each.To]->applyPeerUsage(Each.From, Each.Levels, Now);
+        this->Daemons[Each.To]->applyPeerUsage(Each.From, Each.Usage, Now);
       return true;
     });
   }
@@ -317,11 +327,13 @@
   uint64_t Messages = 0;
 };
 
-using Way = std::variant<FixedPartsMethod, OneOwnerMethod, SharedCountsMethod>;
+using QuotaMethodVariant =
+    std::variant<FixedPartsMethod, OneOwnerMethod, SharedCountsMethod>;
 
-inline Way makeQuotaMethod(QuotaMethod Which, const ModelFleet &Fleet,
-                           const QuotaScenario &Scenario, uint64_t Seed,
-                           TimePoint Now) {
+inline QuotaMethodVariant makeQuotaMethod(QuotaMethod Which,
+                                          const ModelFleet &Fleet,
+                                          const QuotaScenario &Scenario,
+                                          uint64_t Seed, TimePoint Now) {
   switch (Which) {
   case QuotaMethod::FixedParts:
     return FixedPartsMethod(Fleet, Seed, Now);
--- a/lib/Bench/QuotaModel.cpp
+++ b/lib/Bench/QuotaModel.cpp
@@ -1,4 +1,4 @@
-//===- QuotaModel.cpp - A fleet's allowances in virtual time --------------===//
+//===- QuotaModel.cpp - Simulation of fleet quotas ------------------------===//
 //
 // Part of the canvaswick project, under the Apache License v2.0.
 // See LICENSE for license information.
@@ -7,8 +7,9 @@
 //===----------------------------------------------------------------------===//
 ///
 /// \file
-/// Steps of ten milliseconds. In each, messages arrive, daemons speak whose
-/// turn it is, and callers ask.
+/// The simulation advances in steps of 10 ms. In each step due messages are
+/// delivered, daemons send the messages that are due, and callers send
+/// requests.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -34,44 +35,46 @@
     {QuotaMethod::SharedCounts, "told-counts"},
 }};
 
-const char *getName(QuotaMethod Way) {
-  return getEnumName(QuotaMethodNames, Way);
+const char *getName(QuotaMethod Method) {
+  return getEnumName(QuotaMethodNames, Method);
 }
 
 QuotaBounds getModelBounds() { return {fromSeconds(5), 0.1, 20}; }
 
 namespace {
 
-/// Counts what is admitted in a sliding window against the bound.
+/// Tracks the admissions in a sliding window in relation to the bound.
 class QuotaWindowMonitor {
 public:
-  /// A higher limit binds until one window after it was lowered.
-  void note(TimePoint At, const ModelFleet &Fleet, double HighestRate) {
-    this->Instants.push_back(At);
+  /// Records an admission. HighestRate is the highest rate that was in force
+  /// within the last window, because a lower limit binds only after one window.
+  void recordAdmission(TimePoint At, const ModelFleet &Fleet,
+                       double HighestRate) {
+    this->AdmittedAt.push_back(At);
     const QuotaBounds Bounds = getModelBounds();
-    while (this->Instants.front() <= At - Bounds.Window)
-      this->Instants.pop_front();
+    while (this->AdmittedAt.front() <= At - Bounds.Window)
+      this->AdmittedAt.pop_front();
     const double Burst = Fleet.Burst / Fleet.Rate * HighestRate;
     const double Bound =
         (HighestRate * toSeconds(Bounds.Window) + Burst) * (1 + Bounds.Excess) +
         Bounds.Slack;
-    this->Worst = std::max(this->Worst,
-                           static_cast<double>(this->Instants.size()) / Bound);
+    this->MaxFill = std::max(
+        this->MaxFill, static_cast<double>(this->AdmittedAt.size()) / Bound);
   }
 
-  double getWorst() const { return this->Worst; }
+  double getMaxFill() const { return this->MaxFill; }
 
 private:
-  std::deque<TimePoint> Instants;
-  double Worst = 0;
+  std::deque<TimePoint> AdmittedAt;
+  double MaxFill = 0;
 };
 
-/// One play.
+/// One run of the simulation.
 class QuotaModelRun {
 public:
   QuotaModelRun(const QuotaScenario &Given, QuotaMethod Which, uint64_t Seed)
       : Scenario(Given), Random(Seed), Fleet(makeFleet(Given)),
-        Allowance(
+        ActiveMethod(
             makeQuotaMethod(Which, this->Fleet, Given, Seed, this->Begin)),
         WithinQuota(Given.Rate, Given.Rate, this->Begin) {
     std::uniform_int_distribution<size_t> AnyDaemon(0, this->Fleet.count() - 1);
@@ -84,14 +87,15 @@
       const TimePoint Now = this->Begin + fromMillis(Ms);
       this->applyEvents(Ms, Now);
       this->applyChange(Ms, Now);
-      std::visit([&](auto &Own) { Own.step(this->Fleet, Now); },
-                 this->Allowance);
-      this->ask(Ms, Now);
+      std::visit([&](auto &Chosen) { Chosen.step(this->Fleet, Now); },
+                 this->ActiveMethod);
+      this->sendRequests(Ms, Now);
     }
     this->endSecond();
-    this->Outcome.MaxWindowFill = this->Window.getWorst();
-    this->Outcome.Messages = std::visit(
-        [](const auto &Own) { return Own.countMessages(); }, this->Allowance);
+    this->Outcome.MaxWindowFill = this->Window.getMaxFill();
+    this->Outcome.Messages =
+        std::visit([](const auto &Chosen) { return Chosen.countMessages(); },
+                   this->ActiveMethod);
     return this->Outcome;
   }
 
@@ -105,13 +109,14 @@
     const auto Count = static_cast<size_t>(Given.Halls * Given.DaemonsOfHall);
     Made.IsCut.assign(Count, false);
     Made.IsDown.assign(Count, false);
-    // The fleet has run for long, but for those that are killed.
+    // Start times are long past, so that no daemon is in its start-up phase.
+    // Daemons that are killed get a new one when they restart.
     Made.StartedAt.assign(Count, this->Begin - fromSeconds(100));
     return Made;
   }
 
-  /// Cuts, kills and brings back. The daemons that are hit are spread over the
-  /// halls.
+  /// Applies the partitions and outages of this time, and restarts daemons that
+  /// are up again. The affected daemons are spread evenly over the halls.
   void applyEvents(int Ms, TimePoint Now) {
     std::vector<bool> IsCut(this->Fleet.count(), false);
     std::vector<bool> IsDown(this->Fleet.count(), false);
@@ -136,8 +141,8 @@
       if (!IsBack)
         continue;
       this->Fleet.StartedAt[I] = Now;
-      std::visit([&](auto &Own) { Own.restart(this->Fleet, I, Now); },
-                 this->Allowance);
+      std::visit([&](auto &Chosen) { Chosen.restart(this->Fleet, I, Now); },
+                 this->ActiveMethod);
     }
   }
 
@@ -147,27 +152,28 @@
     this->Fleet.Rate *= this->Scenario.ChangeFactor;
     this->Fleet.Burst *= this->Scenario.ChangeFactor;
     this->WithinQuota.reshape(this->Fleet.Rate, this->Fleet.Burst);
-    std::visit([&](auto &Own) { Own.change(this->Fleet, Now); },
-               this->Allowance);
+    std::visit([&](auto &Chosen) { Chosen.change(this->Fleet, Now); },
+               this->ActiveMethod);
   }
 
-  double getAskedRate(int Ms) const {
+  double computeOfferedRate(int Ms) const {
     const bool IsHot = Ms >= this->Scenario.HotFromMs &&
                        Ms < this->Scenario.HotFromMs + this->Scenario.HotForMs;
     return this->Scenario.Rate * this->Scenario.TypicalLoad *
            (IsHot ? this->Scenario.HotFactor : 1);
   }
 
-  /// The highest rate that binds at a moment.
-  double getBindingRate(int Ms) const {
-    const int Settled = this->Scenario.ChangeMs +
-                        static_cast<int>(toMillis(getModelBounds().Window));
-    return Ms < Settled ? std::max(this->Scenario.Rate, this->Fleet.Rate)
-                        : this->Fleet.Rate;
+  /// Returns the highest rate that was in force within the last window.
+  double computeBindingRate(int Ms) const {
+    const int BindingAtMs = this->Scenario.ChangeMs +
+                            static_cast<int>(toMillis(getModelBounds().Window));
+    return Ms < BindingAtMs ? std::max(this->Scenario.Rate, this->Fleet.Rate)
+                            : this->Fleet.Rate;
   }
 
-  /// Which of an organisation's requests are refused does not matter, so each
-  /// second's admitted ones make up for as many that were owed in it.
+  /// Compares the admissions of a second with the requests within the quota in
+  /// that second by number only, because it does not matter which of the
+  /// requests of an organisation are refused.
   void endSecond() {
     if (this->WithinQuotaThisSecond > this->AdmittedThisSecond)
       this->Outcome.RefusedWithinQuota +=
@@ -184,9 +190,9 @@
     ++this->WithinQuotaThisSecond;
   }
 
-  void ask(int Ms, TimePoint Now) {
-    std::poisson_distribution<int> Arrivals(this->getAskedRate(Ms) * StepMs /
-                                            1000);
+  void sendRequests(int Ms, TimePoint Now) {
+    std::poisson_distribution<int> Arrivals(this->computeOfferedRate(Ms) *
+                                            StepMs / 1000);
     std::uniform_int_distribution<size_t> AnyCaller(
         0, this->DaemonOfCaller.size() - 1);
     const int Count = Arrivals(this->Random);
@@ -198,13 +204,14 @@
       if (this->WithinQuota.tryTake(Now))
         this->recordWithinQuota(Ms);
       const bool IsAdmitted = std::visit(
-          [&](auto &Own) { return Own.admit(this->Fleet, Daemon, Now); },
-          this->Allowance);
+          [&](auto &Chosen) { return Chosen.admit(this->Fleet, Daemon, Now); },
+          this->ActiveMethod);
       if (!IsAdmitted)
         continue;
       ++this->Outcome.Admitted;
       ++this->AdmittedThisSecond;
-      this->Window.note(Now, this->Fleet, this->getBindingRate(Ms));
+      this->Window.recordAdmission(Now, this->Fleet,
+                                   this->computeBindingRate(Ms));
     }
   }
 
@@ -212,7 +219,7 @@
   const TimePoint Begin = TimePoint{} + fromSeconds(1000);
   std::mt19937_64 Random;
   ModelFleet Fleet;
-  Way Allowance;
+  QuotaMethodVariant ActiveMethod;
   TokenBucket WithinQuota;
   QuotaWindowMonitor Window;
   std::vector<size_t> DaemonOfCaller;
@@ -231,7 +238,7 @@
 
 namespace {
 
-/// A scenario of the table.
+/// A scenario with its name in the table.
 struct NamedScenario {
   const char *Name;
   QuotaScenario Scenario;
@@ -239,15 +246,15 @@
 
 std::vector<NamedScenario> listScenarios(int DaemonsOfHall, double Rate,
                                          int Callers) {
-  QuotaScenario Calm;
-  Calm.DaemonsOfHall = DaemonsOfHall;
-  Calm.Rate = Rate;
-  Calm.Callers = Callers;
-  QuotaScenario Hot = Calm;
+  QuotaScenario Normal;
+  Normal.DaemonsOfHall = DaemonsOfHall;
+  Normal.Rate = Rate;
+  Normal.Callers = Callers;
+  QuotaScenario Hot = Normal;
   Hot.HotFactor = 10;
   Hot.HotFromMs = 8000;
   Hot.HotForMs = 8000;
-  QuotaScenario Cut = Calm;
+  QuotaScenario Cut = Normal;
   Cut.Events = {{QuotaFault::Cut, 6000, 12000, 0.33}};
   QuotaScenario HotInCut = Hot;
   HotInCut.Events = Cut.Events;
@@ -255,14 +262,14 @@
   HotAtCut.Events = {{QuotaFault::Cut, 8000, 8000, 0.33}};
   QuotaScenario Apart = Hot;
   Apart.Events = {{QuotaFault::HallsApart, 6000, 12000, 0}};
-  QuotaScenario Killed = Calm;
+  QuotaScenario Killed = Normal;
   Killed.Events = {{QuotaFault::Killed, 10000, 1000, 1}};
   QuotaScenario HotKilled = Hot;
   HotKilled.Events = {{QuotaFault::Killed, 12000, 1000, 1}};
-  QuotaScenario Lowered = Calm;
+  QuotaScenario Lowered = Normal;
   Lowered.ChangeMs = 10000;
   Lowered.ChangeFactor = 0.1;
-  return {{"calm", Calm},
+  return {{"calm", Normal},
           {"hot", Hot},
           {"a third cut off", Cut},
           {"hot while cut", HotInCut},
