--- a/lib/Bench/CapacityWire.cpp
+++ b/lib/Bench/CapacityWire.cpp
@@ -38,7 +38,7 @@
   Dispatcher.add("bench.call",
                  [&Answer](const Json::Value &) { return Answer; });
   HttpServerLimits Limits;
-  Limits.Workers.Most = 2;
+  Limits.Workers.MaxThreads = 2;
   HttpServer Server(Limits, [&](HttpExchange &Exchange) {
     Exchange.Stream.setDeadline(readSteadyClock() + fromSeconds(5));
     serveCall(Exchange, Verifier, VerifierMutex, Dispatcher, Counters);
--- a/lib/Daemon/CallerServer.cpp
+++ b/lib/Daemon/CallerServer.cpp
@@ -20,8 +20,8 @@
 
 HttpServerLimits makeCallerServerLimits(const DaemonConfig &Config) {
   HttpServerLimits Limits;
-  Limits.Workers.Most = static_cast<size_t>(Config.Workers);
-  Limits.Workers.Kept = static_cast<size_t>(Config.KeptWorkers);
+  Limits.Workers.MaxThreads = static_cast<size_t>(Config.Workers);
+  Limits.Workers.MinThreads = static_cast<size_t>(Config.KeptWorkers);
   Limits.Workers.IdleLimit = Config.WorkerIdle;
   Limits.Workers.Queue = CallerQueue;
   Limits.MaxConnections = static_cast<size_t>(Config.MaxConnections);
--- a/lib/Daemon/Daemon.cpp
+++ b/lib/Daemon/Daemon.cpp
@@ -103,7 +103,7 @@
   this->Platform =
       std::make_unique<PlatformClient>(this->Config.Platform, &this->Counters);
   this->Calls = std::make_unique<WorkerPool>(
-      WorkerPoolLimits{.Most = CallThreads, .Queue = CallQueue});
+      WorkerPoolLimits{.MaxThreads = CallThreads, .Queue = CallQueue});
   this->Context.reset(new ControlContext{
       this->Config, this->Counters, *this->Caller, *this->Platform,
       *this->Calls, this->Fleet, *this->Notices,
@@ -111,7 +111,7 @@
 
   // The control address is bound first, because peers learn its port.
   HttpServerLimits ControlLimits;
-  ControlLimits.Workers.Most = ControlWorkers;
+  ControlLimits.Workers.MaxThreads = ControlWorkers;
   this->Control = std::make_unique<HttpServer>(
       ControlLimits,
       [this](HttpExchange &Exchange) { this->handleControl(Exchange); });
--- a/lib/Daemon/Gateway.cpp
+++ b/lib/Daemon/Gateway.cpp
@@ -102,7 +102,7 @@
 /// Serves the load balancer's health checks and metrics.
 Result<void> Gateway::Impl::startReady() {
   HttpServerLimits Limits;
-  Limits.Workers.Most = ReadyWorkers;
+  Limits.Workers.MaxThreads = ReadyWorkers;
   this->Ready =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
         answerHealthCheck(Exchange, this->IsStopping, this->collectMetrics(),
@@ -117,7 +117,7 @@
   if (this->Config.Metrics.Port == 0)
     return;
   HttpServerLimits Limits;
-  Limits.Workers.Most = MetricsWorkers;
+  Limits.Workers.MaxThreads = MetricsWorkers;
   this->Metrics =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
         answerMetrics(Exchange, this->collectMetrics(),
@@ -158,7 +158,7 @@
   });
   addDirectoryMethod(this->Dispatcher, *this->Responder);
   HttpServerLimits Limits;
-  Limits.Workers.Most = ControlWorkers;
+  Limits.Workers.MaxThreads = ControlWorkers;
   Limits.Workers.Queue = ControlQueue;
   this->Control =
       std::make_unique<HttpServer>(Limits, [this](HttpExchange &Exchange) {
--- a/lib/Daemon/HealthEndpoints.cpp
+++ b/lib/Daemon/HealthEndpoints.cpp
@@ -55,7 +55,7 @@
   return fmt::format("canvaswick_workers{{state=\"running\"}} {}\n"
                      "canvaswick_workers{{state=\"idle\"}} {}\n"
                      "canvaswick_workers_most {}\n",
-                     Workers.Running, Workers.Idle, Workers.Most);
+                     Workers.Running, Workers.Idle, Workers.Peak);
 }
 
 std::string
--- a/lib/Daemon/QuotaAgent.cpp
+++ b/lib/Daemon/QuotaAgent.cpp
@@ -24,7 +24,7 @@
 /// The number of threads for calls and of calls that may wait for one. The
 /// queue holds the calls of one round in the largest hall that CAPACITY.md
 /// plans for.
-static constexpr WorkerPoolLimits CallLimits = {.Most = 4, .Queue = 512};
+static constexpr WorkerPoolLimits CallLimits = {.MaxThreads = 4, .Queue = 512};
 
 /// The maximum number of organisations in a message; the others follow in the
 /// next one.
--- a/lib/StandIn/BackendStandIn.cpp
+++ b/lib/StandIn/BackendStandIn.cpp
@@ -36,7 +36,7 @@
 BackendStandIn::BackendStandIn(BackendSetup Setup)
     : Setup(std::move(Setup)), Started(readSteadyClock()) {
   HttpServerLimits Limits;
-  Limits.Workers.Most = StandInWorkers;
+  Limits.Workers.MaxThreads = StandInWorkers;
   Limits.Workers.Queue = 1024;
   this->Server = std::make_unique<HttpServer>(
       Limits, [this](HttpExchange &Exchange) { this->handle(Exchange); });
--- a/lib/StandIn/PlatformStandIn.cpp
+++ b/lib/StandIn/PlatformStandIn.cpp
@@ -28,7 +28,7 @@
 
 PlatformStandIn::PlatformStandIn() {
   HttpServerLimits Limits;
-  Limits.Workers.Most = StandInWorkers;
+  Limits.Workers.MaxThreads = StandInWorkers;
   Limits.Workers.Queue = 1024;
   this->Server = std::make_unique<HttpServer>(
       Limits, [this](HttpExchange &Exchange) { this->handle(Exchange); });
--- a/tools/standin-relay/standin-relay.cpp
+++ b/tools/standin-relay/standin-relay.cpp
@@ -51,7 +51,7 @@
   RelayStandIn Relay(Target.value());
   Result<void> Started = Relay.start(Address.value());
   HttpServerLimits Limits;
-  Limits.Workers.Most = 2;
+  Limits.Workers.MaxThreads = 2;
   HttpServer Server(Limits, [&Relay](HttpExchange &Exchange) {
     handleControl(Relay.getFaults(), Exchange);
   });
