--- a/include/canvaswick/Support/Time.h
+++ b/include/canvaswick/Support/Time.h
@@ -36,6 +36,7 @@
   using period = duration::period;
   using time_point = std::chrono::time_point<MachineClock, duration>;
   // The standard requires this name for clocks.
+  // NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 
   static time_point now() {
