--- a/unittests/ServerLeaving/ServerLeavingTest.cpp
+++ b/unittests/ServerLeaving/ServerLeavingTest.cpp
@@ -85,7 +85,7 @@
   Fixture.Config.Servers.resize(2);
   Fixture.Config.FloorPercent = 50;
   Fixture.Config.Preference = EjectionPreference::Detection;
-  Fixture.Identity.Source = SettingsSource::Own;
+  Fixture.Identity.Source = SettingsSource::OperatorTree;
   Fixture.Service.reset();
   Fixture.rebuild(FixtureStart);
   Fixture.answerWithNotice("b0", makeLeavingNotice(), RequestOutcome::Good,
